--- a/crates/flintwell-core/src/interface.rs
+++ b/crates/flintwell-core/src/interface.rs
@@ -1,37 +1,42 @@
-//! Types between the decision module and whoever hosts it: ids, settings, outcomes and the host's calls.
+//! Types shared by the decision module and its host: ids, settings, attempt results and the host's callbacks.
 
 use std::sync::Arc;
 
-/// Whole microseconds: an instant on the host's clock, or a span.
+/// Microseconds: an instant on the host's clock, or a duration.
 pub type Micros = i64;
 pub type RequestId = Arc<str>;
 pub type NodeId = Arc<str>;
 pub type Key = Arc<str>;
 
-/// What the module may do. Each call takes effect at the instant the module was told of.
+/// Actions that the module requests. Each takes effect at the time passed to the call that caused it.
 pub trait Host {
-    /// Starts an attempt; `allow_for` is its time-out.
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros);
-    /// Final answer: turned away, trying again is harmless; `stay_away` is advice, 0 for none.
-    fn refuse(&mut self, request: &RequestId, stay_away: Micros);
-    /// Final answer: nothing is promised about the effect.
+    /// Starts an attempt that times out after `timeout`.
+    fn attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros);
+    /// Final answer: the request was refused and may be retried safely. `retry_after` is a hint for the client,
+    /// 0 for none.
+    fn refuse(&mut self, request: &RequestId, retry_after: Micros);
+    /// Final answer: the request may or may not have taken effect.
     fn fail(&mut self, request: &RequestId);
-    /// Closes our idle connections to a node.
+    /// Closes the idle connections of this proxy to a node.
     fn close_idle(&mut self, node: &NodeId);
-    /// Asks for a call of `timer` with this label at or after `at`.
+    /// Requests a call of the module's timer event with this label at or after `at`.
     fn wake_at(&mut self, label: u64, at: Micros);
-    /// Subscribes to changes of the list.
+    /// Subscribes to updates of the node list.
     fn watch_list(&mut self);
 }
 
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// May run any number of times.
     Safe,
+    /// Repeats are deduplicated by the request's idempotency key, within a scope and for a limited time.
     Keyed,
+    /// Must run at most once.
     Unsafe,
 }
 
-/// Which cache nodes drop repeats of a keyed request.
+/// Cache nodes that share deduplication of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -39,77 +44,94 @@
     Cell,
 }
 
+/// Settings of a class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub effect: Effect,
+    /// Nodes to which a keyed request may be repeated.
     pub group: Group,
+    /// How long repeats of a keyed request are recognized.
     pub memory: Micros,
     pub latency_target: Micros,
-    /// The latency target grows by this many times the request's own work.
+    /// The latency target grows by this many times the request's expected work.
     pub target_stretch: f64,
-    /// Share of the worth still paid after the latency target.
+    /// Fraction of the worth that remains after the latency target.
     pub late_share: f64,
-    /// The kinds and the zones of cache nodes that it may be sent to; all where not given.
+    /// Kinds of cache nodes that may serve the class; `None` allows all.
     pub kinds: Option<Vec<u32>>,
+    /// Zones whose cache nodes may serve the class; `None` allows all.
     pub zones: Option<Vec<u32>>,
 }
 
-/// What the list's sizes stand for.
+/// Meaning of the weights in the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sizes {
-    /// Nothing.
+    /// Weights carry no information.
     None,
-    /// The registered ones, exact or rough.
+    /// Weights are registered capacities, exact or approximate.
     Declared,
-    /// The registered ones, lowered the more requests a node holds.
+    /// Weights are registered capacities, reduced as a node holds more requests.
     Live,
 }
 
+/// Settings of one proxy.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub classes: Vec<Class>,
-    /// Requests a second within each tenant's share, over all proxies.
+    /// Quota of each tenant over all proxies, in requests per second.
     pub quotas: Vec<f64>,
-    /// True where a cache node that lacks a key says so and the proxy asks the origin.
+    /// Cache-aside mode: a cache node reports a miss and the proxy fetches from the origin. Otherwise
+    /// read-through: the cache node fetches.
     pub aside: bool,
+    /// Node kind of the origin.
     pub origin_kind: Option<u32>,
+    /// Number of this proxy in the fleet.
     pub index: u32,
-    /// Where this proxy is.
+    /// Zone of this proxy.
     pub zone: u32,
+    /// Number of zones.
     pub zones: u32,
-    /// What an attempt to another zone costs, in worth of a request.
+    /// Cost of an attempt in another zone, in units of a request's worth.
     pub cross_price: f64,
+    /// Number of proxies.
     pub fleet_size: u32,
     pub max_attempts: usize,
-    /// Longest advice to stay away that clients heed; 0 where advice does not reach them.
+    /// Longest `retry_after` that clients follow; 0 if it does not reach them.
     pub max_stay_away: Micros,
-    /// True where the list answers only when asked.
+    /// The list service answers only when asked.
     pub list_on_request: bool,
+    /// Time limit for requesting the list from the list service.
     pub ask_within: Micros,
     pub sizes: Sizes,
+    /// Fraction of its capacity that a node has right after its start.
     pub start_capacity: f64,
+    /// Time from a node's start to its full capacity.
     pub ramp_time: Micros,
-    /// The most by which a listed start may be off, either way.
+    /// Largest error of a listed start time, in either direction.
     pub start_drift: Micros,
-    /// What an open connection a cache node costs, in new connections a request; 0 where they cost nothing.
+    /// Cost of one open connection per cache node, in units of one new connection per request; 0 if open
+    /// connections cost nothing.
     pub connection_price: f64,
-    /// How long a cold node can be pushed before it falls.
+    /// How long a cold node withstands overload before it fails.
     pub fall: Micros,
-    /// From the choice of a node until its first byte, at most: a connection may have to come up.
+    /// Longest time from choosing a node to sending the first byte, including opening a connection.
     pub dial_within: Micros,
 }
 
+/// What an update of the node list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
+    /// The complete list.
     Whole,
-    /// The whole list as this instance last had it, maybe old.
+    /// The complete list that this instance stored last; it may be outdated.
     Kept,
-    /// A call failed or the subscription broke; the old list stands.
+    /// A request for the list failed or the subscription broke; the previous list stays in use.
     Failed,
 }
 
+/// State of a node according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
     Ready,
@@ -118,6 +140,7 @@
     Gone,
 }
 
+/// One node in the list.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
     pub node: NodeId,
@@ -125,12 +148,13 @@
     pub kind: u32,
     pub cell: u32,
     pub standing: Standing,
+    /// Relative capacity.
     pub size: f64,
-    /// Its last start; 0 for long ago.
+    /// Time of the last start; 0 if it was long ago.
     pub started_at: Micros,
 }
 
-/// A request as it arrives.
+/// A request when it arrives at the proxy.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: RequestId,
@@ -138,7 +162,7 @@
     pub tenant: usize,
     pub key: Option<Key>,
     pub deadline: Micros,
-    /// Expected work on a standard core, where hinted.
+    /// Expected processing time on a standard core, if the client gave a hint.
     pub work: Option<Micros>,
     pub write: bool,
 }
@@ -147,33 +171,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Served,
+    /// The node answered with an error.
     Error,
+    /// The node refused the request because it is at capacity.
     Full,
     TimedOut,
     ConnectFailed,
+    /// The connection was reset after the request was sent.
     Reset,
     Cancelled,
     NotSent,
+    /// The cache node does not have the key.
     Miss,
-    /// An answer came that makes no sense: it may have run, and nothing is learned of load.
+    /// The response was invalid: the request may have run, and the response says nothing about load.
     Spoilt,
-    /// A code this version does not know: it may have run.
+    /// A status code that this version does not know: the request may have run.
     Unknown,
 }
 
 impl Ending {
+    /// Whether the request certainly did not run at the node.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent | Self::Miss)
     }
 }
 
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
+    /// Index of the attempt within its request.
     pub number: usize,
     pub ending: Ending,
+    /// Time from the start of the attempt to its end.
     pub wait: Micros,
-    /// The request is over, by this outcome or before it.
+    /// The request has its final answer, through this outcome or an earlier event.
     pub settled: bool,
-    /// It was the first on a connection opened for it, as far as the host can tell.
+    /// The request was the first on a newly opened connection, as far as the host knows.
     pub first: bool,
 }
--- a/crates/flintwell-core/src/lib.rs
+++ b/crates/flintwell-core/src/lib.rs
@@ -1,4 +1,4 @@
-//! The core of flintwell: `interface` holds the types, `policy` every decision, `state` its records.
+//! Load-balancing decisions of flintwell: `interface` has the types, `policy` the decisions, `state` their data.
 #![forbid(unsafe_code)]
 
 pub mod interface;
