--- a/crates/flintwell-core/src/interface.rs
+++ b/crates/flintwell-core/src/interface.rs
@@ -12,8 +12,8 @@
 pub trait Host {
     /// Starts an attempt that times out after `timeout`.
     fn attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros);
-    /// Final answer: the request was refused and may be retried safely. `retry_after` is a hint for the client,
-    /// 0 for none.
+    /// Final answer: the request was refused and may be retried safely. `retry_after` is a hint for the
+    /// client, 0 for none.
     fn refuse(&mut self, request: &RequestId, retry_after: Micros);
     /// Final answer: the request may or may not have taken effect.
     fn fail(&mut self, request: &RequestId);
--- a/crates/flintwell-core/src/lib.rs
+++ b/crates/flintwell-core/src/lib.rs
@@ -1,4 +1,5 @@
-//! Load-balancing decisions of flintwell: `interface` has the types, `policy` the decisions, `state` their data.
+//! The load-balancing policy of flintwell: `interface` has its types, `policy` its decisions, `state` its
+//! data.
 #![forbid(unsafe_code)]
 
 pub mod interface;
--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -1,6 +1,6 @@
-//! Every decision of flintwell.
+//! The load-balancing policy: chooses a node for each request and decides on retries, refusals and fetches.
 //!
-//! One call for each thing that happens, on the host's clock; it answers by calling the `Host`.
+//! The host reports each event together with the current time; the policy responds through `Host`.
 
 use crate::interface::*;
 use crate::state::*;
@@ -8,79 +8,154 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-const SLOTS: usize = 8_192; // slots; room for the claims of some hundreds of nodes in 16 KB an instance
-const CLAIMS: f64 = 32.0; // slots a node of middling size claims; keeps shares within a tenth or so
-const PROBES: u64 = 4_096; // slots a key looks at for its caches at most; finds even a fleet's only one
-const RANKS: usize = 4; // caches a key's reads may ask: home, spare and two more for when those are out
-const RANKS_HOT: usize = 16; // caches that reads of a hot key take turns at, at most
-const SPILL_FLOOR: u32 = 2; // own requests in flight at the home before the spare is thought of
-const SPILL_FACTOR: f64 = 2.0; // times our mean per cache that the home must exceed as well
-const HEAT_FADE: Micros = 20_000_000; // us; how long a request counts for its key's heat: some tens of ours
-const THIN: f64 = 10.0; // own requests a cache within it; under it a cache is met every few seconds
-const HEATS: usize = 512; // counts of heat by key; far more than a proxy that needs them asks for meanwhile
-const SERVED_WINDOW: Micros = 5_000_000; // us; through mode: how long an answer vouches for a kept copy
-const MAX_KEYS: usize = 8_192; // joins; bounds memory, far above the fetches one proxy can have out
-const FIRST_SHARE: f64 = 0.125; // of the shortest latency target: assumed answer time before any was seen
-const SMOOTHING: f64 = 0.1; // weight of a new time; some ten answers make an average
-const NODE_SMOOTHING: f64 = 0.2; // the same for what is heard more seldom: one node, a second's arrivals
-const ESTIMATE_AGE: f64 = 5_000_000.0; // us; from then on one new answer counts more than all before it
-const ORIGIN_AGE: f64 = 2_000_000.0; // us; the same for the origin's answers, of which all misses depend
-const PATIENCE: f64 = 6.0; // mean deviations above the mean before an answer counts as overdue
-const PATIENCE_FLOOR: f64 = 0.3; // of the target; under this an early give-up costs more than it saves
-const BEARABLE: f64 = 0.22; // of its latency target; a node that takes so much over its least is passed over
-const FULL_USED: f64 = 0.7; // of the target; what a refusal counts for: the spare may still answer in time
-const FULL_SHARE: f64 = 0.3; // of the mean answer time; a full node is passed over while a place frees up
-const SKIP_FIRST: Micros = 300_000; // us; first spell without a suspected node: a few answer times
-const SKIP_DOUBLINGS: u32 = 4; // at most 16 times the first spell, so a node's return is seen in seconds
-const ZONE_SILENT: u32 = 3; // nodes in a row with none heard; by chance hardly, while a zone is there
-const FAULTY: f64 = 0.3; // share of a node's attempts that come to nothing; from then on each is a strike
-const FORGOTTEN: Micros = 60_000_000; // us; since a gone node's last request; far longer than any lasts
-const FETCHES_FIRST: f64 = 4.0; // fetches out; start value, before the origin's answers teach better
-const FETCHES_LEAST: f64 = 0.1; // attempts out; under one they are spaced out; many share a weak origin
-const FETCHES_CUT: f64 = 0.8; // factor on a limit at a sign of strain, at most once an answer time
-const WRITE_ROOM: f64 = 2.0; // times the limit on fetches up to which writes pass at once
-const REFUSES: f64 = 0.3; // share the origin refused lately; above it, it is sent half again what it can
-const EARNS: f64 = 0.7; // refusals that an answer of the origin pays for; beyond it only probes go there
-const EARNED_MOST: f64 = 8.0; // refusals; some by chance cost nothing
-const PROBE_DOUBLINGS: u32 = 3; // of its answer time, between probes; its return is seen within a second
-const GRANT_AHEAD: Micros = 200_000; // us; a grant's fetches may come so much before their turn, as bursts do
-const PAUSE: f64 = 0.5; // of the origin's mean answer time; before a fetch refused for a moment is made again
-const FETCH_SLOW: f64 = 3.0; // times the origin's best that its answers may take before it counts as strained
-const FETCH_BEARABLE: f64 = 0.5; // of the shortest target; quicker answers are worth having, however slow
-const CROWDED: f64 = 0.4; // of its target that a cache answer takes on the mean; above it they are crowded
-const NOT_TAKEN: f64 = 2.0; // of its latency target; what a request counts for that no cache took
-const CROWDED_SURPLUS: f64 = 0.13; // the same for surplus, which makes way well before the rest suffers
-const CONTROL: Micros = 100_000; // us; between steps of the share admitted: an answer time or so
-const STEPS_MOST: i64 = 20; // steps made up for at one answer after a silence
-const ADMIT_FALL: f64 = 0.9; // factor on the share admitted while crowded; halves it in under a second
-const ADMIT_RISE: f64 = 0.02; // added to it while not; back in full within seconds
-const ADMIT_LEAST: f64 = 0.05; // some must go on, or nothing is learned any more
-const BEST_DRIFT: f64 = 1.01; // growth of the best known time an answer, so that an old best is forgotten
-const ORIGIN_DRIFT: f64 = 1.001; // the same for the origin, whose strain may last for hundreds of answers
-const TURN: Micros = 250_000; // us; a proxy's turn at a fresh node, long enough for keys to settle
-const TURN_GROUPS: u32 = 4; // of hundreds of proxies, each with its turn; a quarter is about a cold share
-const TURNS_SHARE: f64 = 0.25; // of the ramp time: how long proxies take turns at a fresh node
-const HELD: f64 = 2.0; // requests a core that a node holds while it still answers well within a target
-const LEAVE_MOST: f64 = 2.0; // the most by which one list divides the share of reads that a node keeps
-const LEAVE_FALL: f64 = 0.05; // added to it by a list with less; back in full within some lists
-const SPEED_SMOOTHING: f64 = 0.005; // weight of a new answer time of a kind; hundreds make an average
-const SPEED_KNOWN: u32 = 100; // answers of a kind before it is told from others
-const SPEED_STEPS: f64 = 4.0; // steps for a factor of two in speed, which is the most that counts
-const SPEED_MARGIN: f64 = 0.75; // steps off before a kind's changes
-const COPY_PRICE: f64 = 0.012; // of a request's worth; what one more copy of all keys costs in misses
-const COLD_ROOM: f64 = 1.5; // times the share that caches take, where cold ones get first choices only
-const COLD_MARGIN: f64 = 1.2; // times its part that a cold node may get of ours; it takes twice that
-const LIST_SPREAD: Micros = 30_000; // us a proxy; over which the first calls for the list come
-const LIST_FIRST: f64 = 0.8; // of the time to ask within, over which they come at most
-const LIST_FIRST_MOST: Micros = 5_800_000; // us; the same: a change counts as told 6 s after discovery had it
-const LIST_RETRY: Micros = 700_000; // us; first wait after a failed call for the list
-const LIST_RETRY_MOST: u32 = 2; // doublings of that wait; a change counts as told 6 s after it could be
-const STAY_AWAY: Micros = 500_000; // us; advice with a refusal: about a queue's drain time
-const ALLOWANCE_LEAST: f64 = 5.0; // requests an allowance holds at least: a part may be under one a second
-const SHARE_ROOM: f64 = 1.3; // times our part of a share that passes as within it, as parts are guesses
-const WAKE: u64 = 0; // the one timer label
-
-/// One instance of the decision module.
+/// Slots in a slot table: enough for the claims of some hundred nodes, in 16 KB.
+const SLOTS: usize = 8_192;
+/// Slots claimed by a node of average weight; keeps the nodes' shares within about 10% of each other.
+const CLAIMS: f64 = 32.0;
+/// Slots examined at most to find a key's caches; enough to find the only cache of a fleet.
+const PROBES: u64 = 4_096;
+/// Caches that reads of a key may try: home, spare and two more for when those are unavailable.
+const RANKS: usize = 4;
+/// Caches among which reads of a hot key are spread at most.
+const RANKS_HOT: usize = 16;
+/// In-flight requests of this proxy at the home below which the spare is not considered.
+const SPILL_FLOOR: u32 = 2;
+/// The home must also exceed this multiple of the proxy's mean per cache before the spare is considered.
+const SPILL_FACTOR: f64 = 2.0;
+/// Decay time of the request counts per key; the proxy sends some tens of requests within it.
+const HEAT_FADE: Micros = 20_000_000;
+/// Requests per cache within `HEAT_FADE` below which a proxy's traffic is sparse: it then uses a given cache
+/// only every few seconds.
+const THIN: f64 = 10.0;
+/// Counters of requests by key; far more than the keys that a proxy with sparse traffic requests meanwhile.
+const HEATS: usize = 512;
+/// Read-through mode: how long after an answer the cache is assumed to hold the key.
+const SERVED_WINDOW: Micros = 5_000_000;
+/// Bounds memory; far above the number of fetches that one proxy can have in flight.
+const MAX_KEYS: usize = 8_192;
+/// Answer time assumed before the first answer, as a fraction of the shortest latency target.
+const FIRST_SHARE: f64 = 0.125;
+/// EWMA weight of a new sample; averages over about ten samples.
+const SMOOTHING: f64 = 0.1;
+/// EWMA weight for less frequent samples, such as those of one node.
+const NODE_SMOOTHING: f64 = 0.2;
+/// Age from which one new sample counts more than all earlier ones.
+const ESTIMATE_AGE: f64 = 5_000_000.0;
+/// The same for the origin's answer times; shorter, as all misses depend on them.
+const ORIGIN_AGE: f64 = 2_000_000.0;
+/// Mean deviations above the mean answer time after which an attempt times out.
+const PATIENCE: f64 = 6.0;
+/// Shortest time-out as a fraction of the latency target; a shorter one costs more than it saves.
+const PATIENCE_FLOOR: f64 = 0.3;
+/// Fraction of the latency target by which a node's mean answer time may exceed its minimum; slower nodes are
+/// passed over.
+const BEARABLE: f64 = 0.22;
+/// Fraction of the latency target that a refusal counts as: the spare may still answer in time.
+const FULL_USED: f64 = 0.7;
+/// Fraction of the mean answer time for which a full node is passed over, until it has a free place again.
+const FULL_SHARE: f64 = 0.3;
+/// First ejection of a failing node; a few answer times.
+const SKIP_FIRST: Micros = 300_000;
+/// Ejections last at most 16 times the first one, so that a node's recovery is noticed within seconds.
+const SKIP_DOUBLINGS: u32 = 4;
+/// Nodes of a zone that fall silent in a row before the zone is ejected; unlikely while it is reachable.
+const ZONE_SILENT: u32 = 3;
+/// Fraction of a node's attempts that fail from which each failure ejects the node.
+const FAULTY: f64 = 0.3;
+/// Time after the last request to a removed node until its record is reused; far longer than any request.
+const FORGOTTEN: Micros = 60_000_000;
+/// Limit on concurrent fetches until the origin's answers adjust it.
+const FETCHES_FIRST: f64 = 4.0;
+/// Below a limit of 1, fetches are spaced out in time, since many proxies may share a weak origin.
+const FETCHES_LEAST: f64 = 0.1;
+/// Factor on the fetch limit at a sign of overload, at most once per answer time.
+const FETCHES_CUT: f64 = 0.8;
+/// Multiple of the fetch limit up to which writes are sent without queueing.
+const WRITE_ROOM: f64 = 2.0;
+/// Fraction of recent requests that the origin refused above which refused fetches are not retried. The
+/// origin then gets half again as many requests as it can serve.
+const REFUSES: f64 = 0.3;
+/// Refusals that one answer of the origin pays for; without credit, only probes are sent.
+const EARNS: f64 = 0.7;
+/// Limit on the credit; lets a few occasional refusals cost nothing.
+const EARNED_MOST: f64 = 8.0;
+/// Doublings of the time between probes, which starts at the origin's mean answer time; a recovered origin is
+/// noticed within a second.
+const PROBE_DOUBLINGS: u32 = 3;
+/// How far ahead of the granted rate's schedule a fetch may be sent, as fetches come in bursts.
+const GRANT_AHEAD: Micros = 200_000;
+/// Fraction of the origin's mean answer time before a refused fetch is retried.
+const PAUSE: f64 = 0.5;
+/// The origin counts as overloaded when its answers take this many times as long as at its best.
+const FETCH_SLOW: f64 = 3.0;
+/// Fraction of the shortest latency target within which the origin's answers never count as slow.
+const FETCH_BEARABLE: f64 = 0.5;
+/// Mean fraction of the latency target that cache answers use, above which the caches are overloaded.
+const CROWDED: f64 = 0.4;
+/// Fraction of the latency target recorded for a request that no cache accepted.
+const NOT_TAKEN: f64 = 2.0;
+/// Like `CROWDED`, for requests beyond a tenant's quota: they are shed well before the others suffer.
+const CROWDED_SURPLUS: f64 = 0.13;
+/// Time between steps of the admitted fractions; about one answer time.
+const CONTROL: Micros = 100_000;
+/// Steps made up for at most at one answer after a time without answers.
+const STEPS_MOST: i64 = 20;
+/// Factor on the admitted fraction per step during overload; halves it in under a second.
+const ADMIT_FALL: f64 = 0.9;
+/// Added to the admitted fraction per step otherwise; restores it within seconds.
+const ADMIT_RISE: f64 = 0.02;
+/// Some requests must always be admitted: without answers the end of an overload goes unnoticed.
+const ADMIT_LEAST: f64 = 0.05;
+/// Growth of a node's minimum answer time per answer, so that an outdated minimum is forgotten.
+const BEST_DRIFT: f64 = 1.01;
+/// The same for the origin, whose overload may last for hundreds of answers.
+const ORIGIN_DRIFT: f64 = 1.001;
+/// Length of a proxy's turn at a newly started node; long enough for its keys to be cached there.
+const TURN: Micros = 250_000;
+/// Groups of proxies that take turns in a fleet of hundreds; a quarter is about a cold node's share.
+const TURN_GROUPS: u32 = 4;
+/// Fraction of the ramp time in which proxies take turns at a newly started node.
+const TURNS_SHARE: f64 = 0.25;
+/// Requests per core that a node holds while it still answers well within a latency target.
+const HELD: f64 = 2.0;
+/// Largest factor by which one list update reduces the fraction of reads that a node keeps.
+const LEAVE_MOST: f64 = 2.0;
+/// Added to that fraction by an update that reports less load; restores it after some updates.
+const LEAVE_FALL: f64 = 0.05;
+/// EWMA weight of a sample for a kind's speed; averages over hundreds of answers.
+const SPEED_SMOOTHING: f64 = 0.005;
+/// Answers of a kind needed before its speed is used.
+const SPEED_KNOWN: u32 = 100;
+/// Steps per factor of two in speed, which is also the largest factor taken into account.
+const SPEED_STEPS: f64 = 4.0;
+/// Steps by which a kind's speed must differ from its current level before the level changes.
+const SPEED_MARGIN: f64 = 0.75;
+/// Cost in misses of one more copy of all keys, in units of a request's worth.
+const COPY_PRICE: f64 = 0.012;
+/// Factor on the fraction of requests that caches accept; used where cold nodes get first choices only.
+const COLD_ROOM: f64 = 1.5;
+/// Multiple of its fair share that a cold node may get from this proxy; it withstands twice that.
+const COLD_MARGIN: f64 = 1.2;
+/// Time per proxy of the fleet over which the first list requests are spread.
+const LIST_SPREAD: Micros = 30_000;
+/// Bounds that spread, as a fraction of the time limit for requesting the list.
+const LIST_FIRST: f64 = 0.8;
+/// Bounds that spread, too: a proxy is expected to know a change 6 s after discovery had it.
+const LIST_FIRST_MOST: Micros = 5_800_000;
+/// Delay before a failed list request is retried for the first time.
+const LIST_RETRY: Micros = 700_000;
+/// Doublings of that delay; a proxy is expected to know a change 6 s after it could be fetched.
+const LIST_RETRY_MOST: u32 = 2;
+/// Retry-after hint of a refusal; about the time in which a queue drains.
+const STAY_AWAY: Micros = 500_000;
+/// Tokens that a tenant's bucket holds at least: a proxy's part of a quota may be below one request a second.
+const ALLOWANCE_LEAST: f64 = 5.0;
+/// Factor on the proxy's part of a quota up to which requests are within it, as the parts are estimates.
+const SHARE_ROOM: f64 = 1.3;
+/// The only timer label in use.
+const WAKE: u64 = 0;
+
+/// The decision module of one proxy.
 pub struct Policy<H: Host> {
     host: H,
     rng: ChaCha8Rng,
@@ -92,7 +167,7 @@
     kinds: BTreeMap<u32, Kind>,
     speeds: Average,
     places: Places,
-    /// Each place's own, so that homes in it are alike everywhere.
+    /// One table per node filter, so that all proxies agree on the homes of its keys.
     slots: Vec<Slots>,
     caches: Caches,
     origin: Origin,
@@ -104,10 +179,11 @@
 }
 
 impl<H: Host> Policy<H> {
-    /// A fresh instance; the kept list follows by `list`.
+    /// Creates an instance without nodes; a stored list, if any, follows as a list update.
     pub fn start(now: Micros, settings: Settings, seed: u64, host: H) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Danger: a fleet that starts as one asks as one; each call late in the queue fails, and comes again.
+        // A fleet that starts at once would request the list at once; requests late in the service's queue
+        // fail and are repeated. The first requests are therefore spread over time.
         let most = ((settings.ask_within as f64 * LIST_FIRST) as Micros).min(LIST_FIRST_MOST);
         let spread = rng.random_range(0..=most.min(LIST_SPREAD * i64::from(settings.fleet_size)));
         let shortest = shortest_target(&settings);
@@ -135,10 +211,10 @@
         }
     }
 
-    /// Other settings from now on; names that they share keep their places. What was learned stays, and the
-    /// list is told next. Danger: a fleet that forgets its origin's limit at a change strains it as one.
+    /// Switches to other settings, in which classes and tenants keep their indices; the list must follow.
+    /// Learned estimates are kept: a fleet that reset its fetch limits would overload the origin at once.
     pub fn change(&mut self, now: Micros, mut settings: Settings) {
-        // Those in hand end under what they began with; their classes stand behind the new ones meanwhile.
+        // Requests in progress finish under their old class, which is appended after the new ones.
         self.origin.bearable = shortest_target(&settings) * FETCH_BEARABLE;
         let cases = &mut settings.classes;
         let in_hand: BTreeSet<usize> = self.requests.values().map(|request| request.class).collect();
@@ -155,7 +231,7 @@
         self.upkeep(now);
     }
 
-    /// A client's request arrives.
+    /// Decides on a request that has arrived.
     pub fn request_arrives(&mut self, now: Micros, arrival: Arrival) {
         let Some(case) = self.settings.classes.get(arrival.class) else {
             return self.host.fail(&arrival.id);
@@ -175,7 +251,8 @@
         } else if write {
             self.write_passes(now, &id, &key);
         } else if shut && (late || self.target(now, &id).is_none_or(|n| n.target_used.mean >= CROWDED)) {
-            // Danger: crowded nodes answer late; by the mean a few hot ones would shut idle ones, too.
+            // Overloaded nodes answer late. The mean over all caches alone would let a few hot nodes shut out
+            // reads that idle nodes could serve, so the target node must be overloaded, too.
             if self.may_fetch(now) { self.fetch(now, &id) } else { self.give_up(now, &id) }
         } else if self.settings.aside {
             self.ask_cache(now, &id);
@@ -184,20 +261,22 @@
         }
     }
 
-    /// An attempt ended.
+    /// Learns from an attempt that has ended, and decides how its request goes on.
     pub fn outcome(&mut self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
         let Some(node) = self.nodes.find(node) else { return };
         let target = self.requests.get(id).map(|a| self.settings.classes[a.class].latency_target as f64);
         self.observe(now, node, &outcome, target);
-        // Danger: what hundreds keep open fills a node's table, or an origin's. What hardly pays is cut.
+        // The idle connections of hundreds of proxies fill the connection table of a node or an origin.
+        // Connections that are used too seldom to be worth their cost are closed.
         let worth = self.settings.connection_price * f64::from(self.settings.fleet_size);
         let asked = self.nodes[node].asked.now(now, HEAT_FADE) - 1.0;
         let full = self.of_origin(node) && now < self.origin.full_until;
         if full || worth > 1.0 && !self.of_origin(node) && asked < worth * self.mean_heat(now) {
             self.host.close_idle(&self.nodes[node].entry.node);
         }
-        // Danger: a list that tells no speeds has slow kinds drown in their part while fast ones idle. Steps
-        // are coarse, so that all proxies come to one table, and homes hardly move.
+        // If the list does not reflect speed, nodes of a slow kind are overloaded by their share while those
+        // of a fast kind idle. Steps are coarse, so that all proxies build the same table and homes rarely
+        // move.
         if outcome.ending == Ending::Served && !self.of_origin(node) && self.settings.sizes != Sizes::Live {
             let all = self.speeds.learn(outcome.wait, SPEED_SMOOTHING);
             let kind = self.kinds.entry(self.nodes[node].entry.kind).or_default();
@@ -208,12 +287,13 @@
             }
         }
         let attempt = self.requests.get_mut(id).and_then(|a| a.attempts.get_mut(outcome.number));
-        // A late answer of a request that is over only teaches, and makes room at the origin.
+        // A late answer to a finished request only updates estimates and frees capacity at the origin.
         if attempt.is_some_and(|h| h.ending.replace(outcome.ending).is_none()) {
             match outcome.ending {
                 ending if outcome.settled => self.finish(now, id, ending == Ending::Served, node),
                 Ending::Miss => self.missed(now, id, node),
-                // Danger: an origin at its limit would be asked again by all; a spoilt answer tells of none.
+                // Repeating every failed fetch would overload an origin at its limit. An invalid response or
+                // a reset does not indicate overload.
                 Ending::Spoilt | Ending::Reset if Some(node) == self.origin.node => self.fetch(now, id),
                 Ending::Full if Some(node) == self.origin.node => self.fetch_again(now, id, outcome.first),
                 _ if Some(node) == self.origin.node => self.give_up(now, id),
@@ -226,7 +306,7 @@
         self.arm();
     }
 
-    /// The client has left, its answer has begun to stream, or it is over otherwise; nothing more is owed.
+    /// The request needs no answer any more: the client has left, or its response has begun to stream.
     pub fn request_gone(&mut self, now: Micros, id: &RequestId) {
         let next = self.next_lead(id);
         self.finish(now, id, false, 0);
@@ -234,10 +314,11 @@
         self.arm();
     }
 
-    /// The list, or a part of it.
+    /// Takes in the node list or a part of it.
     pub fn list(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
         if kind == ListKind::Failed {
-            // Danger: all instances calling at once, and again at once, keep the list service overbooked.
+            // Instances that request the list at once and retry at once keep the list service overloaded;
+            // retries back off with jitter.
             let wait = (LIST_RETRY << self.list_failures.min(LIST_RETRY_MOST)) as f64;
             let at = now + (wait * self.rng.random_range(0.5..1.5)) as Micros;
             self.list_failures += 1;
@@ -257,6 +338,7 @@
         self.upkeep(now);
     }
 
+    /// The timer with this label has fired.
     pub fn timer(&mut self, now: Micros, label: u64) {
         if label == WAKE && now >= self.next_wake {
             self.next_wake = Micros::MAX;
@@ -264,8 +346,8 @@
         }
     }
 
-    /// Fetches a second that the fleet grants us at the origin from now on; none: no limit. Answers how many
-    /// requests were to be fetched there so far, whether or not it had room.
+    /// Sets the rate of fetches per second that the fleet grants this proxy at the origin; `None` for no
+    /// limit. Returns how many fetches have been requested so far, sent or not.
     pub fn granted(&mut self, now: Micros, rate: Option<f64>) -> u64 {
         self.origin.apart = rate.map_or(0, |rate| (1e6 / rate.max(1e-3)) as Micros);
         self.origin.turn = self.origin.turn.min(now + GRANT_AHEAD + self.origin.apart);
@@ -274,17 +356,17 @@
         self.origin.wanted
     }
 
-    /// Caches that fell silent to us and were not heard since.
+    /// Caches that stopped answering this proxy and have not answered since.
     pub fn silent(&self) -> Vec<NodeId> {
         self.nodes.silent(self.settings.origin_kind)
     }
 
-    /// Others found it silent and try it until then, or, if that is past, had an answer.
+    /// Another proxy probes this silent node until then, or, if that is past, got an answer from it.
     pub fn tried_by_others(&mut self, node: &NodeId, until: Micros) {
         self.nodes.put_off(node, until);
     }
 
-    /// How many listed caches it avoids now, by the list's word or by its own; nothing changes by asking.
+    /// Number of listed caches that are passed over now, because they drain or were ejected.
     pub fn avoided(&self, now: Micros) -> usize {
         (0..self.nodes.len()).filter(|&n| !self.of_origin(n) && self.nodes[n].avoided(now)).count()
     }
@@ -293,11 +375,12 @@
         self.nodes.find(node).is_some_and(|n| self.of_origin(n))
     }
 
-    /// Takes in an entry, and tells whether the slots stay as they are.
+    /// Applies a list entry; returns whether the slot tables stay valid.
     fn enter(&mut self, now: Micros, mut entry: Entry) -> bool {
         let told = if entry.size > 0.0 && entry.size.is_finite() { entry.size } else { 0.0 };
-        // Danger: a weight that moves with load, taken for a size, moves all keys at each list, and everyone
-        // from one node together. Its most is the size, and of many nodes of a kind some are always idle.
+        // A live weight falls with load. Used as the capacity, it would move keys at every list update, and
+        // all proxies away from a node together. The largest weight listed for the kind is the capacity: of
+        // many nodes of a kind, some are always idle.
         let kind = self.kinds.entry(entry.kind).or_default();
         kind.most = kind.most.max(told);
         entry.size = match self.settings.sizes {
@@ -306,8 +389,8 @@
             _ => 1.0,
         };
         let node = self.nodes.of(&entry.node, now, FORGOTTEN);
-        // Danger: one told as started long ago may be cold. It counts as started as late as it may have been,
-        // but not after it was first told.
+        // Listed start times may be off, so a node listed as started long ago may still be cold. It counts as
+        // started at the latest time possible, but no later than when that start was first listed.
         let told_start = std::mem::replace(&mut node.told_start, entry.started_at);
         if entry.started_at > 0 && self.settings.start_drift > 0 {
             let latest = (entry.started_at + self.settings.start_drift).min(now);
@@ -318,11 +401,12 @@
         let same = (old.standing, old.size, old.kind, old.zone)
             == (entry.standing, entry.size, entry.kind, entry.zone);
         if entry.started_at != node.entry.started_at {
-            // Danger: a node that came back looks like the old one by its id, but is empty and cold.
+            // A restarted node has the same id as before, but its cache is empty.
             (node.strikes, node.skip_until, node.sent) = (0, 0, Pace::default());
         }
-        // Danger: of hundreds each meets a node twice a minute and learns of its crowd when that is over. The
-        // list tells all alike; so they leave by shares and by lot, or they would come and go as one.
+        // In a fleet of hundreds, each proxy uses a node about twice a minute and notices its overload only
+        // when that is over, so the load in the list is used. All proxies see the same list: each moves away
+        // a random part of its reads, or all would leave and return together.
         if self.settings.sizes == Sizes::Live && told > 0.0 {
             node.left(entry.size / told - 1.0, HELD, LEAVE_MOST, LEAVE_FALL);
         }
@@ -330,8 +414,9 @@
         same
     }
 
-    /// Built alike everywhere from the sorted ready caches; each claims slots by its id, so that only keys
-    /// of one that comes or goes move. Danger: to rank all by all at each change leaves hundreds no time.
+    /// Rebuilds the slot tables from the ready caches in the order of their ids, alike on every proxy. Nodes
+    /// claim slots by a hash of their id, so that only keys of added or removed nodes move. Ranking every
+    /// node for every key instead would take too long with hundreds of nodes.
     fn build_slots(&mut self) {
         let mut ready: Vec<usize> = (0..self.nodes.len()).filter(|&n| self.is_cache(n)).collect();
         ready.sort_by(|&a, &b| self.nodes[a].entry.node.cmp(&self.nodes[b].entry.node));
@@ -343,7 +428,7 @@
         }
         self.caches.ready = ready.len();
         self.caches.size = ready.iter().map(|&n| self.nodes[n].size).sum();
-        // Sizes have no unit; a power of two near the mean of those listed hardly ever moves.
+        // Weights have no unit. They are scaled by a power of two near their mean, which rarely changes.
         let listed: f64 = ready.iter().map(|&n| self.nodes[n].entry.size).sum();
         let unit = (listed / ready.len().max(1) as f64).max(1e-9).log2().round().exp2();
         let claims = |n: usize| (CLAIMS * (self.nodes[n].size / unit).min(8.0)).ceil() as u64;
@@ -354,7 +439,8 @@
         self.slots = (0..self.places.count()).map(table).collect();
     }
 
-    /// Whether our part of each cache's traffic is small: then refusals come by chance, our own say little.
+    /// Whether this proxy sends only a small part of each cache's traffic. Refusals are then due to chance,
+    /// and its own requests in flight say little about a cache's load.
     fn thin(&self, now: Micros) -> bool {
         self.settings.fleet_size as usize > self.caches.ready || self.mean_heat(now) < THIN
     }
@@ -371,10 +457,12 @@
         self.nodes[n].entry.standing == Standing::Ready && !self.of_origin(n)
     }
 
-    /// Whether a cache node may get a request of this slot now.
+    /// Whether a cache node may get a request now. A cold node accepts a fraction of the values of `lot`, and
+    /// nothing without one.
     fn takes(&self, now: Micros, n: usize, lot: Option<u64>) -> bool {
         let node = &self.nodes[n];
-        // Danger: a node that comes back wrongly trusted swallows a burst; one request at a time is risked.
+        // A burst sent to a node that still does not answer would be lost. After an ejection only one request
+        // at a time is sent, until the node has answered.
         let zone = self.zones.get(&node.entry.zone).is_none_or(|z| now >= z.tried_at + z.spell);
         let trusted = zone && now >= node.skip_until && (node.strikes == 0 || node.in_flight == 0);
         let warmth = node.warmth(now, self.settings.start_capacity, self.settings.ramp_time);
@@ -382,28 +470,31 @@
         self.is_cache(n) && trusted && (warmth >= 1.0 || cold_takes())
     }
 
-    /// Danger: a cold node gets all its keys, or the origin all its misses, at once. It gets slots
-    /// as it warms, in the proxies' turns while fresh, and never more than a like warm node could do.
+    /// Slow start for a cold node: all its keys at once would overload the node, and their misses the origin.
+    /// It gets keys in proportion to its warmth, from the proxies in turn at first, and never more requests
+    /// than a warm node of its capacity would get.
     fn cold_takes(&self, now: Micros, n: usize, lot: u64, warmth: f64) -> bool {
         let node = &self.nodes[n];
         let turns = (self.settings.ramp_time as f64 * TURNS_SHARE) as Micros;
         let fresh = node.age(now) < turns;
-        // Turns by number: each has its own where proxies are few, else as many as the cold share lets in do.
+        // Turns go by proxy number: one proxy at a time in a small fleet, else a group of proxies.
         let most = if self.thin(now) { TURN_GROUPS } else { self.settings.fleet_size };
         let groups = ((turns / TURN) as u32).min(most).max(1);
         let turn = (now / TURN) as u32 % groups == self.settings.index % groups;
-        // In an overload warm nodes are sent too much, and misses cost little: what they took counts.
+        // In an overload, warm nodes are sent more than they can accept, so the accepted requests count.
         let lately = |pace: &Pace| pace.now(now, self.settings.fall);
         let (taken, sent) = (lately(&self.caches.taken), lately(&self.caches.sent));
-        // Danger: by what warm ones could not take, as many cold ones of a large fleet stood idle. There they
-        // get first choices only, and nothing that others refused: in step with arrivals, not refusals.
+        // Reducing the share by what warm nodes refused left cold nodes idle in large fleets. There, cold
+        // nodes get first choices only and nothing that other nodes refused, so their load follows the
+        // arrivals and the share may be larger.
         let part = warmth * (if self.thin(now) { COLD_ROOM } else { 1.0 } * taken / sent.max(1.0)).min(1.0);
         if unit(mix(node.id_hash ^ lot)) > part || fresh && !turn {
             return false;
         }
         let fair = taken / self.caches.size.max(1.0);
-        // Danger: one let through by each of thirty is thirty; so a part of one is had in as many turns,
-        // which all draw alike. Of hundreds each meets a cold node by chance alone, and lots hold that down.
+        // One request allowed by each of thirty proxies makes thirty. A limit below one is therefore met by
+        // allowing one request in a matching part of the time windows, drawn by hash. With sparse traffic,
+        // each proxy reaches a cold node only by chance, and the share above limits that.
         let most = COLD_MARGIN * fair * node.size * warmth;
         let turn = unit(draw(
             node.id_hash ^ u64::from(self.settings.index),
@@ -416,29 +507,32 @@
         self.choose(now, self.requests.get(id)?).ok().map(|n| &self.nodes[n])
     }
 
-    /// The home, or the spare when the home has more than its part of our own requests in flight. An
-    /// error of false: the origin may stand in for them, as none takes the key at all or the origin has room.
+    /// Chooses the home, or the spare if the home has more than its part of this proxy's requests in flight.
+    /// `Err(false)` allows a fetch instead: no cache accepts the key at all, or the origin has room.
     fn choose(&self, now: Micros, request: &Request) -> Result<usize, bool> {
-        // Danger: the spare may lack the key; with no room at the origin its miss would become a refusal.
+        // The spare may lack the key. While the origin has no room, that miss would end in a refusal.
         let room = self.origin.node.is_none_or(|o| self.origin_has_room(now, o, false));
-        // Danger: hundreds of proxies each have none of their own in flight at a hot key's home, which all
-        // crowd together. What we asked lately stands for it: such a key's reads take turns at more ranks.
+        // Hundreds of proxies overload the home of a hot key together while each has hardly a request in
+        // flight there. The proxy's recent requests for the key show that instead: reads of a key that it
+        // requests often are spread over more caches.
         let thin = self.thin(now);
         let own = self.heat.of(request.slot).now(now, HEAT_FADE);
         let mean = self.mean_heat(now);
         let hot = thin && own >= f64::from(SPILL_FLOOR) && own > SPILL_FACTOR * mean;
         let reach = if hot { (own / mean).ceil().min(RANKS_HOT as f64) as usize } else { 1 };
-        // Their refusals come by chance, from nodes that are free a moment later, unless all are crowded.
+        // With sparse traffic, refusals are due to chance and the node is free a moment later, unless all
+        // caches are overloaded. More ranks are then tried.
         let open = room && thin && self.caches.admit.now >= 1.0;
         let deep = if open { RANKS } else { 1 + usize::from(room) };
-        // Danger: a cold node is pushed over by a hot key, which alone brings as much as its others, or by
-        // what others refused. It gets a part of the keys by slots; where each of many asks for a key too
-        // seldom to know it for hot, a part of the reads by a lot of their own.
+        // A hot key brings as much load as all other keys of a cold node, and would overload it, as would
+        // requests that other nodes refused. A cold node gets neither. It gets a fraction of its keys; with
+        // sparse traffic, where a proxy cannot tell which keys are hot, a random fraction of its reads.
         let lot = if thin { request.turn } else { request.slot };
         let takes = |&(rank, n): &(usize, usize)| self.takes(now, n, (rank == 0 && !hot).then_some(lot));
         let slots = self.slots.get(self.places.of(request.class)).ok_or(false)?;
         let mut ranks: Vec<usize> = slots.ranks::<RANKS_HOT>(request.slot, PROBES).collect();
-        // Our home is the key's first cache in our zone, where crossings cost more than a copy in each zone.
+        // If cross-zone attempts cost more than a copy in each zone, the home is the key's first cache in
+        // this zone, and the spare the first one elsewhere.
         let near = |&n: &usize| self.nodes[n].entry.zone == self.settings.zone;
         if self.settings.cross_price > COPY_PRICE * f64::from(self.settings.zones) {
             let (home, spare) = (ranks.iter().copied().find(near), ranks.iter().copied().find(|n| !near(n)));
@@ -449,20 +543,22 @@
         let turns = reach.min(there.len());
         let first = &mut there[..turns];
         first.rotate_left(request.turn as usize % first.len().max(1));
-        // Where several hold the key, one nearby answers sooner and crosses no zones.
+        // If several caches hold the key, one in this zone answers sooner and costs no cross-zone attempt.
         first.sort_by_key(|&n| self.nodes[n].entry.zone != self.settings.zone);
         let bearable = self.settings.classes[request.class].latency_target as f64 * BEARABLE;
         let mut open = there.iter().copied().filter(|&n| {
             let node = &self.nodes[n];
-            // Danger: by the way to another zone alone an idle node seems crowded. Hundreds know no least.
+            // The network latency to another zone would make an idle node look overloaded, so the node's
+            // minimum is subtracted. With sparse traffic, the minimum is not known well enough.
             let slow = node.time.mean - if thin { 0.0 } else { node.least };
-            // Danger: a crowded node is sent more than it answers in time; one tries with none of ours out,
-            // of hundreds only as many as its time allows.
+            // An overloaded node would get more than it can answer in time. It is only probed while this
+            // proxy has no request in flight there, and the less often the slower it is.
             let tries = || node.in_flight == 0 && unit(draw(request.turn, n as u64)) < bearable / slow;
             let left = unit(draw(request.turn, !(n as u64))) < node.leave;
             !request.tried(n) && now >= node.full_until && !left && (slow < bearable || tries())
         });
-        // Danger: what finds two busy nodes is lost to a moment's crowd while an idle origin could answer it.
+        // A request that finds both its nodes busy for a moment must not be refused while the origin has
+        // room.
         let home = open.next().ok_or(!there.is_empty() && !room)?;
         let load = self.nodes[home].in_flight;
         let mean = f64::from(self.caches.in_flight) / self.caches.ready.max(1) as f64;
@@ -477,7 +573,7 @@
         let fetches = self.settings.aside && !request.write;
         let last = request.attempts.len() + 1 == request.attempts_most;
         match self.choose(now, request) {
-            // Danger: a miss that draws the last attempt has none left for the fetch.
+            // A miss on the last attempt would leave none for the fetch.
             Ok(_) if last && fetches && self.may_fetch(now) => self.fetch(now, id),
             Ok(node) => self.attempt(now, id, node),
             Err(false) if fetches => self.fetch(now, id),
@@ -488,7 +584,8 @@
         }
     }
 
-    /// Writes pass at once; they end the key's join and served window. Those held join the fetch made after.
+    /// Sends a write at once. It ends the key's coalesced fetch and served window; waiting reads join the
+    /// fetch made after it.
     fn write_passes(&mut self, now: Micros, id: &RequestId, key: &Key) {
         let join = self.joins.remove(key).unwrap_or_default();
         self.alone(now, id);
@@ -515,7 +612,7 @@
         }
     }
 
-    /// Aside mode: the first miss leads, later ones follow.
+    /// Handles a miss. In cache-aside mode, the first miss of a key leads the fetch and later ones follow it.
     fn missed(&mut self, now: Micros, id: &RequestId, node: usize) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.missed_at = Some(node);
@@ -538,7 +635,7 @@
         }
     }
 
-    /// Holds the request until the leader is done, or goes alone with half of its useful time left.
+    /// Lets the request wait for the key's leader; it proceeds alone once half of its useful time has passed.
     fn follow(&mut self, now: Micros, id: &RequestId, key: Key) {
         let Some(request) = self.requests.get(id) else { return };
         let release = request.arrived + (request.useful_until - request.arrived) / 2;
@@ -551,7 +648,8 @@
         }
     }
 
-    /// Danger: those held for one whose client has left would each fetch the key; the first of them leads on.
+    /// Makes the first follower the leader when the leader's client has left. Otherwise each follower would
+    /// fetch the key.
     fn next_lead(&mut self, id: &RequestId) -> Option<RequestId> {
         let join =
             self.joins.get_mut(&self.requests.get(id)?.key).filter(|j| j.leader.as_ref() == Some(id))?;
@@ -567,7 +665,7 @@
         if self.settings.aside { self.fetch(now, id) } else { self.ask_cache(now, id) }
     }
 
-    /// Whether the origin may get one more: writes have more room than fetches.
+    /// Whether one more request may be sent to the origin. Writes have a higher limit than fetches.
     fn origin_has_room(&self, now: Micros, origin: usize, write: bool) -> bool {
         let most = self.origin.most * if write { WRITE_ROOM } else { 1.0 };
         let free = most >= 1.0 && self.origin.earned > 0.0;
@@ -579,7 +677,7 @@
         self.settings.aside && self.origin.node.is_some_and(|o| self.origin_has_room(now, o, false))
     }
 
-    /// To the origin, now or when one of those out has ended.
+    /// Sends the request to the origin, or queues it until the origin has room.
     fn fetch(&mut self, now: Micros, id: &RequestId) {
         let Some(origin) = self.origin.node else { return self.give_up(now, id) };
         self.origin.wanted += 1;
@@ -588,7 +686,8 @@
         if self.origin_has_room(now, origin, write) {
             return self.attempt(now, id, origin);
         }
-        // Danger: an origin that goes on with work nobody waits for stays full of it, repeated writes too.
+        // The origin completes requests whose clients have given up, and would stay busy with them and their
+        // retries, also of writes. A request that cannot be answered in time is not queued.
         let ahead = if write { 1.0 } else { (self.origin.queue.len() + 1) as f64 } / self.origin.pace();
         if now + expected + (expected as f64 * ahead) as Micros > until {
             return self.give_up(now, id);
@@ -598,14 +697,15 @@
         self.hold(id, Role::Queued, until - expected);
     }
 
-    /// Danger: an origin full for a moment cost each request that it refused, though it had room soon after.
-    /// One that refuses many is left alone. The pause differs, so that those refused together come apart.
+    /// Retries a fetch that the origin refused. Without retries, each request refused by an origin that is
+    /// full for a moment would be lost. An origin that refuses many gets no retries. The delay is random, so
+    /// that fetches refused together are not retried together.
     fn fetch_again(&mut self, now: Micros, id: &RequestId, first: bool) {
         let out = self.origin.node.map_or(0, |o| self.nodes[o].in_flight);
         self.origin.full_until = if first { now + ESTIMATE_AGE as Micros } else { self.origin.full_until };
         if first && out > 0 {
-            // Danger: a table full of a hundred proxies' connections takes no more of them, however idle the
-            // origin is. What we hold there is our limit, until answers let us try for one more.
+            // The origin's connection table is full of the connections of many proxies: it accepts no more,
+            // however idle it is. The requests in flight become the limit until answers raise it again.
             self.origin.most = self.origin.most.min(f64::from(out));
             return self.fetch(now, id);
         }
@@ -631,13 +731,15 @@
         }
     }
 
-    // The rules, checked at one place just before an attempt or a refusal.
+    /// Whether the rules allow an attempt at this node now: deadline, number of attempts, node filter and
+    /// idempotency. Checked directly before each attempt.
     fn may_attempt(&self, now: Micros, request: &Request, n: usize) -> bool {
         let case = &self.settings.classes[request.class];
         let node = &self.nodes[n];
         let over = now >= request.deadline || request.attempts.len() >= request.attempts_most;
         let out = request.attempts.iter().any(|h| h.ending.is_none());
-        // Danger: a follower is handed to the cache that its leader missed at, which may be closed to it.
+        // A follower is sent to the cache where its leader missed, which its own class may not be allowed to
+        // use.
         let open = self.of_origin(n) || node.open_to(self.places.of(request.class));
         if over || out || !open || node.entry.standing != Standing::Ready {
             return false;
@@ -646,12 +748,13 @@
         match case.effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
-            // Danger: a repeat that waits for its connection may begin when its window is over.
+            // A repeat that waits for its connection could be sent after the deduplication window has ended.
             Effect::Keyed if now + self.settings.dial_within >= first.sent_at + case.memory => false,
             Effect::Keyed => node.in_group(&self.nodes[first.node], case.group),
         }
     }
 
+    /// Whether the request may be refused, that is, whether a retry by the client does no harm.
     fn may_refuse(&self, now: Micros, request: &Request) -> bool {
         let case = &self.settings.classes[request.class];
         match request.may_have_run() {
@@ -668,7 +771,7 @@
         let at_origin = Some(n) == self.origin.node;
         let times = if at_origin { &self.origin.times } else { &self.caches.times };
         let left = request.useful_until - now;
-        // A further attempt only if the time left exceeds what it is expected to take.
+        // A further attempt is made only if the remaining time exceeds its expected duration.
         let least = if request.attempts.is_empty() { 0 } else { times.expected() };
         if left <= least || !self.may_attempt(now, request, n) {
             return self.give_up(now, id);
@@ -684,7 +787,7 @@
             self.origin.turn = self.origin.turn.max(now) + self.origin.apart;
             self.origin.after = now + (self.origin.times.mean / self.origin.most.min(1.0)) as Micros;
         } else {
-            // One request tries a zone that fell silent; the next waits for what became of it.
+            // A silent zone is probed by one request at a time.
             if let Some(zone) = self.zones.get_mut(&node.entry.zone).filter(|zone| zone.spell > 0) {
                 zone.tried_at = now;
             }
@@ -706,7 +809,8 @@
         self.finish(now, id, false, 0);
     }
 
-    /// The request is over; where it led, its followers go to its cache, or each alone.
+    /// Removes a finished request. If it led a fetch, its followers go to its cache, or proceed alone if the
+    /// fetch failed.
     fn finish(&mut self, now: Micros, id: &RequestId, served: bool, node: usize) {
         self.requests.unhold(id);
         let Some(request) = self.requests.remove(id) else { return };
@@ -754,7 +858,7 @@
         self.fetch_queued(now);
         if self.list_due <= now {
             self.host.watch_list();
-            // Should no answer come, ask anew before what is listed counts as told.
+            // Without an answer, requests the list again before the proxy is expected to know its contents.
             self.list_due = now + self.settings.ask_within / 2;
         }
         self.arm();
@@ -772,10 +876,13 @@
         if fault || matches!(outcome.ending, Ending::Served | Ending::Miss) {
             node.faults.learn(now, f64::from(u8::from(fault)), SMOOTHING, ESTIMATE_AGE);
         }
-        // Danger: a node that takes requests and answers none, or most at once with an error, and looks idle.
-        // But any connection may fall silent, and any answer be spoilt, at a node that is well.
+        // A node that accepts requests and answers none, or answers most at once with an error, looks idle
+        // and would attract requests. A single silent connection or invalid response can also come from a
+        // healthy node: silence counts only if nothing was received since the attempt began, faults only by
+        // their rate.
         let struck = silent && node.heard_at <= sent_at || fault && node.faults.mean > FAULTY;
-        // Danger: a zone that is lost was found out node by node, and again at the end of each one's spell.
+        // Without zone ejection, the loss of a zone would be detected node by node, and again when each
+        // node's ejection ends.
         let zone = self.zones.entry(node.entry.zone).or_default();
         if silent && !at_origin && zone.heard_at <= sent_at {
             zone.silent += u32::from(node.strikes == 0);
@@ -805,12 +912,13 @@
             Ending::Full | Ending::ConnectFailed => FULL_USED,
             _ => target.map_or(self.caches.target_used.mean, |target| wait as f64 / target.max(1.0)),
         };
-        // Danger: a proxy that hears of a node twice a minute would judge it by what it was minutes ago; but
-        // a refusal tells of a moment only.
+        // A proxy that uses a node twice a minute must not judge it by answers that are minutes old, so old
+        // samples lose weight. A refusal is a momentary state and does not outweigh them.
         let full = matches!(outcome.ending, Ending::Full | Ending::ConnectFailed);
         let age = if full { f64::INFINITY } else { ESTIMATE_AGE };
         node.target_used.learn(now, used, NODE_SMOOTHING, age);
-        // Danger: time-outs at nodes that are gone drew out the patience with all, and so the time-outs.
+        // Time-outs at unreachable nodes would raise the mean answer time, and with it the time-out of all
+        // attempts.
         if matches!(outcome.ending, Ending::Served | Ending::Miss | Ending::TimedOut) && !struck {
             node.time.learn(now, wait as f64, NODE_SMOOTHING, age);
             node.learn_least(wait as f64, BEST_DRIFT);
@@ -821,9 +929,11 @@
         }
     }
 
-    /// What a request made of its target at the caches: one refused is well if another cache answers it.
+    /// Records the fraction of its latency target that a request used at the caches, and steps the admitted
+    /// fractions. A refused attempt counts as little if another cache may still answer in time.
     fn feel(&mut self, now: Micros, used: f64) {
-        // Danger: one that admits little hears little; by old answers alone it would stay shut for long.
+        // A proxy that admits few requests gets few answers. Old samples lose weight, or it would keep
+        // shedding long after the overload.
         self.caches.target_used.learn(now, used, SMOOTHING, ESTIMATE_AGE);
         let all = &mut self.caches;
         for (share, most) in [(&mut all.admit, CROWDED), (&mut all.surplus, CROWDED_SURPLUS)] {
@@ -836,12 +946,14 @@
 
     fn learn_origin(&mut self, now: Micros, outcome: &Outcome, struck: bool) {
         if outcome.ending == Ending::Served {
-            // Danger: one that fetches every few seconds would find it slow long after it has recovered.
+            // A proxy that fetches every few seconds would consider the origin slow long after it recovered,
+            // so old samples lose weight.
             self.origin.answers(now, outcome.wait, SMOOTHING, ORIGIN_AGE);
             self.origin.best = (self.origin.best * ORIGIN_DRIFT).min(self.origin.times.mean);
         }
-        // Danger: a refusal takes no time, so a limit on what is out at once holds back none that is refused:
-        // twelve with room for six asked thirteen times for each that was taken, and more of them ask more.
+        // A refusal takes no time, so a limit on concurrent fetches does not slow down refused ones: twelve
+        // proxies with room for six fetches sent thirteen for each that was accepted, and larger fleets send
+        // more. Refusals therefore use up credit.
         match outcome.ending {
             Ending::Served => self.origin.pays(EARNS, EARNED_MOST),
             Ending::Full => {
@@ -849,7 +961,8 @@
             }
             _ => {}
         }
-        // Danger: one with no connection there that finds the table full would take it for a full origin.
+        // A refusal on a new connection means that the connection table is full, not that the origin is
+        // overloaded.
         let refused = outcome.ending == Ending::Full && !outcome.first;
         if refused || outcome.ending == Ending::Served {
             self.origin.refused.learn(now, f64::from(u8::from(refused)), NODE_SMOOTHING, f64::INFINITY);
@@ -857,11 +970,13 @@
         let strained = match outcome.ending {
             Ending::Served => self.origin.slow(FETCH_SLOW),
             Ending::Miss | Ending::Cancelled | Ending::NotSent | Ending::Spoilt | Ending::Unknown => return,
-            // Danger: single refusals come by chance, and each cut one of a hundred down to a fetch a second.
-            // Refusals are paid for; who also cut by them would take long to come back.
+            // Refusals do not reduce the limit. Single ones occur by chance, and each reduced the limit of
+            // one proxy among a hundred to one fetch per second. They already use up credit, and a limit
+            // reduced as well would take long to recover.
             _ => struck,
         };
-        // Danger: one of hundreds, with a fetch a second, would take half a minute to cut its limit.
+        // One proxy among hundreds, with one fetch per second, would take half a minute to reduce its limit.
+        // It makes up for the answer times that have passed.
         let cuts = self.origin.silence(now).clamp(1, STEPS_MOST) as i32;
         let used = self.origin.node.map_or(0, |o| self.nodes[o].in_flight + 1);
         if outcome.ending == Ending::Served && !strained && f64::from(used) >= self.origin.most / 2.0 {
@@ -872,8 +987,9 @@
         }
     }
 
-    /// Whether this arrival lies beyond our part of its tenant's share and has to make way. Danger: each of
-    /// hundreds finds its nodes idle of its own while all together crowd them with surplus.
+    /// Whether to shed this request because it exceeds the proxy's part of its tenant's quota. Idle nodes
+    /// alone do not admit it: in a fleet of hundreds, each proxy has nothing in flight at its nodes while all
+    /// together overload them with requests beyond the quotas.
     fn surplus(&mut self, now: Micros, tenant: usize, id: &RequestId) -> bool {
         let Some(quota) = self.settings.quotas.get(tenant) else { return false };
         let part = quota / f64::from(self.settings.fleet_size.max(1));
