--- a/crates/flintwell-core/src/state.rs
+++ b/crates/flintwell-core/src/state.rs
@@ -1,4 +1,4 @@
-//! The module's records, grouped by how long they live, and the plain arithmetic on them. No decisions.
+//! State of the policy: requests, nodes, estimates and the slot table. Decisions are made in `policy`.
 
 use crate::interface::{
     Arrival, Class, Ending, Entry, Group, Key, Micros, NodeId, RequestId, Settings, Standing,
@@ -7,24 +7,27 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::ops::{Deref, DerefMut};
 
-const PLACES_MOST: usize = 63; // places; the last bit, which no node has, stands for any beyond
+/// Node filters that the bits of a `u64` hold, less the last bit. That bit is never set and stands for any
+/// further filter.
+const PLACES_MOST: usize = 63;
 
-/// One attempt.
+/// One attempt of a request.
 pub(crate) struct Attempt {
     pub node: usize,
     pub sent_at: Micros,
     pub ending: Option<Ending>,
 }
 
-/// Why a request is with us with nothing sent.
+/// What a request without an attempt in flight waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// It is not: an attempt is out.
+    /// It does not wait: an attempt is in flight.
     Plain,
+    /// The leader's fetch of the same key.
     Following,
-    /// In the queue before the origin.
+    /// Its turn in the origin's queue.
     Queued,
-    /// Refused by the origin; it asks again in a moment.
+    /// The delay before it retries a fetch that the origin refused.
     Pausing,
 }
 
@@ -32,21 +35,21 @@
 pub(crate) struct Request {
     pub class: usize,
     pub key: Key,
-    /// The key's hash, by which it finds its slots and its heat.
+    /// Hash of the key; selects its slots and its request counter.
     pub slot: u64,
     pub write: bool,
     pub arrived: Micros,
     pub deadline: Micros,
-    /// Past this an answer earns nothing.
+    /// An answer after this has no worth.
     pub useful_until: Micros,
     pub attempts: Vec<Attempt>,
     pub attempts_most: usize,
     /// The cache node that missed last.
     pub missed_at: Option<usize>,
-    /// Chance of its own: which of a hot key's caches is its first.
+    /// Random number for the request's own choices, such as the first of a hot key's caches.
     pub turn: u64,
     pub role: Role,
-    /// When it is let go or given up, if held.
+    /// When the wait ends, if the request waits.
     pub due: Micros,
 }
 
@@ -75,10 +78,11 @@
             due: 0,
         }
     }
+    /// Whether an attempt at this node was made.
     pub fn tried(&self, node: usize) -> bool {
         self.attempts.iter().any(|h| h.node == node)
     }
-    /// The first attempt that may have run, or still may.
+    /// The first attempt that may have run or may still run.
     pub fn may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|h| h.ending.is_none_or(|e| !e.never_ran()))
     }
@@ -89,7 +93,7 @@
     settings.classes.iter().map(|u| u.latency_target).min().unwrap_or(1_000_000) as f64
 }
 
-/// The requests not answered yet, and when those held are due.
+/// Requests without a final answer, and the times at which the waits of some of them end.
 #[derive(Default)]
 pub(crate) struct Requests {
     by_id: FxHashMap<RequestId, Request>,
@@ -97,13 +101,14 @@
 }
 
 impl Requests {
+    /// Lets a request wait until the given time at most.
     pub fn hold(&mut self, id: &RequestId, role: Role, until: Micros) {
         if let Some(request) = self.by_id.get_mut(id) {
             (request.role, request.due) = (role, until);
             self.held.insert((until, id.clone()));
         }
     }
-    /// Lets it go, if held, and tells as what it was.
+    /// Ends the request's wait, if any, and returns what it waited for.
     pub fn unhold(&mut self, id: &RequestId) -> Role {
         let Some(request) = self.by_id.get_mut(id) else { return Role::Plain };
         if request.role != Role::Plain {
@@ -111,10 +116,11 @@
         }
         std::mem::replace(&mut request.role, Role::Plain)
     }
+    /// The earliest end of a wait.
     pub fn first_due(&self) -> Micros {
         self.held.first().map_or(Micros::MAX, |held| held.0)
     }
-    /// One that is due.
+    /// A request whose wait has ended.
     pub fn due(&self, now: Micros) -> Option<RequestId> {
         self.held.first().filter(|held| held.0 <= now).map(|held| held.1.clone())
     }
@@ -133,75 +139,82 @@
     }
 }
 
-/// A key with a fetch out, or (through mode) served lately.
+/// A key with a fetch in flight or, in read-through mode, served recently.
 #[derive(Default)]
 pub(crate) struct Join {
     pub leader: Option<RequestId>,
+    /// The cache node where the leader missed, or that served the key.
     pub node: usize,
     pub followers: Vec<RequestId>,
     pub served_at: Micros,
 }
 
-/// One cache node or the origin, until it is gone for long.
+/// A cache node or the origin. The record outlives its removal from the list for a while.
 #[derive(Default)]
 pub(crate) struct Node {
-    /// As last listed; its size is 1 where sizes are not declared.
+    /// Latest list entry; its weight is 1 if weights carry no information.
     pub entry: Entry,
     pub in_flight: u32,
     pub heard_at: Micros,
     pub strikes: u32,
     pub skip_until: Micros,
     pub full_until: Micros,
-    /// Share of the reads that pass it over, as it was listed with more than it does well.
+    /// Fraction of reads that pass the node over, since it was listed with more load than it handles well.
     pub leave: f64,
-    /// Share of its answers that were errors or made no sense.
+    /// Fraction of its attempts that failed or got an invalid response.
     pub faults: Mean,
-    /// Its answer time, and the share of their latency target that its answers use up.
+    /// Answer time.
     pub time: Mean,
+    /// Fraction of the latency target that its answers use.
     pub target_used: Mean,
-    /// The least answer time lately: the way there, and little else.
+    /// Recent minimum of the answer time: mostly network latency.
     pub least: f64,
-    /// Sent to it lately, and over a longer time.
+    /// Requests sent within the time for which a cold node withstands overload.
     pub sent: Pace,
+    /// Requests sent over a longer time.
     pub asked: Pace,
     pub id_hash: u64,
-    /// Its start as it was told; the entry has the latest that it may have been.
+    /// Start time as listed; the entry has the latest time at which the start may have been.
     pub told_start: Micros,
-    /// The places that it belongs to, a bit each.
+    /// The node filters that the node passes, one bit each.
     pub places: u64,
-    /// What it takes, by the list and its kind's speed.
+    /// Capacity by its listed weight and the speed of its kind.
     pub size: f64,
 }
 
 impl Node {
-    /// Another answer failed to come: left out for a spell, twice as long each time.
+    /// Ejects the node after a failure, for twice as long each time.
     pub fn strike(&mut self, now: Micros, first: Micros, doublings: u32) {
         self.skip_until = now + (first << self.strikes.min(doublings));
         self.strikes += 1;
     }
-    /// Holds this many a core: over `well` its part falls by how much it is over, else it rises by and by.
+    /// Adjusts the fraction of reads that pass the node over. If the node holds more requests per core than
+    /// `well`, the fraction that it keeps is divided by the excess, by `most` at most; otherwise it grows by
+    /// `step`.
     pub fn left(&mut self, held: f64, well: f64, most: f64, step: f64) {
         let (kept, over) = (1.0 - self.leave, held / well);
         self.leave = 1.0 - if over > 1.0 { kept / over.min(most) } else { (kept + step).min(1.0) };
     }
-    /// An old least is forgotten by and by.
+    /// Records an answer time for the minimum. The old minimum grows by `drift`, so that it is forgotten over
+    /// time.
     pub fn learn_least(&mut self, wait: f64, drift: f64) {
         let wait = wait.max(1.0);
         self.least = if self.least > 0.0 { wait.min(self.least * drift) } else { wait };
     }
-    /// Share of its capacity that it surely has.
+    /// Fraction of its capacity that the node has reached at least, between `start` and 1.
     pub fn warmth(&self, now: Micros, start: f64, ramp: Micros) -> f64 {
         let age = self.age(now) as f64 / ramp.max(1) as f64;
         if self.entry.started_at <= 0 { 1.0 } else { (start + (1.0 - start) * age).min(1.0) }
     }
-    /// Since its start, at least.
+    /// Least time since its start.
     pub fn age(&self, now: Micros) -> Micros {
         (now - self.entry.started_at).max(0)
     }
+    /// Whether the node passes a node filter.
     pub fn open_to(&self, place: usize) -> bool {
         self.places >> place & 1 == 1
     }
-    /// Listed, and not asked but perhaps for a try.
+    /// Whether the node is listed but gets no requests, except for probes.
     pub fn avoided(&self, now: Micros) -> bool {
         match self.entry.standing {
             Standing::Ready => now < self.skip_until,
@@ -209,6 +222,7 @@
             Standing::Gone => false,
         }
     }
+    /// Whether both nodes deduplicate the same requests.
     pub fn in_group(&self, other: &Node, group: Group) -> bool {
         match group {
             Group::All => true,
@@ -218,18 +232,18 @@
     }
 }
 
-/// The cache nodes that some classes may be sent to.
+/// The cache nodes that may serve some classes; `None` allows all.
 #[derive(PartialEq)]
 struct Place {
     kinds: Option<Vec<u32>>,
     zones: Option<Vec<u32>>,
 }
 
-/// The places of all classes; those bound alike share one.
+/// The node filters of all classes; equal ones are stored once.
 #[derive(Default)]
 pub(crate) struct Places {
     all: Vec<Place>,
-    /// The place of each class.
+    /// Index of each class's filter.
     of_case: Vec<usize>,
 }
 
@@ -239,7 +253,8 @@
         for case in cases {
             let bound = Place { kinds: case.kinds.clone(), zones: case.zones.clone() };
             let known = places.all.iter().position(|place| *place == bound);
-            // Danger: with more places than bits some would be open to all; a node's bits hold that many.
+            // A node has a limited number of filter bits. The classes of any further filters share the last
+            // bit, which no node has set; otherwise they would be open to all nodes.
             let place = known.unwrap_or(places.all.len().min(PLACES_MOST));
             if place == places.all.len() && place < PLACES_MOST {
                 places.all.push(bound);
@@ -248,13 +263,15 @@
         }
         places
     }
+    /// Number of distinct filters.
     pub fn count(&self) -> usize {
         self.all.len()
     }
+    /// Index of the class's filter.
     pub fn of(&self, class: usize) -> usize {
         self.of_case[class]
     }
-    /// The bits of those that a node of this entry belongs to.
+    /// Bits of the filters that a node with this entry passes.
     pub fn holding(&self, entry: &Entry) -> u64 {
         let within =
             |allowed: &Option<Vec<u32>>, one| allowed.as_ref().is_none_or(|allowed| allowed.contains(&one));
@@ -263,36 +280,38 @@
     }
 }
 
-/// What is known of a kind of node.
+/// Statistics of a kind of node.
 #[derive(Default)]
 pub(crate) struct Kind {
-    /// The most that one was listed with.
+    /// Largest weight listed for a node of the kind.
     pub most: f64,
-    /// Times of its answers, and how much faster it is than all, in steps.
+    /// Answer time.
     pub time: Average,
+    /// Speed relative to all kinds, in steps.
     pub level: f64,
 }
 
 impl Kind {
-    /// Takes in an answer's time, where those of all take `all`: how many doublings it is faster than they.
+    /// Records an answer time. Returns the binary logarithm of the kind's speed relative to all kinds, whose
+    /// mean answer time is `all`.
     pub fn faster(&mut self, all: f64, wait: Micros, weight: f64) -> f64 {
         (all.max(1.0) / self.time.learn(wait, weight).max(1.0)).log2()
     }
 }
 
-/// The caches of one zone, as far as they fall silent together.
+/// Health of a zone, whose caches may become unreachable together.
 #[derive(Default)]
 pub(crate) struct Zone {
     pub heard_at: Micros,
-    /// Nodes that fell silent since.
+    /// Nodes that stopped answering since then.
     pub silent: u32,
-    /// How long it is left alone from when it was tried last; 0 while it is trusted.
+    /// Time from the last probe to the next; 0 while the zone is healthy.
     pub spell: Micros,
     pub tried_at: Micros,
 }
 
 impl Zone {
-    /// Fell silent again: tried when its spell is over, which then lasts twice as long.
+    /// Ejects the zone. If its last ejection has ended, the new one lasts twice as long.
     pub fn strike(&mut self, now: Micros, first: Micros, doublings: u32) {
         if now >= self.tried_at + self.spell {
             (self.tried_at, self.spell) = (now, (self.spell * 2).clamp(first, first << doublings));
@@ -300,7 +319,7 @@
     }
 }
 
-/// All nodes by number, and their numbers by id.
+/// All nodes by index, and their indices by id.
 #[derive(Default)]
 pub(crate) struct Nodes {
     all: Vec<Node>,
@@ -308,11 +327,13 @@
 }
 
 impl Nodes {
+    /// Index of the node with this id.
     pub fn find(&self, id: &NodeId) -> Option<usize> {
         self.by_id.get(id).copied()
     }
-    /// The one of this id; a new one takes the number of one gone and sent nothing for `long`. Danger: where
-    /// nodes are replaced under new ids all day, records of those gone would pile up.
+    /// The node with this id, created if it is new. A new node reuses the record of a removed node that was
+    /// sent nothing for `long`: if nodes are replaced under new ids all day, records would accumulate
+    /// otherwise.
     pub fn of(&mut self, id: &NodeId, now: Micros, long: Micros) -> &mut Node {
         let forgotten = |node: &Node| {
             node.entry.standing == Standing::Gone && node.in_flight == 0 && now - node.sent.at > long
@@ -329,12 +350,12 @@
         });
         &mut self.all[n]
     }
-    /// Those not of this kind that fell silent and were not heard since.
+    /// Nodes that stopped answering and have not answered since, except those of kind `but`.
     pub fn silent(&self, but: Option<u32>) -> Vec<NodeId> {
         let silent = self.all.iter().filter(|node| node.strikes > 0 && Some(node.entry.kind) != but);
         silent.map(|node| node.entry.node.clone()).collect()
     }
-    /// The next try of one that is silent comes then.
+    /// Defers the next probe of a silent node until then.
     pub fn put_off(&mut self, id: &NodeId, until: Micros) {
         if let Some(node) = self.find(id).map(|n| &mut self.all[n]).filter(|node| node.strikes > 0) {
             node.skip_until = until;
@@ -355,14 +376,15 @@
     }
 }
 
-/// A tenant's allowance here.
+/// Token bucket of a tenant on this proxy.
 pub(crate) struct Tenant {
     pub allowance: f64,
     pub filled_at: Micros,
 }
 
 impl Tenant {
-    /// Takes one from the allowance, which refills at `rate` a second and holds a second's worth or `least`.
+    /// Takes a token if there is one. The bucket refills at `rate` tokens a second and holds those of one
+    /// second, but no fewer than `least`.
     pub fn take(&mut self, now: Micros, rate: f64, least: f64) -> bool {
         self.allowance = (self.allowance + rate * (now - self.filled_at) as f64 / 1e6).min(rate.max(least));
         self.filled_at = now;
@@ -372,20 +394,24 @@
     }
 }
 
-/// What is known of the caches as one.
+/// Statistics over all caches.
 #[derive(Default)]
 pub(crate) struct Caches {
+    /// Number of ready caches.
     pub ready: usize,
-    /// Size of all ready ones, and what they were sent and took lately.
+    /// Total capacity of the ready caches.
     pub size: f64,
+    /// Requests sent recently.
     pub sent: Pace,
+    /// Requests accepted recently.
     pub taken: Pace,
     pub in_flight: u32,
     pub times: Times,
-    /// Share of its own latency target that an answer takes, on the mean.
+    /// Mean fraction of the latency target that a request uses.
     pub target_used: Mean,
-    /// Shares of reads and of surplus admitted.
+    /// Fraction of reads admitted.
     pub admit: Share,
+    /// Fraction of requests beyond the tenants' quotas admitted.
     pub surplus: Share,
 }
 
@@ -396,7 +422,7 @@
     }
 }
 
-/// A share in steps, and when the last was taken.
+/// An admitted fraction, adjusted in steps (AIMD), and the time of the last step.
 #[derive(Default, Clone, Copy)]
 pub(crate) struct Share {
     pub now: f64,
@@ -404,7 +430,8 @@
 }
 
 impl Share {
-    /// Down by factors or up by addends, as many as the steps.
+    /// Takes `steps` steps: multiplies by `fall` and adds `rise` for each, and keeps the result within
+    /// `least` and 1.
     pub fn step(&mut self, now: Micros, steps: f64, fall: f64, rise: f64, least: f64) {
         if steps > 0.0 {
             *self = Share { now: (self.now * fall.powf(steps) + rise * steps).clamp(least, 1.0), at: now };
@@ -412,34 +439,38 @@
     }
 }
 
-/// What is known of the origin.
+/// State of the origin, its fetch limit and its queue.
 #[derive(Default)]
 pub(crate) struct Origin {
     pub node: Option<usize>,
     pub times: Times,
+    /// Recent minimum of the mean answer time.
     pub best: f64,
-    /// What its answers may take on the mean, however quick it was.
+    /// Mean answer time up to which the origin never counts as slow.
     pub bearable: f64,
+    /// Last outcome that indicated the load of the origin.
     pub heard_at: Micros,
-    /// Its last served answer.
+    /// Last served answer.
     pub answered_at: Micros,
-    /// Fetches that may be out at once; under one they are spaced out.
+    /// Limit on concurrent fetches; below 1, fetches are spaced out in time.
     pub most: f64,
+    /// Last reduction of the limit.
     pub cut_at: Micros,
-    /// Refusals that its answers have paid for; without any it is probed.
+    /// Refusals that its answers have paid for; without credit, only probes are sent.
     pub earned: f64,
-    /// Probes refused in a row, of those that count.
+    /// Consecutive refused probes, up to the limit on doublings.
     pub probes: u32,
-    /// Share of the fetches and writes that it refused.
+    /// Fraction of fetches and writes that it refused.
     pub refused: Mean,
+    /// Earliest time of the next request while the limit is below 1 or there is no credit.
     pub after: Micros,
-    /// Requests that were to be fetched there, sent or not.
+    /// Number of fetches requested so far, sent or not.
     pub wanted: u64,
-    /// Between two fetches, where the fleet has agreed on a rate; 0 where it has not.
+    /// Time between two fetches at the granted rate; 0 if no rate is granted.
     pub apart: Micros,
-    /// When the next of those is due.
+    /// Scheduled time of the next fetch at the granted rate.
     pub turn: Micros,
-    /// Its table of connections was found full; until then what is idle there is closed.
+    /// Until then idle connections are closed, as the origin's connection table was full.
     pub full_until: Micros,
     pub queue: VecDeque<RequestId>,
 }
@@ -457,22 +488,22 @@
             ..Self::default()
         }
     }
-    /// An served answer; the mean gives way to it the more the older the last is.
+    /// Records the time of a served answer; it weighs more the longer ago the last one was.
     pub fn answers(&mut self, now: Micros, wait: Micros, weight: f64, age: f64) {
         let gap = (now - std::mem::replace(&mut self.answered_at, now)) as f64;
         self.times.learn(wait, weight.max(1.0 - (-gap / age).exp()));
     }
-    /// How many it may have within an answer time.
+    /// Requests that may be sent within one answer time.
     pub fn pace(&self) -> f64 {
         let own =
             if self.earned > 0.0 { self.most } else { self.most.min(1.0 / f64::from(1u32 << self.probes)) };
         if self.apart > 0 { own.min(self.times.mean / self.apart as f64) } else { own }
     }
-    /// An answer pays for some refusals.
+    /// Adds an answer's credit for refusals, up to a limit.
     pub fn pays(&mut self, earns: f64, most: f64) {
         (self.earned, self.probes) = ((self.earned + earns).min(most), 0);
     }
-    /// A refusal takes one; with none left the next is put off, for longer each time.
+    /// Takes credit for one refusal. Without credit left, the next probe is delayed, for longer each time.
     pub fn refuses(&mut self, now: Micros, least: f64, doublings: u32, lot: impl FnOnce() -> f64) {
         self.earned = (self.earned - 1.0).max(least);
         if self.earned <= 0.0 {
@@ -480,17 +511,17 @@
             self.probes = (self.probes + 1).min(doublings);
         }
     }
-    /// Its answers take longer than at its best by this factor, and than is bearable.
+    /// Whether the mean answer time exceeds both its recent minimum by this factor and the acceptable time.
     pub fn slow(&self, factor: f64) -> bool {
         self.times.mean > (factor * self.best).max(self.bearable)
     }
-    /// How many of its answer times have passed since it was last heard; it is heard now.
+    /// Returns the number of answer times that have passed since the last outcome, and records one now.
     pub fn silence(&mut self, now: Micros) -> Micros {
         (now - std::mem::replace(&mut self.heard_at, now)) / self.times.expected().max(1)
     }
 }
 
-/// A mean whose weight for a new value grows with the age of the last.
+/// EWMA in which a new value weighs more the older the last one is.
 #[derive(Default, Clone, Copy)]
 pub(crate) struct Mean {
     pub mean: f64,
@@ -498,14 +529,14 @@
 }
 
 impl Mean {
-    /// A silence of `age` leaves little of what was known.
+    /// Records a value. It weighs at least `weight`, and most after `age` without values.
     pub fn learn(&mut self, now: Micros, value: f64, weight: f64, age: f64) {
         let weight = weight.max(1.0 - (-((now - self.at) as f64) / age).exp());
         *self = Mean { mean: self.mean + weight * (value - self.mean), at: now };
     }
 }
 
-/// A mean over all first, then over as many as the weight lets count.
+/// Mean of all values at first, an EWMA once there are many.
 #[derive(Default, Clone, Copy)]
 pub(crate) struct Average {
     mean: f64,
@@ -513,6 +544,7 @@
 }
 
 impl Average {
+    /// Records a value; returns the new mean.
     pub fn learn(&mut self, value: Micros, weight: f64) -> f64 {
         self.count = self.count.saturating_add(1);
         self.mean += weight.max(1.0 / f64::from(self.count)) * (value as f64 - self.mean);
@@ -520,7 +552,7 @@
     }
 }
 
-/// Times of answers: mean and mean deviation.
+/// EWMAs of answer times and their deviation from the mean.
 #[derive(Default, Clone, Copy)]
 pub(crate) struct Times {
     pub mean: f64,
@@ -538,7 +570,7 @@
     }
 }
 
-/// A count that decays over a given time.
+/// A count that decays exponentially over a given time.
 #[derive(Default, Clone, Copy)]
 pub(crate) struct Pace {
     count: f64,
@@ -546,6 +578,7 @@
 }
 
 impl Pace {
+    /// The count at `now`.
     pub fn now(&self, now: Micros, fade: Micros) -> f64 {
         self.count * (-((now - self.at) as f64) / fade.max(1) as f64).exp()
     }
@@ -554,7 +587,7 @@
     }
 }
 
-/// The slot table: who holds each slot.
+/// The slot table: the node that owns each slot.
 #[derive(Default)]
 pub(crate) struct Slots {
     holders: Vec<u16>,
@@ -562,7 +595,8 @@
 }
 
 impl Slots {
-    /// From caches as node, hash of its id and number of claims; a slot claimed twice goes by chance.
+    /// Builds a table from each cache's index, hash of its id and number of claims. A slot claimed by several
+    /// caches goes to the one with the highest hash for it.
     pub fn new(slots: usize, caches: impl Iterator<Item = (usize, u64, u64)>) -> Self {
         let mut table = Slots { holders: vec![u16::MAX; slots], caches: 0 };
         let mut best = vec![0; slots];
@@ -577,7 +611,8 @@
         }
         table
     }
-    /// A key's caches in order, `MOST` at most, found by looking at its slots in turn.
+    /// A key's caches in order of preference, `MOST` at most: the owners of the slots that its hash sequence
+    /// selects, of which `looks` are examined at most.
     pub fn ranks<const MOST: usize>(&self, key: u64, looks: u64) -> impl Iterator<Item = usize> {
         let (mut found, mut count) = ([u16::MAX; MOST], 0);
         let looks = if self.caches > 0 { looks } else { 0 };
@@ -594,7 +629,7 @@
     }
 }
 
-/// Our own requests lately, by key (keys may share a count) and in all.
+/// Recent requests of this proxy, by key and in total. Keys may share a counter.
 pub(crate) struct Heat {
     counts: Vec<Pace>,
     pub all: Pace,
@@ -614,24 +649,24 @@
     }
 }
 
-/// Spreads a hash's bits (splitmix64's finaliser), alike on every machine.
+/// Mixes a hash's bits (the finalizer of splitmix64); the same on every machine.
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// The given one of a seed's numbers.
+/// Element `number` of the seed's hash sequence.
 pub(crate) fn draw(seed: u64, number: u64) -> u64 {
     mix(seed ^ number.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// FNV-1a, spread: alike on every machine.
+/// FNV-1a, mixed; the same on every machine.
 pub(crate) fn hash(text: &str) -> u64 {
     mix(text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)))
 }
 
-/// A number in (0, 1) from a hash.
+/// Maps a hash to a number in (0, 1).
 pub(crate) fn unit(h: u64) -> f64 {
     ((h >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
