--- a/crates/flintwell-conduct/src/homes.rs
+++ b/crates/flintwell-conduct/src/homes.rs
@@ -1,7 +1,7 @@
 //! Which cache a key goes to first, under settings: asked of the decision module itself.
 
 use flintwell_core::interface::{
-    Arrival, Ending, Host, Key, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
+    IncomingRequest, AttemptStatus, Host, Key, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use flintwell_settings::listing::Listing;
@@ -17,14 +17,14 @@
 struct First(Rc<RefCell<Option<NodeId>>>);
 
 impl Host for First {
-    fn attempt(&mut self, _: &RequestId, node: &NodeId, _: Micros) {
+    fn start_attempt(&mut self, _: &RequestId, node: &NodeId, _: Micros) {
         self.0.borrow_mut().get_or_insert_with(|| node.clone());
     }
     fn refuse(&mut self, _: &RequestId, _: Micros) {}
     fn fail(&mut self, _: &RequestId) {}
     fn close_idle(&mut self, _: &NodeId) {}
-    fn wake_at(&mut self, _: u64, _: Micros) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: u64, _: Micros) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 fn homes(
@@ -35,26 +35,26 @@
 ) -> Vec<Option<NodeId>> {
     let first = Rc::new(RefCell::new(None));
     let mut now = LONG_AGO;
-    let mut policy = Policy::start(now, settings, 1, First(first.clone()));
-    let entries = listing.servers.iter().map(|line| flintwell_core::interface::Entry {
+    let mut policy = Policy::new(now, settings, 1, First(first.clone()));
+    let entries = listing.servers.iter().map(|line| flintwell_core::interface::NodeEntry {
         // Where keys belong, not what is cold today.
         started_at: 0,
         ..line.entry(network)
     });
-    policy.list(now, ListKind::Whole, entries.collect());
+    policy.on_list_update(now, ListUpdateKind::Snapshot, entries.collect());
     let home = |n: usize| {
         now += APART;
         first.replace(None);
         let id = RequestId::from(format!("a{n}"));
         let (key, deadline) = (Some(Key::from(format!("k{n}"))), now + 1_000_000);
         let arrival =
-            Arrival { id: id.clone(), class: case, tenant: 0, key, deadline, work: None, write: false };
-        policy.request_arrives(now, arrival);
+            IncomingRequest { id: id.clone(), class: case, tenant: 0, key, deadline, expected_work: None, is_write: false };
+        policy.on_request(now, arrival);
         let node = first.borrow().clone();
         if let Some(node) = &node {
             let outcome =
-                Outcome { number: 0, ending: Ending::Served, wait: 1_000, settled: true, first: false };
-            policy.outcome(now + 1_000, &id, node, outcome);
+                AttemptOutcome { attempt_index: 0, status: AttemptStatus::Served, latency: 1_000, request_finished: true, first_on_connection: false };
+            policy.on_attempt_outcome(now + 1_000, &id, node, outcome);
         }
         node
     };
@@ -66,7 +66,7 @@
     let of = |settings: &Value| -> Result<_, String> {
         let decoded = decode(settings)?;
         let case =
-            decoded.classes.iter().position(|case| case.effect == flintwell_core::interface::Effect::Safe);
+            decoded.classes.iter().position(|case| case.idempotency == flintwell_core::interface::Idempotency::Safe);
         Ok(homes(decoded, case.unwrap_or(0), listing, &decode_network(settings)?))
     };
     let (old, new) = (of(old)?, of(new)?);
--- a/crates/flintwell-core/src/interface.rs
+++ b/crates/flintwell-core/src/interface.rs
@@ -11,7 +11,7 @@
 /// Actions that the module requests. Each takes effect at the time passed to the call that caused it.
 pub trait Host {
     /// Starts an attempt that times out after `timeout`.
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros);
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros);
     /// Final answer: the request was refused and may be retried safely. `retry_after` is a hint for the
     /// client, 0 for none.
     fn refuse(&mut self, request: &RequestId, retry_after: Micros);
@@ -20,14 +20,14 @@
     /// Closes the idle connections of this proxy to a node.
     fn close_idle(&mut self, node: &NodeId);
     /// Requests a call of the module's timer event with this label at or after `at`.
-    fn wake_at(&mut self, label: u64, at: Micros);
+    fn set_timer(&mut self, label: u64, at: Micros);
     /// Subscribes to updates of the node list.
-    fn watch_list(&mut self);
+    fn subscribe_to_list(&mut self);
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
     Safe,
     /// Repeats are deduplicated by the request's idempotency key, within a scope and for a limited time.
@@ -38,7 +38,7 @@
 
 /// Cache nodes that share deduplication of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -47,16 +47,16 @@
 /// Settings of a class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Nodes to which a keyed request may be repeated.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// How long repeats of a keyed request are recognized.
-    pub memory: Micros,
+    pub dedup_window: Micros,
     pub latency_target: Micros,
     /// The latency target grows by this many times the request's expected work.
-    pub target_stretch: f64,
+    pub target_work_factor: f64,
     /// Fraction of the worth that remains after the latency target.
-    pub late_share: f64,
+    pub late_worth: f64,
     /// Kinds of cache nodes that may serve the class; `None` allows all.
     pub kinds: Option<Vec<u32>>,
     /// Zones whose cache nodes may serve the class; `None` allows all.
@@ -65,7 +65,7 @@
 
 /// Meaning of the weights in the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sizes {
+pub enum WeightMode {
     /// Weights carry no information.
     None,
     /// Weights are registered capacities, exact or approximate.
@@ -82,58 +82,58 @@
     pub quotas: Vec<f64>,
     /// Cache-aside mode: a cache node reports a miss and the proxy fetches from the origin. Otherwise
     /// read-through: the cache node fetches.
-    pub aside: bool,
+    pub cache_aside: bool,
     /// Node kind of the origin.
     pub origin_kind: Option<u32>,
     /// Number of this proxy in the fleet.
-    pub index: u32,
+    pub proxy_index: u32,
     /// Zone of this proxy.
     pub zone: u32,
     /// Number of zones.
-    pub zones: u32,
+    pub zone_count: u32,
     /// Cost of an attempt in another zone, in units of a request's worth.
-    pub cross_price: f64,
+    pub cross_zone_cost: f64,
     /// Number of proxies.
     pub fleet_size: u32,
     pub max_attempts: usize,
     /// Longest `retry_after` that clients follow; 0 if it does not reach them.
-    pub max_stay_away: Micros,
+    pub max_retry_after: Micros,
     /// The list service answers only when asked.
     pub list_on_request: bool,
     /// Time limit for requesting the list from the list service.
-    pub ask_within: Micros,
-    pub sizes: Sizes,
+    pub max_list_refresh_interval: Micros,
+    pub weight_mode: WeightMode,
     /// Fraction of its capacity that a node has right after its start.
     pub start_capacity: f64,
     /// Time from a node's start to its full capacity.
     pub ramp_time: Micros,
     /// Largest error of a listed start time, in either direction.
-    pub start_drift: Micros,
+    pub max_start_time_error: Micros,
     /// Cost of one open connection per cache node, in units of one new connection per request; 0 if open
     /// connections cost nothing.
-    pub connection_price: f64,
+    pub connection_cost: f64,
     /// How long a cold node withstands overload before it fails.
-    pub fall: Micros,
+    pub cold_overload_window: Micros,
     /// Longest time from choosing a node to sending the first byte, including opening a connection.
-    pub dial_within: Micros,
+    pub dial_timeout: Micros,
 }
 
 /// What an update of the node list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdateKind {
     /// Only the entries that changed.
-    Changes,
+    Delta,
     /// The complete list.
-    Whole,
+    Snapshot,
     /// The complete list that this instance stored last; it may be outdated.
-    Kept,
+    Restored,
     /// A request for the list failed or the subscription broke; the previous list stays in use.
     Failed,
 }
 
 /// State of a node according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum NodeState {
     Ready,
     Draining,
     #[default]
@@ -142,34 +142,34 @@
 
 /// One node in the list.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct NodeEntry {
     pub node: NodeId,
     pub zone: u32,
     pub kind: u32,
     pub cell: u32,
-    pub standing: Standing,
+    pub state: NodeState,
     /// Relative capacity.
-    pub size: f64,
+    pub weight: f64,
     /// Time of the last start; 0 if it was long ago.
     pub started_at: Micros,
 }
 
 /// A request when it arrives at the proxy.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct IncomingRequest {
     pub id: RequestId,
     pub class: usize,
     pub tenant: usize,
     pub key: Option<Key>,
     pub deadline: Micros,
     /// Expected processing time on a standard core, if the client gave a hint.
-    pub work: Option<Micros>,
-    pub write: bool,
+    pub expected_work: Option<Micros>,
+    pub is_write: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptStatus {
     Served,
     /// The node answered with an error.
     Error,
@@ -184,12 +184,12 @@
     /// The cache node does not have the key.
     Miss,
     /// The response was invalid: the request may have run, and the response says nothing about load.
-    Spoilt,
+    InvalidResponse,
     /// A status code that this version does not know: the request may have run.
     Unknown,
 }
 
-impl Ending {
+impl AttemptStatus {
     /// Whether the request certainly did not run at the node.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent | Self::Miss)
@@ -198,14 +198,14 @@
 
 /// Outcome of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     /// Index of the attempt within its request.
-    pub number: usize,
-    pub ending: Ending,
+    pub attempt_index: usize,
+    pub status: AttemptStatus,
     /// Time from the start of the attempt to its end.
-    pub wait: Micros,
+    pub latency: Micros,
     /// The request has its final answer, through this outcome or an earlier event.
-    pub settled: bool,
+    pub request_finished: bool,
     /// The request was the first on a newly opened connection, as far as the host knows.
-    pub first: bool,
+    pub first_on_connection: bool,
 }
--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -180,11 +180,11 @@
 
 impl<H: Host> Policy<H> {
     /// Creates an instance without nodes; a stored list, if any, follows as a list update.
-    pub fn start(now: Micros, settings: Settings, seed: u64, host: H) -> Self {
+    pub fn new(now: Micros, settings: Settings, seed: u64, host: H) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // A fleet that starts at once would request the list at once; requests late in the service's queue
         // fail and are repeated. The first requests are therefore spread over time.
-        let most = ((settings.ask_within as f64 * LIST_FIRST) as Micros).min(LIST_FIRST_MOST);
+        let most = ((settings.max_list_refresh_interval as f64 * LIST_FIRST) as Micros).min(LIST_FIRST_MOST);
         let spread = rng.random_range(0..=most.min(LIST_SPREAD * i64::from(settings.fleet_size)));
         let shortest = shortest_target(&settings);
         let times = Times { mean: shortest * FIRST_SHARE, deviation: shortest * FIRST_SHARE / 2.0 };
@@ -213,7 +213,7 @@
 
     /// Switches to other settings, in which classes and tenants keep their indices; the list must follow.
     /// Learned estimates are kept: a fleet that reset its fetch limits would overload the origin at once.
-    pub fn change(&mut self, now: Micros, mut settings: Settings) {
+    pub fn apply_settings(&mut self, now: Micros, mut settings: Settings) {
         // Requests in progress finish under their old class, which is appended after the new ones.
         self.origin.bearable = shortest_target(&settings) * FETCH_BEARABLE;
         let cases = &mut settings.classes;
@@ -232,14 +232,14 @@
     }
 
     /// Decides on a request that has arrived.
-    pub fn request_arrives(&mut self, now: Micros, arrival: Arrival) {
+    pub fn on_request(&mut self, now: Micros, arrival: IncomingRequest) {
         let Some(case) = self.settings.classes.get(arrival.class) else {
             return self.host.fail(&arrival.id);
         };
         let target =
-            now + case.latency_target + (case.target_stretch * arrival.work.unwrap_or(0) as f64) as Micros;
-        let useful = if case.late_share > 0.0 { arrival.deadline } else { target.min(arrival.deadline) };
-        let (id, tenant, write) = (arrival.id.clone(), arrival.tenant, arrival.write);
+            now + case.latency_target + (case.target_work_factor * arrival.expected_work.unwrap_or(0) as f64) as Micros;
+        let useful = if case.late_worth > 0.0 { arrival.deadline } else { target.min(arrival.deadline) };
+        let (id, tenant, write) = (arrival.id.clone(), arrival.tenant, arrival.is_write);
         let request = Request::new(arrival, now, useful, self.settings.max_attempts, self.rng.random());
         let key = request.key.clone();
         self.heat.add(now, HEAT_FADE, request.slot);
@@ -254,7 +254,7 @@
             // Overloaded nodes answer late. The mean over all caches alone would let a few hot nodes shut out
             // reads that idle nodes could serve, so the target node must be overloaded, too.
             if self.may_fetch(now) { self.fetch(now, &id) } else { self.give_up(now, &id) }
-        } else if self.settings.aside {
+        } else if self.settings.cache_aside {
             self.ask_cache(now, &id);
         } else {
             self.read_through(now, &id, key);
@@ -262,13 +262,13 @@
     }
 
     /// Learns from an attempt that has ended, and decides how its request goes on.
-    pub fn outcome(&mut self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
+    pub fn on_attempt_outcome(&mut self, now: Micros, id: &RequestId, node: &NodeId, outcome: AttemptOutcome) {
         let Some(node) = self.nodes.find(node) else { return };
         let target = self.requests.get(id).map(|a| self.settings.classes[a.class].latency_target as f64);
         self.observe(now, node, &outcome, target);
         // The idle connections of hundreds of proxies fill the connection table of a node or an origin.
         // Connections that are used too seldom to be worth their cost are closed.
-        let worth = self.settings.connection_price * f64::from(self.settings.fleet_size);
+        let worth = self.settings.connection_cost * f64::from(self.settings.fleet_size);
         let asked = self.nodes[node].asked.now(now, HEAT_FADE) - 1.0;
         let full = self.of_origin(node) && now < self.origin.full_until;
         if full || worth > 1.0 && !self.of_origin(node) && asked < worth * self.mean_heat(now) {
@@ -277,25 +277,25 @@
         // If the list does not reflect speed, nodes of a slow kind are overloaded by their share while those
         // of a fast kind idle. Steps are coarse, so that all proxies build the same table and homes rarely
         // move.
-        if outcome.ending == Ending::Served && !self.of_origin(node) && self.settings.sizes != Sizes::Live {
-            let all = self.speeds.learn(outcome.wait, SPEED_SMOOTHING);
+        if outcome.status == AttemptStatus::Served && !self.of_origin(node) && self.settings.weight_mode != WeightMode::Live {
+            let all = self.speeds.learn(outcome.latency, SPEED_SMOOTHING);
             let kind = self.kinds.entry(self.nodes[node].entry.kind).or_default();
-            let steps = kind.faster(all, outcome.wait, SPEED_SMOOTHING) * SPEED_STEPS;
+            let steps = kind.faster(all, outcome.latency, SPEED_SMOOTHING) * SPEED_STEPS;
             if kind.time.count >= SPEED_KNOWN && (steps - kind.level).abs() > SPEED_MARGIN {
                 kind.level = steps.round().clamp(-SPEED_STEPS, SPEED_STEPS);
                 self.build_slots();
             }
         }
-        let attempt = self.requests.get_mut(id).and_then(|a| a.attempts.get_mut(outcome.number));
+        let attempt = self.requests.get_mut(id).and_then(|a| a.attempts.get_mut(outcome.attempt_index));
         // A late answer to a finished request only updates estimates and frees capacity at the origin.
-        if attempt.is_some_and(|h| h.ending.replace(outcome.ending).is_none()) {
-            match outcome.ending {
-                ending if outcome.settled => self.finish(now, id, ending == Ending::Served, node),
-                Ending::Miss => self.missed(now, id, node),
+        if attempt.is_some_and(|h| h.ending.replace(outcome.status).is_none()) {
+            match outcome.status {
+                ending if outcome.request_finished => self.finish(now, id, ending == AttemptStatus::Served, node),
+                AttemptStatus::Miss => self.missed(now, id, node),
                 // Repeating every failed fetch would overload an origin at its limit. An invalid response or
                 // a reset does not indicate overload.
-                Ending::Spoilt | Ending::Reset if Some(node) == self.origin.node => self.fetch(now, id),
-                Ending::Full if Some(node) == self.origin.node => self.fetch_again(now, id, outcome.first),
+                AttemptStatus::InvalidResponse | AttemptStatus::Reset if Some(node) == self.origin.node => self.fetch(now, id),
+                AttemptStatus::Full if Some(node) == self.origin.node => self.fetch_again(now, id, outcome.first_on_connection),
                 _ if Some(node) == self.origin.node => self.give_up(now, id),
                 _ => self.ask_cache(now, id),
             }
@@ -307,7 +307,7 @@
     }
 
     /// The request needs no answer any more: the client has left, or its response has begun to stream.
-    pub fn request_gone(&mut self, now: Micros, id: &RequestId) {
+    pub fn on_request_closed(&mut self, now: Micros, id: &RequestId) {
         let next = self.next_lead(id);
         self.finish(now, id, false, 0);
         next.inspect(|next| self.alone(now, next));
@@ -315,8 +315,8 @@
     }
 
     /// Takes in the node list or a part of it.
-    pub fn list(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
-        if kind == ListKind::Failed {
+    pub fn on_list_update(&mut self, now: Micros, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
+        if kind == ListUpdateKind::Failed {
             // Instances that request the list at once and retry at once keep the list service overloaded;
             // retries back off with jitter.
             let wait = (LIST_RETRY << self.list_failures.min(LIST_RETRY_MOST)) as f64;
@@ -325,21 +325,21 @@
             self.list_due = if self.settings.list_on_request { at } else { Micros::MAX };
             return self.arm();
         }
-        if kind != ListKind::Kept {
+        if kind != ListUpdateKind::Restored {
             (self.list_failures, self.list_due) = (0, Micros::MAX);
         }
-        if kind != ListKind::Changes {
-            self.nodes.iter_mut().for_each(|node| node.entry.standing = Standing::Gone);
+        if kind != ListUpdateKind::Delta {
+            self.nodes.iter_mut().for_each(|node| node.entry.state = NodeState::Gone);
         }
         let same = entries.into_iter().map(|entry| self.enter(now, entry)).fold(true, |a, b| a & b);
-        let ready = |&n: &usize| self.of_origin(n) && self.nodes[n].entry.standing == Standing::Ready;
+        let ready = |&n: &usize| self.of_origin(n) && self.nodes[n].entry.state == NodeState::Ready;
         self.origin.node = (0..self.nodes.len()).find(ready);
-        (!same || kind != ListKind::Changes).then(|| self.build_slots());
+        (!same || kind != ListUpdateKind::Delta).then(|| self.build_slots());
         self.upkeep(now);
     }
 
     /// The timer with this label has fired.
-    pub fn timer(&mut self, now: Micros, label: u64) {
+    pub fn on_timer(&mut self, now: Micros, label: u64) {
         if label == WAKE && now >= self.next_wake {
             self.next_wake = Micros::MAX;
             self.upkeep(now);
@@ -348,7 +348,7 @@
 
     /// Sets the rate of fetches per second that the fleet grants this proxy at the origin; `None` for no
     /// limit. Returns how many fetches have been requested so far, sent or not.
-    pub fn granted(&mut self, now: Micros, rate: Option<f64>) -> u64 {
+    pub fn set_origin_fetch_rate(&mut self, now: Micros, rate: Option<f64>) -> u64 {
         self.origin.apart = rate.map_or(0, |rate| (1e6 / rate.max(1e-3)) as Micros);
         self.origin.turn = self.origin.turn.min(now + GRANT_AHEAD + self.origin.apart);
         self.fetch_queued(now);
@@ -357,17 +357,17 @@
     }
 
     /// Caches that stopped answering this proxy and have not answered since.
-    pub fn silent(&self) -> Vec<NodeId> {
+    pub fn silent_caches(&self) -> Vec<NodeId> {
         self.nodes.silent(self.settings.origin_kind)
     }
 
     /// Another proxy probes this silent node until then, or, if that is past, got an answer from it.
-    pub fn tried_by_others(&mut self, node: &NodeId, until: Micros) {
+    pub fn defer_probe(&mut self, node: &NodeId, until: Micros) {
         self.nodes.put_off(node, until);
     }
 
     /// Number of listed caches that are passed over now, because they drain or were ejected.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn count_avoided_caches(&self, now: Micros) -> usize {
         (0..self.nodes.len()).filter(|&n| !self.of_origin(n) && self.nodes[n].avoided(now)).count()
     }
 
@@ -376,30 +376,30 @@
     }
 
     /// Applies a list entry; returns whether the slot tables stay valid.
-    fn enter(&mut self, now: Micros, mut entry: Entry) -> bool {
-        let told = if entry.size > 0.0 && entry.size.is_finite() { entry.size } else { 0.0 };
+    fn enter(&mut self, now: Micros, mut entry: NodeEntry) -> bool {
+        let told = if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 0.0 };
         // A live weight falls with load. Used as the capacity, it would move keys at every list update, and
         // all proxies away from a node together. The largest weight listed for the kind is the capacity: of
         // many nodes of a kind, some are always idle.
         let kind = self.kinds.entry(entry.kind).or_default();
         kind.most = kind.most.max(told);
-        entry.size = match self.settings.sizes {
-            Sizes::Declared if told > 0.0 => told,
-            Sizes::Live if kind.most > 0.0 => kind.most,
+        entry.weight = match self.settings.weight_mode {
+            WeightMode::Declared if told > 0.0 => told,
+            WeightMode::Live if kind.most > 0.0 => kind.most,
             _ => 1.0,
         };
         let node = self.nodes.of(&entry.node, now, FORGOTTEN);
         // Listed start times may be off, so a node listed as started long ago may still be cold. It counts as
         // started at the latest time possible, but no later than when that start was first listed.
         let told_start = std::mem::replace(&mut node.told_start, entry.started_at);
-        if entry.started_at > 0 && self.settings.start_drift > 0 {
-            let latest = (entry.started_at + self.settings.start_drift).min(now);
+        if entry.started_at > 0 && self.settings.max_start_time_error > 0 {
+            let latest = (entry.started_at + self.settings.max_start_time_error).min(now);
             entry.started_at = if told_start == entry.started_at { node.entry.started_at } else { latest };
         }
         node.places = self.places.holding(&entry);
         let old = &node.entry;
-        let same = (old.standing, old.size, old.kind, old.zone)
-            == (entry.standing, entry.size, entry.kind, entry.zone);
+        let same = (old.state, old.weight, old.kind, old.zone)
+            == (entry.state, entry.weight, entry.kind, entry.zone);
         if entry.started_at != node.entry.started_at {
             // A restarted node has the same id as before, but its cache is empty.
             (node.strikes, node.skip_until, node.sent) = (0, 0, Pace::default());
@@ -407,8 +407,8 @@
         // In a fleet of hundreds, each proxy uses a node about twice a minute and notices its overload only
         // when that is over, so the load in the list is used. All proxies see the same list: each moves away
         // a random part of its reads, or all would leave and return together.
-        if self.settings.sizes == Sizes::Live && told > 0.0 {
-            node.left(entry.size / told - 1.0, HELD, LEAVE_MOST, LEAVE_FALL);
+        if self.settings.weight_mode == WeightMode::Live && told > 0.0 {
+            node.left(entry.weight / told - 1.0, HELD, LEAVE_MOST, LEAVE_FALL);
         }
         node.entry = entry;
         same
@@ -420,16 +420,16 @@
     fn build_slots(&mut self) {
         let mut ready: Vec<usize> = (0..self.nodes.len()).filter(|&n| self.is_cache(n)).collect();
         ready.sort_by(|&a, &b| self.nodes[a].entry.node.cmp(&self.nodes[b].entry.node));
-        let live = self.settings.sizes == Sizes::Live;
+        let live = self.settings.weight_mode == WeightMode::Live;
         for node in self.nodes.iter_mut() {
             let kind = self.kinds.entry(node.entry.kind).or_default();
-            node.entry.size = if live && kind.most > 0.0 { kind.most } else { node.entry.size };
-            node.size = node.entry.size * (kind.level / SPEED_STEPS).exp2();
+            node.entry.weight = if live && kind.most > 0.0 { kind.most } else { node.entry.weight };
+            node.size = node.entry.weight * (kind.level / SPEED_STEPS).exp2();
         }
         self.caches.ready = ready.len();
         self.caches.size = ready.iter().map(|&n| self.nodes[n].size).sum();
         // Weights have no unit. They are scaled by a power of two near their mean, which rarely changes.
-        let listed: f64 = ready.iter().map(|&n| self.nodes[n].entry.size).sum();
+        let listed: f64 = ready.iter().map(|&n| self.nodes[n].entry.weight).sum();
         let unit = (listed / ready.len().max(1) as f64).max(1e-9).log2().round().exp2();
         let claims = |n: usize| (CLAIMS * (self.nodes[n].size / unit).min(8.0)).ceil() as u64;
         let table = |place| {
@@ -454,7 +454,7 @@
     }
 
     fn is_cache(&self, n: usize) -> bool {
-        self.nodes[n].entry.standing == Standing::Ready && !self.of_origin(n)
+        self.nodes[n].entry.state == NodeState::Ready && !self.of_origin(n)
     }
 
     /// Whether a cache node may get a request now. A cold node accepts a fraction of the values of `lot`, and
@@ -480,9 +480,9 @@
         // Turns go by proxy number: one proxy at a time in a small fleet, else a group of proxies.
         let most = if self.thin(now) { TURN_GROUPS } else { self.settings.fleet_size };
         let groups = ((turns / TURN) as u32).min(most).max(1);
-        let turn = (now / TURN) as u32 % groups == self.settings.index % groups;
+        let turn = (now / TURN) as u32 % groups == self.settings.proxy_index % groups;
         // In an overload, warm nodes are sent more than they can accept, so the accepted requests count.
-        let lately = |pace: &Pace| pace.now(now, self.settings.fall);
+        let lately = |pace: &Pace| pace.now(now, self.settings.cold_overload_window);
         let (taken, sent) = (lately(&self.caches.taken), lately(&self.caches.sent));
         // Reducing the share by what warm nodes refused left cold nodes idle in large fleets. There, cold
         // nodes get first choices only and nothing that other nodes refused, so their load follows the
@@ -497,8 +497,8 @@
         // each proxy reaches a cold node only by chance, and the share above limits that.
         let most = COLD_MARGIN * fair * node.size * warmth;
         let turn = unit(draw(
-            node.id_hash ^ u64::from(self.settings.index),
-            (now / self.settings.fall.max(1)) as u64,
+            node.id_hash ^ u64::from(self.settings.proxy_index),
+            (now / self.settings.cold_overload_window.max(1)) as u64,
         ));
         lately(&node.sent) < if self.thin(now) { most + 1.0 } else { (most + turn).floor() }
     }
@@ -534,7 +534,7 @@
         // If cross-zone attempts cost more than a copy in each zone, the home is the key's first cache in
         // this zone, and the spare the first one elsewhere.
         let near = |&n: &usize| self.nodes[n].entry.zone == self.settings.zone;
-        if self.settings.cross_price > COPY_PRICE * f64::from(self.settings.zones) {
+        if self.settings.cross_zone_cost > COPY_PRICE * f64::from(self.settings.zone_count) {
             let (home, spare) = (ranks.iter().copied().find(near), ranks.iter().copied().find(|n| !near(n)));
             ranks.sort_by_key(|&n| (Some(n) != home, Some(n) != spare));
         }
@@ -570,7 +570,7 @@
 
     fn ask_cache(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let fetches = self.settings.aside && !request.write;
+        let fetches = self.settings.cache_aside && !request.write;
         let last = request.attempts.len() + 1 == request.attempts_most;
         match self.choose(now, request) {
             // A miss on the last attempt would leave none for the fetch.
@@ -591,7 +591,7 @@
         self.alone(now, id);
         for follower in join.followers {
             self.requests.unhold(&follower);
-            match self.settings.aside {
+            match self.settings.cache_aside {
                 true => self.missed(now, &follower, join.node),
                 false => self.read_through(now, &follower, key.clone()),
             }
@@ -617,7 +617,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         request.missed_at = Some(node);
         let key = request.key.clone();
-        if request.write || !self.settings.aside {
+        if request.write || !self.settings.cache_aside {
             return self.ask_cache(now, id);
         }
         if self.joins.contains_key(&key) {
@@ -662,7 +662,7 @@
     }
 
     fn alone(&mut self, now: Micros, id: &RequestId) {
-        if self.settings.aside { self.fetch(now, id) } else { self.ask_cache(now, id) }
+        if self.settings.cache_aside { self.fetch(now, id) } else { self.ask_cache(now, id) }
     }
 
     /// Whether one more request may be sent to the origin. Writes have a higher limit than fetches.
@@ -674,7 +674,7 @@
     }
 
     fn may_fetch(&self, now: Micros) -> bool {
-        self.settings.aside && self.origin.node.is_some_and(|o| self.origin_has_room(now, o, false))
+        self.settings.cache_aside && self.origin.node.is_some_and(|o| self.origin_has_room(now, o, false))
     }
 
     /// Sends the request to the origin, or queues it until the origin has room.
@@ -741,16 +741,16 @@
         // A follower is sent to the cache where its leader missed, which its own class may not be allowed to
         // use.
         let open = self.of_origin(n) || node.open_to(self.places.of(request.class));
-        if over || out || !open || node.entry.standing != Standing::Ready {
+        if over || out || !open || node.entry.state != NodeState::Ready {
             return false;
         }
         let Some(first) = request.may_have_run() else { return true };
-        match case.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
+        match case.idempotency {
+            Idempotency::Safe => true,
+            Idempotency::Unsafe => false,
             // A repeat that waits for its connection could be sent after the deduplication window has ended.
-            Effect::Keyed if now + self.settings.dial_within >= first.sent_at + case.memory => false,
-            Effect::Keyed => node.in_group(&self.nodes[first.node], case.group),
+            Idempotency::Keyed if now + self.settings.dial_timeout >= first.sent_at + case.dedup_window => false,
+            Idempotency::Keyed => node.in_group(&self.nodes[first.node], case.dedup_scope),
         }
     }
 
@@ -758,10 +758,10 @@
     fn may_refuse(&self, now: Micros, request: &Request) -> bool {
         let case = &self.settings.classes[request.class];
         match request.may_have_run() {
-            Some(first) if case.effect == Effect::Keyed => {
-                case.group == Group::All && first.ending.is_some() && now < first.sent_at + case.memory
+            Some(first) if case.idempotency == Idempotency::Keyed => {
+                case.dedup_scope == DedupScope::All && first.ending.is_some() && now < first.sent_at + case.dedup_window
             }
-            Some(_) => case.effect == Effect::Safe,
+            Some(_) => case.idempotency == Idempotency::Safe,
             None => true,
         }
     }
@@ -780,7 +780,7 @@
         let patience = (times.mean + PATIENCE * times.deviation).max(floor) as Micros;
         let allow_for = if at_origin || request.write { left } else { patience.min(left) };
         let node = &mut self.nodes[n];
-        node.sent.add(now, self.settings.fall);
+        node.sent.add(now, self.settings.cold_overload_window);
         node.asked.add(now, HEAT_FADE);
         node.in_flight += 1;
         if at_origin {
@@ -792,9 +792,9 @@
                 zone.tried_at = now;
             }
             self.caches.in_flight += 1;
-            self.caches.sent.add(now, self.settings.fall);
+            self.caches.sent.add(now, self.settings.cold_overload_window);
         }
-        self.host.attempt(id, &node.entry.node, allow_for);
+        self.host.start_attempt(id, &node.entry.node, allow_for);
         if let Some(request) = self.requests.get_mut(id) {
             request.attempts.push(Attempt { node: n, sent_at: now, ending: None });
         }
@@ -803,7 +803,7 @@
     fn give_up(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         match self.may_refuse(now, request) {
-            true => self.host.refuse(id, STAY_AWAY.min(self.settings.max_stay_away)),
+            true => self.host.refuse(id, STAY_AWAY.min(self.settings.max_retry_after)),
             false => self.host.fail(id),
         }
         self.finish(now, id, false, 0);
@@ -819,7 +819,7 @@
             return;
         }
         let followers = self.joins.remove(&request.key).map_or(Vec::new(), |j| j.followers);
-        if served && !self.settings.aside {
+        if served && !self.settings.cache_aside {
             self.joins.insert(request.key, Join { node, served_at: now, ..Join::default() });
         }
         for follower in followers {
@@ -844,7 +844,7 @@
         let at = self.requests.first_due().min(self.list_due).min(fetch);
         if at < self.next_wake {
             self.next_wake = at;
-            self.host.wake_at(WAKE, at);
+            self.host.set_timer(WAKE, at);
         }
     }
 
@@ -857,23 +857,23 @@
         }
         self.fetch_queued(now);
         if self.list_due <= now {
-            self.host.watch_list();
+            self.host.subscribe_to_list();
             // Without an answer, requests the list again before the proxy is expected to know its contents.
-            self.list_due = now + self.settings.ask_within / 2;
+            self.list_due = now + self.settings.max_list_refresh_interval / 2;
         }
         self.arm();
     }
 
-    fn observe(&mut self, now: Micros, n: usize, outcome: &Outcome, target: Option<f64>) {
+    fn observe(&mut self, now: Micros, n: usize, outcome: &AttemptOutcome, target: Option<f64>) {
         let at_origin = self.of_origin(n);
-        let (wait, sent_at) = (outcome.wait, now - outcome.wait);
+        let (wait, sent_at) = (outcome.latency, now - outcome.latency);
         let (mean, thin) = (self.caches.times.mean, self.thin(now));
         let node = &mut self.nodes[n];
         node.in_flight = node.in_flight.saturating_sub(1);
-        let silent = matches!(outcome.ending, Ending::TimedOut | Ending::Reset | Ending::ConnectFailed);
+        let silent = matches!(outcome.status, AttemptStatus::TimedOut | AttemptStatus::Reset | AttemptStatus::ConnectFailed);
         let fault =
-            silent || matches!((outcome.ending, at_origin), (Ending::Error, _) | (Ending::Spoilt, false));
-        if fault || matches!(outcome.ending, Ending::Served | Ending::Miss) {
+            silent || matches!((outcome.status, at_origin), (AttemptStatus::Error, _) | (AttemptStatus::InvalidResponse, false));
+        if fault || matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss) {
             node.faults.learn(now, f64::from(u8::from(fault)), SMOOTHING, ESTIMATE_AGE);
         }
         // A node that accepts requests and answers none, or answers most at once with an error, looks idle
@@ -887,17 +887,17 @@
         if silent && !at_origin && zone.heard_at <= sent_at {
             zone.silent += u32::from(node.strikes == 0);
             (zone.silent >= ZONE_SILENT).then(|| zone.strike(now, SKIP_FIRST, SKIP_DOUBLINGS));
-        } else if !silent && !matches!(outcome.ending, Ending::Cancelled | Ending::NotSent) {
+        } else if !silent && !matches!(outcome.status, AttemptStatus::Cancelled | AttemptStatus::NotSent) {
             *zone = Zone { heard_at: now, ..Zone::default() };
         }
-        match outcome.ending {
+        match outcome.status {
             _ if struck => node.strike(now, SKIP_FIRST, SKIP_DOUBLINGS),
-            Ending::Served | Ending::Miss | Ending::Full | Ending::Error | Ending::Spoilt => {
+            AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Full | AttemptStatus::Error | AttemptStatus::InvalidResponse => {
                 (node.heard_at, node.strikes, node.skip_until) = (now, 0, 0);
-                match outcome.ending {
-                    Ending::Full => node.full_until = now + (mean * FULL_SHARE) as Micros,
-                    Ending::Served if !at_origin => self.caches.taken.add(now, self.settings.fall),
-                    Ending::Miss if thin => self.caches.taken.add(now, self.settings.fall),
+                match outcome.status {
+                    AttemptStatus::Full => node.full_until = now + (mean * FULL_SHARE) as Micros,
+                    AttemptStatus::Served if !at_origin => self.caches.taken.add(now, self.settings.cold_overload_window),
+                    AttemptStatus::Miss if thin => self.caches.taken.add(now, self.settings.cold_overload_window),
                     _ => {}
                 }
             }
@@ -907,19 +907,19 @@
             return self.learn_origin(now, outcome, struck);
         }
         self.caches.in_flight = self.caches.in_flight.saturating_sub(1);
-        let used = match outcome.ending {
-            Ending::Cancelled | Ending::NotSent => return,
-            Ending::Full | Ending::ConnectFailed => FULL_USED,
+        let used = match outcome.status {
+            AttemptStatus::Cancelled | AttemptStatus::NotSent => return,
+            AttemptStatus::Full | AttemptStatus::ConnectFailed => FULL_USED,
             _ => target.map_or(self.caches.target_used.mean, |target| wait as f64 / target.max(1.0)),
         };
         // A proxy that uses a node twice a minute must not judge it by answers that are minutes old, so old
         // samples lose weight. A refusal is a momentary state and does not outweigh them.
-        let full = matches!(outcome.ending, Ending::Full | Ending::ConnectFailed);
+        let full = matches!(outcome.status, AttemptStatus::Full | AttemptStatus::ConnectFailed);
         let age = if full { f64::INFINITY } else { ESTIMATE_AGE };
         node.target_used.learn(now, used, NODE_SMOOTHING, age);
         // Time-outs at unreachable nodes would raise the mean answer time, and with it the time-out of all
         // attempts.
-        if matches!(outcome.ending, Ending::Served | Ending::Miss | Ending::TimedOut) && !struck {
+        if matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::TimedOut) && !struck {
             node.time.learn(now, wait as f64, NODE_SMOOTHING, age);
             node.learn_least(wait as f64, BEST_DRIFT);
             self.caches.times.learn(wait, SMOOTHING);
@@ -944,32 +944,32 @@
         }
     }
 
-    fn learn_origin(&mut self, now: Micros, outcome: &Outcome, struck: bool) {
-        if outcome.ending == Ending::Served {
+    fn learn_origin(&mut self, now: Micros, outcome: &AttemptOutcome, struck: bool) {
+        if outcome.status == AttemptStatus::Served {
             // A proxy that fetches every few seconds would consider the origin slow long after it recovered,
             // so old samples lose weight.
-            self.origin.answers(now, outcome.wait, SMOOTHING, ORIGIN_AGE);
+            self.origin.answers(now, outcome.latency, SMOOTHING, ORIGIN_AGE);
             self.origin.best = (self.origin.best * ORIGIN_DRIFT).min(self.origin.times.mean);
         }
         // A refusal takes no time, so a limit on concurrent fetches does not slow down refused ones: twelve
         // proxies with room for six fetches sent thirteen for each that was accepted, and larger fleets send
         // more. Refusals therefore use up credit.
-        match outcome.ending {
-            Ending::Served => self.origin.pays(EARNS, EARNED_MOST),
-            Ending::Full => {
+        match outcome.status {
+            AttemptStatus::Served => self.origin.pays(EARNS, EARNED_MOST),
+            AttemptStatus::Full => {
                 self.origin.refuses(now, -EARNS, PROBE_DOUBLINGS, || self.rng.random_range(0.5..1.5))
             }
             _ => {}
         }
         // A refusal on a new connection means that the connection table is full, not that the origin is
         // overloaded.
-        let refused = outcome.ending == Ending::Full && !outcome.first;
-        if refused || outcome.ending == Ending::Served {
+        let refused = outcome.status == AttemptStatus::Full && !outcome.first_on_connection;
+        if refused || outcome.status == AttemptStatus::Served {
             self.origin.refused.learn(now, f64::from(u8::from(refused)), NODE_SMOOTHING, f64::INFINITY);
         }
-        let strained = match outcome.ending {
-            Ending::Served => self.origin.slow(FETCH_SLOW),
-            Ending::Miss | Ending::Cancelled | Ending::NotSent | Ending::Spoilt | Ending::Unknown => return,
+        let strained = match outcome.status {
+            AttemptStatus::Served => self.origin.slow(FETCH_SLOW),
+            AttemptStatus::Miss | AttemptStatus::Cancelled | AttemptStatus::NotSent | AttemptStatus::InvalidResponse | AttemptStatus::Unknown => return,
             // Refusals do not reduce the limit. Single ones occur by chance, and each reduced the limit of
             // one proxy among a hundred to one fetch per second. They already use up credit, and a limit
             // reduced as well would take long to recover.
@@ -979,7 +979,7 @@
         // It makes up for the answer times that have passed.
         let cuts = self.origin.silence(now).clamp(1, STEPS_MOST) as i32;
         let used = self.origin.node.map_or(0, |o| self.nodes[o].in_flight + 1);
-        if outcome.ending == Ending::Served && !strained && f64::from(used) >= self.origin.most / 2.0 {
+        if outcome.status == AttemptStatus::Served && !strained && f64::from(used) >= self.origin.most / 2.0 {
             self.origin.most += 1.0 / self.origin.most.max(1.0);
         } else if strained && now - self.origin.cut_at >= self.origin.times.expected() {
             self.origin.most = (self.origin.most * FETCHES_CUT.powi(cuts)).max(FETCHES_LEAST);
--- a/crates/flintwell-core/src/state.rs
+++ b/crates/flintwell-core/src/state.rs
@@ -1,7 +1,7 @@
 //! State of the policy: requests, nodes, estimates and the slot table. Decisions are made in `policy`.
 
 use crate::interface::{
-    Arrival, Class, Ending, Entry, Group, Key, Micros, NodeId, RequestId, Settings, Standing,
+    IncomingRequest, Class, AttemptStatus, NodeEntry, DedupScope, Key, Micros, NodeId, RequestId, Settings, NodeState,
 };
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
@@ -15,7 +15,7 @@
 pub(crate) struct Attempt {
     pub node: usize,
     pub sent_at: Micros,
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptStatus>,
 }
 
 /// What a request without an attempt in flight waits for.
@@ -55,7 +55,7 @@
 
 impl Request {
     pub fn new(
-        arrival: Arrival,
+        arrival: IncomingRequest,
         arrived: Micros,
         useful_until: Micros,
         attempts_most: usize,
@@ -66,7 +66,7 @@
             class: arrival.class,
             slot: hash(&key),
             key,
-            write: arrival.write,
+            write: arrival.is_write,
             arrived,
             deadline: arrival.deadline,
             useful_until,
@@ -153,7 +153,7 @@
 #[derive(Default)]
 pub(crate) struct Node {
     /// Latest list entry; its weight is 1 if weights carry no information.
-    pub entry: Entry,
+    pub entry: NodeEntry,
     pub in_flight: u32,
     pub heard_at: Micros,
     pub strikes: u32,
@@ -216,18 +216,18 @@
     }
     /// Whether the node is listed but gets no requests, except for probes.
     pub fn avoided(&self, now: Micros) -> bool {
-        match self.entry.standing {
-            Standing::Ready => now < self.skip_until,
-            Standing::Draining => true,
-            Standing::Gone => false,
+        match self.entry.state {
+            NodeState::Ready => now < self.skip_until,
+            NodeState::Draining => true,
+            NodeState::Gone => false,
         }
     }
     /// Whether both nodes deduplicate the same requests.
-    pub fn in_group(&self, other: &Node, group: Group) -> bool {
+    pub fn in_group(&self, other: &Node, group: DedupScope) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.entry.zone == other.entry.zone,
-            Group::Cell => self.entry.cell == other.entry.cell,
+            DedupScope::All => true,
+            DedupScope::Zone => self.entry.zone == other.entry.zone,
+            DedupScope::Cell => self.entry.cell == other.entry.cell,
         }
     }
 }
@@ -272,7 +272,7 @@
         self.of_case[class]
     }
     /// Bits of the filters that a node with this entry passes.
-    pub fn holding(&self, entry: &Entry) -> u64 {
+    pub fn holding(&self, entry: &NodeEntry) -> u64 {
         let within =
             |allowed: &Option<Vec<u32>>, one| allowed.as_ref().is_none_or(|allowed| allowed.contains(&one));
         let holds = |place: &Place| within(&place.kinds, entry.kind) && within(&place.zones, entry.zone);
@@ -336,7 +336,7 @@
     /// otherwise.
     pub fn of(&mut self, id: &NodeId, now: Micros, long: Micros) -> &mut Node {
         let forgotten = |node: &Node| {
-            node.entry.standing == Standing::Gone && node.in_flight == 0 && now - node.sent.at > long
+            node.entry.state == NodeState::Gone && node.in_flight == 0 && now - node.sent.at > long
         };
         let n = self.find(id).unwrap_or_else(|| {
             let n = self.all.iter().position(forgotten).unwrap_or(self.all.len());
--- a/crates/flintwell-core/tests/module/rules.rs
+++ b/crates/flintwell-core/tests/module/rules.rs
@@ -5,18 +5,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const ENDINGS: [Ending; 11] = [
-    Ending::Served,
-    Ending::Miss,
-    Ending::Full,
-    Ending::Error,
-    Ending::TimedOut,
-    Ending::ConnectFailed,
-    Ending::Reset,
-    Ending::Cancelled,
-    Ending::NotSent,
-    Ending::Unknown,
-    Ending::Spoilt,
+const ENDINGS: [AttemptStatus; 11] = [
+    AttemptStatus::Served,
+    AttemptStatus::Miss,
+    AttemptStatus::Full,
+    AttemptStatus::Error,
+    AttemptStatus::TimedOut,
+    AttemptStatus::ConnectFailed,
+    AttemptStatus::Reset,
+    AttemptStatus::Cancelled,
+    AttemptStatus::NotSent,
+    AttemptStatus::Unknown,
+    AttemptStatus::InvalidResponse,
 ];
 
 /// What happens next; the numbers pick a class, key, node, request or ending.
@@ -34,13 +34,13 @@
         }
         9..=12 => play.pass(Micros::from(c % 120) * MS),
         13 => {
-            let standing = [Standing::Ready, Standing::Draining, Standing::Gone][b % 3];
+            let standing = [NodeState::Ready, NodeState::Draining, NodeState::Gone][b % 3];
             let started = if c.is_multiple_of(2) { 0 } else { now };
-            play.list(ListKind::Changes, vec![entry(a as u32 % 7, standing, started)]);
+            play.list(ListUpdateKind::Delta, vec![entry(a as u32 % 7, standing, started)]);
         }
         14 => {
             let entries = (0..7).filter(|n| (b >> n) & 1 == 1 || *n == 0);
-            play.list(ListKind::Whole, entries.map(|n| entry(n, Standing::Ready, 0)).collect());
+            play.list(ListUpdateKind::Snapshot, entries.map(|n| entry(n, NodeState::Ready, 0)).collect());
         }
         15 if !ids.is_empty() => {
             let id = ids[a % ids.len()].clone();
@@ -48,15 +48,15 @@
             if open {
                 play.world.0.borrow_mut().requests.get_mut(&id).expect("known").answer = Some("gone");
             }
-            play.policy.request_gone(now, &id);
+            play.policy.on_request_closed(now, &id);
         }
-        16 => play.policy.list(now, ListKind::Failed, Vec::new()),
+        16 => play.policy.on_list_update(now, ListUpdateKind::Failed, Vec::new()),
         // Each class is another one's, with fewer attempts; those in hand know nothing of it.
         _ => {
             let mut other = settings();
             other.classes.rotate_left(a % 7);
             (other.max_attempts, other.fleet_size) = (1 + b % 4, 1 + c);
-            (other.aside, other.quotas) = (play.aside, play.quotas.clone());
+            (other.cache_aside, other.quotas) = (play.aside, play.quotas.clone());
             play.change(other);
         }
     }
@@ -69,7 +69,7 @@
     let outcome = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
         let fleet_size = [2, 400][steps.len() % 2];
         let quotas = [vec![], vec![5.0]][steps.len() / 2 % 2].clone();
-        let mut play = Play::new(Settings { aside, fleet_size, quotas, ..settings() }, 6);
+        let mut play = Play::new(Settings { cache_aside: aside, fleet_size, quotas, ..settings() }, 6);
         let mut ids = Vec::new();
         for what in steps {
             step(&mut play, &mut ids, what);
--- a/crates/flintwell-core/tests/module/world.rs
+++ b/crates/flintwell-core/tests/module/world.rs
@@ -15,7 +15,7 @@
     pub node: NodeId,
     pub at: Micros,
     pub times_out: Micros,
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptStatus>,
 }
 
 pub struct Held {
@@ -32,7 +32,7 @@
     pub now: Micros,
     pub classes: Vec<Class>,
     pub max_attempts: usize,
-    pub listed: BTreeMap<NodeId, Entry>,
+    pub listed: BTreeMap<NodeId, NodeEntry>,
     pub requests: BTreeMap<RequestId, Held>,
     pub wakes: Vec<(Micros, u64)>,
     pub watches: usize,
@@ -57,11 +57,11 @@
 pub struct World(pub Rc<RefCell<Records>>);
 
 impl Host for World {
-    fn attempt(&mut self, id: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, id: &RequestId, node: &NodeId, allow_for: Micros) {
         let mut r = self.0.borrow_mut();
         let now = r.now;
         let to = r.listed.get(node).expect("an attempt to a node never listed").clone();
-        assert_eq!(to.standing, Standing::Ready, "an attempt to a draining or gone node");
+        assert_eq!(to.state, NodeState::Ready, "an attempt to a draining or gone node");
         let request = &r.requests[id];
         assert!(request.answer.is_none(), "an attempt after the final answer");
         assert!(now < request.deadline && request.sent.len() < request.most && allow_for > 0);
@@ -72,15 +72,15 @@
         assert!(to.kind == ORIGIN_KIND || !closed, "{id} sent where its class may not be");
         if let Some(first) = Records::may_have_run(request) {
             let before = &r.listed[&first.node];
-            let group = match case.group {
-                Group::All => true,
-                Group::Zone => before.zone == to.zone,
-                Group::Cell => before.cell == to.cell,
+            let group = match case.dedup_scope {
+                DedupScope::All => true,
+                DedupScope::Zone => before.zone == to.zone,
+                DedupScope::Cell => before.cell == to.cell,
             };
-            let allowed = match case.effect {
-                Effect::Safe => true,
-                Effect::Keyed => group && now < first.at + case.memory,
-                Effect::Unsafe => false,
+            let allowed = match case.idempotency {
+                Idempotency::Safe => true,
+                Idempotency::Keyed => group && now < first.at + case.dedup_window,
+                Idempotency::Unsafe => false,
             };
             assert!(allowed, "{id} might run twice");
         }
@@ -93,9 +93,9 @@
         let request = &r.requests[id];
         if let Some(first) = Records::may_have_run(request) {
             let case = &request.case;
-            let keyed = case.effect == Effect::Keyed && case.group == Group::All;
-            let harmless = keyed && r.now < first.at + case.memory;
-            assert!(case.effect == Effect::Safe || harmless, "{id} refused though it may have run");
+            let keyed = case.idempotency == Idempotency::Keyed && case.dedup_scope == DedupScope::All;
+            let harmless = keyed && r.now < first.at + case.dedup_window;
+            assert!(case.idempotency == Idempotency::Safe || harmless, "{id} refused though it may have run");
         }
         r.end(id, "refused");
     }
@@ -105,23 +105,23 @@
     fn close_idle(&mut self, _: &NodeId) {
         self.0.borrow_mut().closes += 1;
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.0.borrow_mut().wakes.push((at, label));
     }
-    fn watch_list(&mut self) {
+    fn subscribe_to_list(&mut self) {
         self.0.borrow_mut().watches += 1;
     }
 }
 
-pub fn class(effect: Effect, group: Group) -> Class {
+pub fn class(effect: Idempotency, group: DedupScope) -> Class {
     let (latency_target, memory) = (600 * MS, 300 * MS);
     Class {
-        effect,
-        group,
-        memory,
+        idempotency: effect,
+        dedup_scope: group,
+        dedup_window: memory,
         latency_target,
-        target_stretch: 0.0,
-        late_share: 0.0,
+        target_work_factor: 0.0,
+        late_worth: 0.0,
         kinds: None,
         zones: None,
     }
@@ -130,47 +130,47 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::All),
-            class(Effect::Keyed, Group::Zone),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
+            class(Idempotency::Safe, DedupScope::All),
+            class(Idempotency::Keyed, DedupScope::All),
+            class(Idempotency::Keyed, DedupScope::Zone),
+            class(Idempotency::Keyed, DedupScope::Cell),
+            class(Idempotency::Unsafe, DedupScope::All),
             // Bound: to the second zone, and to a kind there.
-            Class { zones: Some(vec![1]), ..class(Effect::Safe, Group::All) },
-            Class { kinds: Some(vec![2]), zones: Some(vec![1]), ..class(Effect::Keyed, Group::Zone) },
+            Class { zones: Some(vec![1]), ..class(Idempotency::Safe, DedupScope::All) },
+            Class { kinds: Some(vec![2]), zones: Some(vec![1]), ..class(Idempotency::Keyed, DedupScope::Zone) },
         ],
         quotas: Vec::new(),
-        aside: true,
+        cache_aside: true,
         origin_kind: Some(ORIGIN_KIND),
-        index: 0,
+        proxy_index: 0,
         zone: 0,
-        zones: 2,
-        cross_price: 0.0,
+        zone_count: 2,
+        cross_zone_cost: 0.0,
         fleet_size: 1,
         max_attempts: 4,
-        max_stay_away: SECOND,
+        max_retry_after: SECOND,
         list_on_request: true,
-        ask_within: 10 * SECOND,
-        sizes: Sizes::None,
+        max_list_refresh_interval: 10 * SECOND,
+        weight_mode: WeightMode::None,
         start_capacity: 0.25,
         ramp_time: 8 * SECOND,
-        start_drift: 0,
-        connection_price: 0.0,
-        fall: 2 * SECOND,
-        dial_within: 0,
+        max_start_time_error: 0,
+        connection_cost: 0.0,
+        cold_overload_window: 2 * SECOND,
+        dial_timeout: 0,
     }
 }
 
-pub fn entry(n: u32, standing: Standing, started_at: Micros) -> Entry {
+pub fn entry(n: u32, standing: NodeState, started_at: Micros) -> NodeEntry {
     // Two kinds of caches.
     let kind = [0, ORIGIN_KIND, 2][if n == 0 { 1 } else { n as usize / 2 % 2 * 2 }];
-    Entry {
+    NodeEntry {
         node: format!("10.0.0.{n}:1").into(),
         zone: n % 2,
         kind,
         cell: n % 3,
-        standing,
-        size: 1.0,
+        state: standing,
+        weight: 1.0,
         started_at,
     }
 }
@@ -191,10 +191,10 @@
             let mut r = world.0.borrow_mut();
             (r.now, r.classes, r.max_attempts) = (now, settings.classes.clone(), settings.max_attempts);
         }
-        let (aside, quotas) = (settings.aside, settings.quotas.clone());
-        let policy = Policy::start(now, settings, 7, world.clone());
+        let (aside, quotas) = (settings.cache_aside, settings.quotas.clone());
+        let policy = Policy::new(now, settings, 7, world.clone());
         let mut play = Play { world, policy, aside, quotas, count: 0 };
-        play.list(ListKind::Whole, (0..=caches).map(|n| entry(n, Standing::Ready, 0)).collect());
+        play.list(ListUpdateKind::Snapshot, (0..=caches).map(|n| entry(n, NodeState::Ready, 0)).collect());
         play
     }
     /// The same, with traffic enough that each cache is met often.
@@ -203,22 +203,22 @@
         for n in 0..caches * 12 {
             let id = play.arrive(0, &format!("warm {n}"), false);
             play.pass(20 * MS);
-            play.end(&id, Ending::Served);
+            play.end(&id, AttemptStatus::Served);
         }
         play
     }
     pub fn now(&self) -> Micros {
         self.world.0.borrow().now
     }
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn list(&mut self, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         {
             let listed = &mut self.world.0.borrow_mut().listed;
-            if kind != ListKind::Changes {
-                listed.values_mut().for_each(|e| e.standing = Standing::Gone);
+            if kind != ListUpdateKind::Delta {
+                listed.values_mut().for_each(|e| e.state = NodeState::Gone);
             }
             listed.extend(entries.iter().map(|e| (e.node.clone(), e.clone())));
         }
-        self.policy.list(self.now(), kind, entries);
+        self.policy.on_list_update(self.now(), kind, entries);
     }
     /// Other settings, and the list anew.
     pub fn change(&mut self, settings: Settings) {
@@ -226,9 +226,9 @@
             let mut r = self.world.0.borrow_mut();
             (r.classes, r.max_attempts) = (settings.classes.clone(), settings.max_attempts);
         }
-        self.policy.change(self.now(), settings);
+        self.policy.apply_settings(self.now(), settings);
         let listed = self.world.0.borrow().listed.values().cloned().collect();
-        self.policy.list(self.now(), ListKind::Kept, listed);
+        self.policy.on_list_update(self.now(), ListUpdateKind::Restored, listed);
     }
     pub fn arrive(&mut self, class: usize, key: &str, write: bool) -> RequestId {
         self.count += 1;
@@ -240,16 +240,16 @@
             r.requests.insert(id.clone(), Held { case, most, deadline, sent: Vec::new(), answer: None });
         }
         let key = Some(Key::from(key));
-        let arrival = Arrival { id: id.clone(), class, tenant: 0, key, deadline, work: None, write };
-        self.policy.request_arrives(self.now(), arrival);
+        let arrival = IncomingRequest { id: id.clone(), class, tenant: 0, key, deadline, expected_work: None, is_write: write };
+        self.policy.on_request(self.now(), arrival);
         id
     }
     /// Ends the attempt that is out, if one is; at the host a success is the request's final answer.
-    pub fn end(&mut self, id: &RequestId, ending: Ending) {
+    pub fn end(&mut self, id: &RequestId, ending: AttemptStatus) {
         self.end_on(id, ending, false);
     }
     /// The same, on a connection opened for it or on a used one.
-    pub fn end_on(&mut self, id: &RequestId, ending: Ending, first: bool) {
+    pub fn end_on(&mut self, id: &RequestId, ending: AttemptStatus, first: bool) {
         let now = self.now();
         let (node, number, wait, settled) = {
             let mut r = self.world.0.borrow_mut();
@@ -258,13 +258,13 @@
             let Some(sent) = request.sent.last_mut().filter(|s| s.ending.is_none()) else { return };
             sent.ending = Some(ending);
             let (node, wait) = (sent.node.clone(), now - sent.at);
-            if ending == Ending::Served && request.answer.is_none() {
+            if ending == AttemptStatus::Served && request.answer.is_none() {
                 request.answer = Some("served");
             }
             (node, number, wait, request.answer.is_some())
         };
-        let outcome = Outcome { number, ending, wait, settled, first };
-        self.policy.outcome(now, id, &node, outcome);
+        let outcome = AttemptOutcome { attempt_index: number, status: ending, latency: wait, request_finished: settled, first_on_connection: first };
+        self.policy.on_attempt_outcome(now, id, &node, outcome);
     }
     /// Lets time pass; timers and time-outs come when due.
     pub fn pass(&mut self, span: Micros) {
@@ -288,9 +288,9 @@
             }
             if let Some(wake) = wake.filter(|w| w.0 == at) {
                 self.world.0.borrow_mut().wakes.retain(|w| *w != wake);
-                self.policy.timer(self.now(), wake.1);
+                self.policy.on_timer(self.now(), wake.1);
             } else if let Some((_, id)) = out {
-                self.end(&id, Ending::TimedOut);
+                self.end(&id, AttemptStatus::TimedOut);
             }
         }
     }
--- a/crates/flintwell-core/tests/ramp.rs
+++ b/crates/flintwell-core/tests/ramp.rs
@@ -37,53 +37,53 @@
 struct Out(Rc<RefCell<Vec<(RequestId, NodeId)>>>);
 
 impl Host for Out {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
         self.0.borrow_mut().push((request.clone(), node.clone()));
     }
     fn refuse(&mut self, _: &RequestId, _: Micros) {}
     fn fail(&mut self, _: &RequestId) {}
     fn close_idle(&mut self, _: &NodeId) {}
-    fn wake_at(&mut self, _: u64, _: Micros) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: u64, _: Micros) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 fn settings(index: usize, fleet: Fleet) -> Settings {
     Settings {
         classes: vec![Class {
-            effect: Effect::Safe,
-            group: Group::All,
-            memory: 0,
+            idempotency: Idempotency::Safe,
+            dedup_scope: DedupScope::All,
+            dedup_window: 0,
             latency_target: 600 * MS,
-            target_stretch: 0.0,
-            late_share: 0.0,
+            target_work_factor: 0.0,
+            late_worth: 0.0,
             kinds: None,
             zones: None,
         }],
         quotas: Vec::new(),
-        aside: true,
+        cache_aside: true,
         origin_kind: Some(1),
-        index: index as u32,
+        proxy_index: index as u32,
         zone: 0,
-        zones: 1,
-        cross_price: 0.0,
+        zone_count: 1,
+        cross_zone_cost: 0.0,
         fleet_size: fleet.proxies as u32,
         max_attempts: 4,
-        max_stay_away: SECOND,
+        max_retry_after: SECOND,
         list_on_request: false,
-        ask_within: 10 * SECOND,
-        sizes: Sizes::None,
+        max_list_refresh_interval: 10 * SECOND,
+        weight_mode: WeightMode::None,
         start_capacity: START,
         ramp_time: RAMP,
-        start_drift: 0,
-        connection_price: 0.0,
-        fall: FALL,
-        dial_within: 0,
+        max_start_time_error: 0,
+        connection_cost: 0.0,
+        cold_overload_window: FALL,
+        dial_timeout: 0,
     }
 }
 
-fn entry(n: usize, kind: u32, started_at: Micros) -> Entry {
+fn entry(n: usize, kind: u32, started_at: Micros) -> NodeEntry {
     let node = format!("server-{n}").into();
-    Entry { node, kind, standing: Standing::Ready, size: 1.0, started_at, ..Entry::default() }
+    NodeEntry { node, kind, state: NodeState::Ready, weight: 1.0, started_at, ..NodeEntry::default() }
 }
 
 /// The most by which all proxies together went beyond what is put down to chance in a window, and how much of what the cold
@@ -93,9 +93,9 @@
     let (outs, mut policies): (Vec<Out>, Vec<Policy<Out>>) = (0..fleet.proxies)
         .map(|n| {
             let out = Out::default();
-            let mut policy = Policy::start(BEGIN, settings(n, fleet), rng.random(), out.clone());
+            let mut policy = Policy::new(BEGIN, settings(n, fleet), rng.random(), out.clone());
             let caches = (0..fleet.servers).map(|n| entry(n, 0, 0));
-            policy.list(BEGIN, ListKind::Whole, caches.chain([entry(9_999, 1, 0)]).collect());
+            policy.on_list_update(BEGIN, ListUpdateKind::Snapshot, caches.chain([entry(9_999, 1, 0)]).collect());
             (out, policy)
         })
         .unzip();
@@ -117,8 +117,8 @@
         while let Some((&(at, number), _)) = ends.first_key_value().filter(|(at, _)| at.0 <= now) {
             let (proxy, id, node) = ends.remove(&(at, number)).expect("it");
             let outcome =
-                Outcome { number: 0, ending: Ending::Served, wait: ANSWER, settled: true, first: false };
-            policies[proxy].outcome(at, &id, &node, outcome);
+                AttemptOutcome { attempt_index: 0, status: AttemptStatus::Served, latency: ANSWER, request_finished: true, first_on_connection: false };
+            policies[proxy].on_attempt_outcome(at, &id, &node, outcome);
         }
         if now >= told && !is_told {
             is_told = true;
@@ -126,7 +126,7 @@
             cold_id = entry(cold, 0, 0).node;
             policies
                 .iter_mut()
-                .for_each(|policy| policy.list(now, ListKind::Changes, vec![entry(cold, 0, now)]));
+                .for_each(|policy| policy.on_list_update(now, ListUpdateKind::Delta, vec![entry(cold, 0, now)]));
         }
         let mut lot = rng.random::<f64>() * total;
         let proxy = weights.iter().position(|weight| {
@@ -139,8 +139,8 @@
         let id: RequestId = format!("r{count}").into();
         let named = Some(Key::from(format!("key-{seed}-{key}")));
         let deadline = now + SECOND;
-        let arrival = Arrival { id, class: 0, tenant: 0, key: named, deadline, work: None, write: false };
-        policies[proxy].request_arrives(now, arrival);
+        let arrival = IncomingRequest { id, class: 0, tenant: 0, key: named, deadline, expected_work: None, is_write: false };
+        policies[proxy].on_request(now, arrival);
         for (id, node) in outs[proxy].0.borrow_mut().drain(..) {
             if node == cold_id && is_told {
                 sent.push(now);
--- a/crates/flintwell-emulator/src/run.rs
+++ b/crates/flintwell-emulator/src/run.rs
@@ -3,8 +3,8 @@
 use crate::node::Node;
 use crate::plan::{Fault, Outcome, Second, Shape};
 use flintwell_core::interface::{
-    Arrival, Class, Effect, Ending, Entry, Group, Host, Key, ListKind, Micros, NodeId, RequestId, Settings,
-    Sizes, Standing,
+    IncomingRequest, Class, Idempotency, AttemptStatus, NodeEntry, DedupScope, Host, Key, ListUpdateKind, Micros, NodeId, RequestId, Settings,
+    WeightMode, NodeState,
 };
 use flintwell_core::policy::Policy;
 use flintwell_membership::member::{self, Id, Mail, Member};
@@ -39,7 +39,7 @@
 struct Out(Rc<RefCell<Vec<Action>>>);
 
 impl Host for Out {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
         self.0.borrow_mut().push(Action::Attempt(request.clone(), node.clone(), allow_for));
     }
     fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
@@ -49,10 +49,10 @@
         self.0.borrow_mut().push(Action::Fail(request.clone()));
     }
     fn close_idle(&mut self, _: &NodeId) {}
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.0.borrow_mut().push(Action::Wake(label, at));
     }
-    fn watch_list(&mut self) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 struct Request {
@@ -83,7 +83,7 @@
     Arrives { proxy: usize, key: u64, again: u32 },
     AtNode { proxy: usize, id: RequestId, node: usize, number: usize, sent: Micros },
     Free(usize),
-    Ends { proxy: usize, id: RequestId, node: usize, number: usize, sent: Micros, ending: Ending },
+    Ends { proxy: usize, id: RequestId, node: usize, number: usize, sent: Micros, ending: AttemptStatus },
     Wakes { proxy: usize, life: u64, label: u64 },
     Datagram { to: usize, bytes: Vec<u8> },
     Ticks { proxy: usize, life: u64 },
@@ -135,36 +135,36 @@
 
 fn settings(shape: &Shape, index: usize) -> Settings {
     let case = Class {
-        effect: Effect::Safe,
-        group: Group::All,
-        memory: 0,
+        idempotency: Idempotency::Safe,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
         latency_target: TARGET,
-        target_stretch: 0.0,
-        late_share: 0.0,
+        target_work_factor: 0.0,
+        late_worth: 0.0,
         kinds: None,
         zones: None,
     };
     Settings {
         classes: vec![case],
         quotas: Vec::new(),
-        aside: true,
+        cache_aside: true,
         origin_kind: Some(1),
-        index: index as u32,
+        proxy_index: index as u32,
         zone: index as u32 % shape.zones,
-        zones: shape.zones,
-        cross_price: 0.0,
+        zone_count: shape.zones,
+        cross_zone_cost: 0.0,
         fleet_size: shape.proxies as u32,
         max_attempts: 4,
-        max_stay_away: 1_500_000,
+        max_retry_after: 1_500_000,
         list_on_request: false,
-        ask_within: 10 * SECOND,
-        sizes: Sizes::None,
+        max_list_refresh_interval: 10 * SECOND,
+        weight_mode: WeightMode::None,
         start_capacity: 0.2,
         ramp_time: 5 * SECOND,
-        start_drift: 0,
-        connection_price: 0.0,
-        fall: 2 * SECOND,
-        dial_within: 0,
+        max_start_time_error: 0,
+        connection_cost: 0.0,
+        cold_overload_window: 2 * SECOND,
+        dial_timeout: 0,
     }
 }
 
@@ -227,16 +227,16 @@
     fn begins(&mut self, n: usize, life: u64) -> Proxy {
         let out = Out::default();
         let seed = self.rng.random();
-        let mut policy = Policy::start(self.now, settings(&self.shape, n), seed, out.clone());
+        let mut policy = Policy::new(self.now, settings(&self.shape, n), seed, out.clone());
         let last = self.nodes.len() - 1;
-        let entry = |(place, (id, _)): (usize, &(NodeId, Node))| Entry {
+        let entry = |(place, (id, _)): (usize, &(NodeId, Node))| NodeEntry {
             node: id.clone(),
             zone: (place % self.shape.zones as usize) as u32,
             kind: u32::from(place == last),
-            standing: Standing::Ready,
-            ..Entry::default()
+            state: NodeState::Ready,
+            ..NodeEntry::default()
         };
-        policy.list(self.now, ListKind::Whole, self.nodes.iter().enumerate().map(entry).collect());
+        policy.on_list_update(self.now, ListUpdateKind::Snapshot, self.nodes.iter().enumerate().map(entry).collect());
         let ms = (self.now / 1_000) as u64;
         let speaks = self.shape.words.then(|| {
             let settings = member::Settings {
@@ -314,7 +314,7 @@
             Event::Wakes { proxy, life, label } => {
                 if self.proxies[proxy].life == life {
                     let now = self.now;
-                    self.proxies[proxy].policy.timer(now, label);
+                    self.proxies[proxy].policy.on_timer(now, label);
                     self.drains(proxy);
                 }
             }
@@ -365,16 +365,16 @@
         let request =
             Request { key, came: now, again, attempts: 0, out: None, over: false, missed: Vec::new() };
         self.proxies[n].requests.insert(id.clone(), request);
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             class: 0,
             tenant: 0,
             key: Some(Key::from(key.to_string())),
             deadline: now + DEADLINE,
-            work: None,
-            write: false,
+            expected_work: None,
+            is_write: false,
         };
-        self.proxies[n].policy.request_arrives(now, arrival);
+        self.proxies[n].policy.on_request(now, arrival);
         self.drains(n);
     }
 
@@ -401,7 +401,7 @@
                             sent + PATH,
                             Event::AtNode { proxy: n, id: id.clone(), node: place, number, sent },
                         );
-                        let ending = Ending::TimedOut;
+                        let ending = AttemptStatus::TimedOut;
                         self.at(
                             sent + allow_for,
                             Event::Ends { proxy: n, id, node: place, number, sent, ending },
@@ -450,7 +450,7 @@
         let (at, ending) = match self.nodes[node].1.takes(now) {
             None => {
                 self.second(now).origin_refused += u64::from(origin);
-                (now + REFUSAL, Ending::Full)
+                (now + REFUSAL, AttemptStatus::Full)
             }
             Some(done) => {
                 self.at(done, Event::Free(node));
@@ -459,18 +459,18 @@
                     missed.iter().for_each(|&cache| {
                         self.nodes[cache].1.values.insert(key);
                     });
-                    (done, Ending::Served)
+                    (done, AttemptStatus::Served)
                 } else if self.nodes[node].1.values.contains(&key) {
-                    (done, Ending::Served)
+                    (done, AttemptStatus::Served)
                 } else {
-                    (done, Ending::Miss)
+                    (done, AttemptStatus::Miss)
                 }
             }
         };
         self.at(at + PATH, Event::Ends { proxy, id, node, number, sent, ending });
     }
 
-    fn ends(&mut self, n: usize, id: &RequestId, node: usize, number: usize, sent: Micros, ending: Ending) {
+    fn ends(&mut self, n: usize, id: &RequestId, node: usize, number: usize, sent: Micros, ending: AttemptStatus) {
         let now = self.now;
         let origin = node + 1 == self.nodes.len();
         let Some(request) = self.proxies[n].requests.get_mut(id) else { return };
@@ -479,25 +479,25 @@
             return;
         }
         request.out = None;
-        if ending == Ending::Miss {
+        if ending == AttemptStatus::Miss {
             request.missed.push(node);
         }
         let before = request.over;
-        request.over |= ending == Ending::Served;
+        request.over |= ending == AttemptStatus::Served;
         let (settled, came) = (request.over, request.came);
         if origin {
             let counted = &mut self.proxies[n].counted;
-            counted.taken += u64::from(ending == Ending::Served);
-            counted.refused += u64::from(ending == Ending::Full);
+            counted.taken += u64::from(ending == AttemptStatus::Served);
+            counted.refused += u64::from(ending == AttemptStatus::Full);
         }
-        if ending == Ending::Served && !before {
+        if ending == AttemptStatus::Served && !before {
             let second = self.second(now);
             second.served += 1;
             second.in_time += u64::from(now <= came + TARGET);
         }
         let (name, wait) = (self.nodes[node].0.clone(), now - sent);
-        let outcome = flintwell_core::interface::Outcome { number, ending, wait, settled, first: false };
-        self.proxies[n].policy.outcome(now, id, &name, outcome);
+        let outcome = flintwell_core::interface::AttemptOutcome { attempt_index: number, status: ending, latency: wait, request_finished: settled, first_on_connection: false };
+        self.proxies[n].policy.on_attempt_outcome(now, id, &name, outcome);
         if settled {
             self.proxies[n].requests.remove(id);
         }
@@ -513,10 +513,10 @@
         let mut mail = Mail::default();
         let proxy = &mut self.proxies[n];
         if let Some((member, share, probes)) = &mut proxy.speaks {
-            proxy.counted.wanted = proxy.policy.granted(now, share.rate(ms));
+            proxy.counted.wanted = proxy.policy.set_origin_fetch_rate(now, share.rate(ms));
             let others = member.others();
             let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
-            let silent = proxy.policy.silent();
+            let silent = proxy.policy.silent_caches();
             let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
             let (hints, probed) = probes.round(ms, &names, &numbers);
             for (node, hint) in hints {
@@ -524,7 +524,7 @@
                     Hint::Leave(ms) => now + ms as Micros * 1_000,
                     Hint::Try => now,
                 };
-                proxy.policy.tried_by_others(&silent[node], until);
+                proxy.policy.defer_probe(&silent[node], until);
             }
             for (to, word) in probed {
                 if let Some(to) = others.iter().find(|other| other.number == to) {
--- a/crates/flintwell-settings/src/lib.rs
+++ b/crates/flintwell-settings/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod listing;
 
-use flintwell_core::interface::{Class, Effect, Group, Micros, Settings, Sizes};
+use flintwell_core::interface::{Class, Idempotency, DedupScope, Micros, Settings, WeightMode};
 use serde_json::Value;
 
 const LONGEST: Micros = 3_000_000; // us; where no class gives a deadline
@@ -44,20 +44,20 @@
     let need = |name: &str| span(name).ok_or_else(|| format!("settings: use_cases needs {}", &name[1..]));
     Ok(Class {
         // An effect or a group that is not known is taken for the strictest.
-        effect: match text(value, "/effect") {
-            Some("safe") => Effect::Safe,
-            Some("keyed") => Effect::Keyed,
-            _ => Effect::Unsafe,
+        idempotency: match text(value, "/effect") {
+            Some("safe") => Idempotency::Safe,
+            Some("keyed") => Idempotency::Keyed,
+            _ => Idempotency::Unsafe,
         },
-        group: match text(value, "/group") {
-            Some("all") => Group::All,
-            Some("zone") => Group::Zone,
-            _ => Group::Cell,
+        dedup_scope: match text(value, "/group") {
+            Some("all") => DedupScope::All,
+            Some("zone") => DedupScope::Zone,
+            _ => DedupScope::Cell,
         },
-        memory: span("/key_ttl").unwrap_or(0),
+        dedup_window: span("/key_ttl").unwrap_or(0),
         latency_target: need("/goal_time")?,
-        target_stretch: number(value, "/aim_stretch").unwrap_or(0.0),
-        late_share: number(value, "/overdue_earnings").unwrap_or(0.0),
+        target_work_factor: number(value, "/aim_stretch").unwrap_or(0.0),
+        late_worth: number(value, "/overdue_earnings").unwrap_or(0.0),
         kinds: places(value, BOUND[0].0, list(conf, BOUND[0].1))?,
         zones: places(value, BOUND[1].0, list(conf, BOUND[1].1))?,
     })
@@ -211,34 +211,34 @@
     Ok(Settings {
         classes: list(conf, "/use_cases").iter().map(|case| class(case, conf)).collect::<Result<_, _>>()?,
         quotas: list(conf, "/realms").iter().map(|r| number(r, "/quota_rps").unwrap_or(f64::MAX)).collect(),
-        aside: text(conf, "/specifics/mode") == Some("aside"),
+        cache_aside: text(conf, "/specifics/mode") == Some("aside"),
         origin_kind: number(conf, "/specifics/origin_kind").filter(|&k| k >= 0.0).map(|k| k as u32),
-        index: number(conf, "/index").unwrap_or(0.0) as u32,
+        proxy_index: number(conf, "/index").unwrap_or(0.0) as u32,
         zone: number(conf, "/locality").unwrap_or(0.0) as u32,
-        zones: list(conf, "/zones").len() as u32,
-        cross_price: number(conf, "/penalties/cross_zone").unwrap_or(0.0),
+        zone_count: list(conf, "/zones").len() as u32,
+        cross_zone_cost: number(conf, "/penalties/cross_zone").unwrap_or(0.0),
         fleet_size: number(conf, "/fleet_size").unwrap_or(1.0) as u32,
         max_attempts: number(conf, "/limits/max_hand_offs").unwrap_or(1.0) as usize,
-        max_stay_away: if flag(conf, "/limits/retry_after") { span("/limits/max_retry_after") } else { 0 },
+        max_retry_after: if flag(conf, "/limits/retry_after") { span("/limits/max_retry_after") } else { 0 },
         list_on_request: text(conf, "/discovery") == Some("on_request"),
-        ask_within: number(conf, "/guarantees/ask_within").map_or(10_000_000, micros),
-        sizes: match text(conf, "/weights") {
-            Some("nominal" | "rough") => Sizes::Declared,
-            Some("live") => Sizes::Live,
-            _ => Sizes::None,
+        max_list_refresh_interval: number(conf, "/guarantees/ask_within").map_or(10_000_000, micros),
+        weight_mode: match text(conf, "/weights") {
+            Some("nominal" | "rough") => WeightMode::Declared,
+            Some("live") => WeightMode::Live,
+            _ => WeightMode::None,
         },
         start_capacity: number(conf, "/guarantees/start_capacity").unwrap_or(1.0),
         ramp_time: span("/guarantees/ramp_time"),
-        start_drift: span("/guarantees/start_drift"),
-        connection_price: match number(conf, "/penalties/connection").unwrap_or(0.0) {
+        max_start_time_error: span("/guarantees/start_drift"),
+        connection_cost: match number(conf, "/penalties/connection").unwrap_or(0.0) {
             // Priced by the hundred.
             open if open > 0.0 => {
                 open / 100.0 / number(conf, "/penalties/handshake").unwrap_or(0.0).max(open / 1e3)
             }
             _ => 0.0,
         },
-        fall: span("/guarantees/fall"),
-        dial_within: span("/limits/dial_timeout"),
+        cold_overload_window: span("/guarantees/fall"),
+        dial_timeout: span("/limits/dial_timeout"),
     })
 }
 
--- a/crates/flintwell-settings/src/listing.rs
+++ b/crates/flintwell-settings/src/listing.rs
@@ -1,7 +1,7 @@
 //! The list of nodes as discovery tells it.
 
 use crate::Network;
-use flintwell_core::interface::{Entry, Micros, NodeId, Standing};
+use flintwell_core::interface::{NodeEntry, Micros, NodeId, NodeState};
 use serde::{Deserialize, Serialize};
 
 /// One entry as it stands on the wire.
@@ -45,22 +45,22 @@
 }
 
 impl Line {
-    pub fn entry(&self, network: &Network) -> Entry {
+    pub fn entry(&self, network: &Network) -> NodeEntry {
         let place = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u32::MAX, |place| place as u32)
         };
-        Entry {
+        NodeEntry {
             node: NodeId::from(&*self.id),
             zone: place(&network.zones, &self.zone),
             kind: place(&network.kinds, &self.kind),
             cell: self.cell,
             // A standing that is not known is no leave to send.
-            standing: match &*self.state {
-                "ready" => Standing::Ready,
-                "gone" => Standing::Gone,
-                _ => Standing::Draining,
+            state: match &*self.state {
+                "ready" => NodeState::Ready,
+                "gone" => NodeState::Gone,
+                _ => NodeState::Draining,
             },
-            size: self.weight,
+            weight: self.weight,
             started_at: (self.started_ms * 1e3) as Micros,
         }
     }
--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -1,7 +1,7 @@
 //! Reads each event by position straight into a call, and writes each answer straight into the reply.
 
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, Key, ListKind, Micros, NodeId, Outcome, RequestId, Standing,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, Key, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, NodeState,
 };
 use flintwell_core::policy::Policy;
 use flintwell_settings::{decode, micros};
@@ -80,7 +80,7 @@
 }
 
 impl Host for SimHost {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
         self.act("submit_to", |r| {
             r.push(b',');
             push_text(r, request);
@@ -110,7 +110,7 @@
             push_text(r, node);
         });
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.act("set_timer", |r| {
             r.push(b',');
             push_number(r, label);
@@ -118,23 +118,23 @@
             push_seconds(r, at);
         });
     }
-    fn watch_list(&mut self) {
+    fn subscribe_to_list(&mut self) {
         self.act("watch", |r| r.extend_from_slice(b",true"));
     }
 }
 
-fn ending(code: i64) -> Ending {
+fn ending(code: i64) -> AttemptStatus {
     match code {
-        200 => Ending::Served,
-        502 => Ending::Error,
-        429 => Ending::Full,
-        408 => Ending::TimedOut,
-        521 => Ending::ConnectFailed,
-        520 => Ending::Reset,
-        444 => Ending::Cancelled,
-        409 => Ending::NotSent,
-        204 => Ending::Miss,
-        _ => Ending::Unknown,
+        200 => AttemptStatus::Served,
+        502 => AttemptStatus::Error,
+        429 => AttemptStatus::Full,
+        408 => AttemptStatus::TimedOut,
+        521 => AttemptStatus::ConnectFailed,
+        520 => AttemptStatus::Reset,
+        444 => AttemptStatus::Cancelled,
+        409 => AttemptStatus::NotSent,
+        204 => AttemptStatus::Miss,
+        _ => AttemptStatus::Unknown,
     }
 }
 
@@ -253,67 +253,67 @@
                 let conf: Value = fields.need("conf")?;
                 let settings = decode(&conf).map_err(|e| A::Error::custom(format!("event begin: {e}")))?;
                 let host = SimHost { instance, reply: self.proxies.reply.clone() };
-                self.proxies.running.insert(instance, Policy::start(now, settings, seed, host));
+                self.proxies.running.insert(instance, Policy::new(now, settings, seed, host));
             }
             "shutdown" => {
                 self.proxies.running.remove(&instance);
             }
             "incoming" => {
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     id: fields.id("msg_id")?,
                     class: fields.need("qos")?,
                     tenant: fields.maybe("org")?.unwrap_or(0),
                     key: fields.maybe::<Text>("item")?.map(|t| Key::from(t.0)),
                     deadline: fields.time("deadline")?,
-                    work: fields.maybe("cost_guess")?.map(micros),
-                    write: {
+                    expected_work: fields.maybe("cost_guess")?.map(micros),
+                    is_write: {
                         fields.maybe::<IgnoredAny>("size")?;
                         fields.maybe::<u64>("marks")?.unwrap_or(0) & WRITE_MARK != 0
                     },
                 };
                 if let Some(policy) = policy.as_mut() {
-                    policy.request_arrives(now, arrival);
+                    policy.on_request(now, arrival);
                 }
             }
             "answer" => {
                 let (id, number) = (fields.id("msg_id")?, fields.need("send_no")?);
                 let node = fields.id("node")?;
-                let outcome = Outcome {
-                    number,
-                    ending: ending(fields.need("ending")?),
-                    wait: fields.time("wait_time")?,
-                    settled: fields.need("settled")?,
-                    first: false,
+                let outcome = AttemptOutcome {
+                    attempt_index: number,
+                    status: ending(fields.need("ending")?),
+                    latency: fields.time("wait_time")?,
+                    request_finished: fields.need("settled")?,
+                    first_on_connection: false,
                 };
                 if let Some(policy) = policy.as_mut() {
-                    policy.outcome(now, &id, &node, outcome);
+                    policy.on_attempt_outcome(now, &id, &node, outcome);
                 }
             }
             "targets" => {
                 let kind = match &*fields.need::<Text>("how")?.0 {
-                    "Partial" => ListKind::Changes,
-                    "Complete" => ListKind::Whole,
-                    "Persisted" => ListKind::Kept,
-                    "Error" => ListKind::Failed,
+                    "Partial" => ListUpdateKind::Delta,
+                    "Complete" => ListUpdateKind::Snapshot,
+                    "Persisted" => ListUpdateKind::Restored,
+                    "Error" => ListUpdateKind::Failed,
                     other => return Err(A::Error::custom(format!("event targets: how: unknown '{other}'"))),
                 };
                 let _version = fields.maybe::<IgnoredAny>("stamp")?;
                 let items = fields.maybe::<Vec<Item>>("items")?.unwrap_or_default();
                 if let Some(policy) = policy.as_mut() {
-                    policy.list(now, kind, items.into_iter().map(Item::entry).collect());
+                    policy.on_list_update(now, kind, items.into_iter().map(Item::entry).collect());
                 }
             }
             "timeout_fired" => {
                 let label = fields.need("label")?;
                 if let Some(policy) = policy.as_mut() {
-                    policy.timer(now, label);
+                    policy.on_timer(now, label);
                 }
             }
             // A stream that has begun is the client's own.
             "vanished" | "begun" => {
                 let id = fields.id("msg_id")?;
                 if let Some(policy) = policy.as_mut() {
-                    policy.request_gone(now, &id);
+                    policy.on_request_closed(now, &id);
                 }
             }
             _ => {}
@@ -336,19 +336,19 @@
 );
 
 impl Item<'_> {
-    fn entry(self) -> Entry {
-        Entry {
+    fn entry(self) -> NodeEntry {
+        NodeEntry {
             node: self.0.into(),
             zone: self.1.unwrap_or(0),
             kind: self.2.unwrap_or(0),
             cell: self.3.unwrap_or(0),
             // A standing that is not known is no leave to send.
-            standing: match self.4.as_deref() {
-                Some("Ready") => Standing::Ready,
-                Some("Gone") => Standing::Gone,
-                _ => Standing::Draining,
+            state: match self.4.as_deref() {
+                Some("Ready") => NodeState::Ready,
+                Some("Gone") => NodeState::Gone,
+                _ => NodeState::Draining,
             },
-            size: self.5.unwrap_or(1.0),
+            weight: self.5.unwrap_or(1.0),
             started_at: self.6.map_or(0, micros),
         }
     }
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -4,7 +4,7 @@
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
 use crate::clients::presence::Presence;
-use flintwell_core::interface::{Arrival, Key, Micros, RequestId};
+use flintwell_core::interface::{IncomingRequest, Key, Micros, RequestId};
 use flintwell_settings::Network;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
@@ -104,15 +104,15 @@
         sent + self.body.takes().as_micros() as Micros + (self.waits - MARGIN).max(0)
     }
 
-    pub fn arrival(&self, deadline: Micros) -> Arrival {
-        Arrival {
+    pub fn arrival(&self, deadline: Micros) -> IncomingRequest {
+        IncomingRequest {
             id: self.id.clone(),
             class: self.class,
             tenant: self.tenant,
             key: self.key.clone(),
             deadline,
-            work: self.work,
-            write: self.method == Method::PUT,
+            expected_work: self.work,
+            is_write: self.method == Method::PUT,
         }
     }
 }
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -8,7 +8,7 @@
 use crate::nodes::link::{Broken, Cause, Link, Stage};
 use crate::requests::dispatcher::Dispatcher;
 use crate::say;
-use flintwell_core::interface::{ListKind, Micros};
+use flintwell_core::interface::{ListUpdateKind, Micros};
 use flintwell_list_watch::Watch;
 use flintwell_settings::listing::Listing;
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
 
     /// The list as it was last had.
     pub fn start(&mut self, known: &Listing) {
-        self.tell(known, ListKind::Kept);
+        self.tell(known, ListUpdateKind::Restored);
     }
 
     /// Calls for good, from the process's start: each call is due when `flintwell-list-watch` says.
@@ -222,7 +222,7 @@
         self.status.answered(now, listing.version);
         self.shares_lease();
         self.link = Some(link);
-        let kind = if listing.full { ListKind::Whole } else { ListKind::Changes };
+        let kind = if listing.full { ListUpdateKind::Snapshot } else { ListUpdateKind::Delta };
         self.tell(&listing, kind);
         // Danger: a watch that does not wait would be asked without a pause.
         let at_once = current && listing.is_empty() && now - self.called_at < PACE;
@@ -252,7 +252,7 @@
         self.status.leased(lease);
     }
 
-    fn tell(&mut self, listing: &Listing, kind: ListKind) {
+    fn tell(&mut self, listing: &Listing, kind: ListUpdateKind) {
         self.version = Some(listing.version);
         self.registry.take(listing, kind);
     }
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -8,7 +8,7 @@
 use crate::process::store::Store;
 use crate::requests::dispatcher::Dispatcher;
 use crate::say;
-use flintwell_core::interface::{ListKind, Micros, NodeId, Standing};
+use flintwell_core::interface::{ListUpdateKind, Micros, NodeId, NodeState};
 use flintwell_list_watch::Starts;
 use flintwell_settings::Network;
 use flintwell_settings::listing::{Line, Listing};
@@ -68,10 +68,10 @@
     }
 
     /// What discovery told.
-    pub fn take(&self, listing: &Listing, kind: ListKind) {
+    pub fn take(&self, listing: &Listing, kind: ListUpdateKind) {
         {
             let mut lines = self.lines.borrow_mut();
-            if kind != ListKind::Changes {
+            if kind != ListUpdateKind::Delta {
                 lines.clear();
             }
             for line in &listing.servers {
@@ -82,7 +82,7 @@
             }
         }
         self.learn_starts(listing, kind);
-        if kind != ListKind::Kept {
+        if kind != ListUpdateKind::Restored {
             self.kept.told(listing.version);
         }
         if self.lapsed.get() && self.lease.holds() {
@@ -95,9 +95,9 @@
         self.tell(&listing.servers, kind);
     }
 
-    fn learn_starts(&self, listing: &Listing, kind: ListKind) {
+    fn learn_starts(&self, listing: &Listing, kind: ListUpdateKind) {
         // What a process begins with was confirmed before it is told, so it has no list before it.
-        let since = if kind == ListKind::Kept { None } else { self.confirmed_at.get() };
+        let since = if kind == ListUpdateKind::Restored { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
         for line in &listing.servers {
             starts.learn(&line.id, (line.started_ms * 1e3) as Micros, since, now);
@@ -130,8 +130,8 @@
         self.tell_again(&[]);
     }
 
-    fn tell(&self, lines: &[Line], kind: ListKind) {
-        if kind != ListKind::Changes {
+    fn tell(&self, lines: &[Line], kind: ListUpdateKind) {
+        if kind != ListUpdateKind::Delta {
             self.pool.forget_missing(|node| lines.iter().any(|line| *line.id == **node));
         }
         let mut entries = Vec::with_capacity(lines.len());
@@ -140,14 +140,14 @@
             let mut entry = line.entry(&self.network.get());
             // Danger: one address that is not understood would keep all else on the list from being told.
             match line.addr.parse() {
-                Ok(addr) if entry.standing != Standing::Gone => {
-                    let ready = entry.standing == Standing::Ready;
+                Ok(addr) if entry.state != NodeState::Gone => {
+                    let ready = entry.state == NodeState::Ready;
                     self.pool.place(&entry.node, addr, line.started_ms, ready);
                 }
                 Ok(_) => self.pool.forget(&entry.node),
                 Err(error) => {
                     say!("discovery: address {} of {}: {error}", line.addr, line.id);
-                    entry.standing = Standing::Gone;
+                    entry.state = NodeState::Gone;
                     self.pool.forget(&entry.node);
                 }
             }
@@ -191,7 +191,7 @@
     fn tell_again(&self, changed: &[NodeId]) {
         let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
         // As one kept: nothing new was heard of discovery.
-        self.tell(&lines, ListKind::Kept);
+        self.tell(&lines, ListUpdateKind::Restored);
         changed.iter().for_each(|node| self.pool.close_idle(node));
     }
 
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -8,7 +8,7 @@
 use crate::nodes::relay::{Content, Relay};
 use crate::process::clock::span;
 use crate::staff::counts::Counts;
-use flintwell_core::interface::{Ending, Micros, NodeId};
+use flintwell_core::interface::{AttemptStatus, Micros, NodeId};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use hyper::header::{HOST, HeaderValue};
@@ -43,7 +43,7 @@
 
 /// A node's whole answer.
 pub struct Answered {
-    pub ending: Ending,
+    pub ending: AttemptStatus,
     /// The first answer on its connection.
     pub first: bool,
     pub body: Content,
@@ -119,7 +119,7 @@
     let (idle, first) = (link.idle_since.elapsed(), link.unused());
     let body = attempt.request.body.hand_out().ok_or(Broken::unwritten(Cause::Spent))?;
     let reply = link.exchange(message(attempt, body), ANSWER, progress).await;
-    pool.used_after(idle, reply.as_ref().is_err_and(|broken| broken.ending() == Ending::Reset));
+    pool.used_after(idle, reply.as_ref().is_err_and(|broken| broken.ending() == AttemptStatus::Reset));
     let reply = reply?;
     let ending = ending(reply.status, &reply.headers);
     let body = match reply.body {
@@ -163,13 +163,13 @@
     message
 }
 
-fn ending(status: StatusCode, headers: &HeaderMap) -> Ending {
+fn ending(status: StatusCode, headers: &HeaderMap) -> AttemptStatus {
     let not_run = headers.get("x-not-run").is_some_and(|value| value == "1");
     match status {
-        StatusCode::OK => Ending::Served,
-        StatusCode::NOT_FOUND => Ending::Miss,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Ending::Full,
-        status if status.is_server_error() => Ending::Error,
-        _ => Ending::Unknown,
+        StatusCode::OK => AttemptStatus::Served,
+        StatusCode::NOT_FOUND => AttemptStatus::Miss,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => AttemptStatus::Full,
+        status if status.is_server_error() => AttemptStatus::Error,
+        _ => AttemptStatus::Unknown,
     }
 }
--- a/crates/flintwell/src/nodes/link.rs
+++ b/crates/flintwell/src/nodes/link.rs
@@ -5,7 +5,7 @@
 use crate::nodes::stream::Shared;
 use crate::process::count::{Count, one_more};
 use bytes::{Bytes, BytesMut};
-use flintwell_core::interface::Ending;
+use flintwell_core::interface::AttemptStatus;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -78,7 +78,7 @@
     pub fn unwritten(cause: Cause) -> Self {
         Broken { stage: Stage::Unwritten, cause }
     }
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptStatus {
         match (self.stage, &self.cause) {
             (
                 Stage::Unwritten,
@@ -90,10 +90,10 @@
                 | Cause::Lapsed
                 // Danger: a fault of our own would be held against a node that is well.
                 | Cause::LocalFault(_),
-            ) => Ending::NotSent,
-            (Stage::Unwritten, _) => Ending::ConnectFailed,
-            (_, Cause::TimedOut) => Ending::TimedOut,
-            (_, Cause::Garbage(_)) => Ending::Spoilt,
+            ) => AttemptStatus::NotSent,
+            (Stage::Unwritten, _) => AttemptStatus::ConnectFailed,
+            (_, Cause::TimedOut) => AttemptStatus::TimedOut,
+            (_, Cause::Garbage(_)) => AttemptStatus::InvalidResponse,
             (
                 _,
                 Cause::Closed(_)
@@ -105,7 +105,7 @@
                 | Cause::Lapsed
                 | Cause::Unreachable(_)
                 | Cause::LocalFault(_),
-            ) => Ending::Reset,
+            ) => AttemptStatus::Reset,
         }
     }
 }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -166,8 +166,8 @@
     if !peers.iter().any(|peer| *peer != advertise) {
         return Err("words: peers names nobody but this proxy".into());
     }
-    if settings.index >= settings.fleet_size {
-        let (index, size) = (settings.index, settings.fleet_size);
+    if settings.proxy_index >= settings.fleet_size {
+        let (index, size) = (settings.proxy_index, settings.fleet_size);
         return Err(format!("words: index {index} is not under fleet_size {size}"));
     }
     let key = match key_file {
@@ -199,7 +199,7 @@
         writeln!(
             f,
             "number {} of {}, {} descriptors",
-            self.settings.index, self.settings.fleet_size, self.sockets
+            self.settings.proxy_index, self.settings.fleet_size, self.sockets
         )?;
         let watched = if self.watch_with.is_some() { "; other settings are watched" } else { "" };
         write!(f, "classes: {cases}; nodes known: {}{watched}", self.known.len())
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -132,7 +132,7 @@
     let counts = Counts::new(&config.network.classes, changes.is_some());
     let pool = Pool::new(connections, config.network.dial_within, config.network.idle_most);
     let network = Live::new(config.network);
-    let place = (config.settings.index, config.settings.fleet_size);
+    let place = (config.settings.proxy_index, config.settings.fleet_size);
     let pushed = !config.settings.list_on_request;
     let (index, fleet, grace) = (place.0, place.1, network.get().drain_grace);
     let figures = Figures { pushed, fleet, index, grace };
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -6,7 +6,7 @@
 use crate::requests::watch::{Move, Watch};
 use crate::say;
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::RefCell;
@@ -66,7 +66,7 @@
 struct HostCalls(Rc<Mailboxes>);
 
 impl Host for HostCalls {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
         self.0.call(request, Step::Attempt { node: node.clone(), allow_for });
     }
     fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
@@ -78,12 +78,12 @@
     fn close_idle(&mut self, node: &NodeId) {
         self.0.pool.close_idle(node);
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.0.timers.borrow_mut().insert((at, label));
         self.0.timer_set.notify_one();
     }
     /// It is watched from the process's start, whenever the module would ask for it.
-    fn watch_list(&mut self) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 pub struct Dispatcher {
@@ -108,7 +108,7 @@
             pool,
             watch,
         });
-        let module = RefCell::new(Policy::start(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
+        let module = RefCell::new(Policy::new(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
         Dispatcher { clock, pulse: Pulse::new(clock), module, mailboxes }
     }
 
@@ -124,34 +124,34 @@
         done.is_ok()
     }
 
-    pub fn list(&self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn list(&self, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         let (now, copy) = (self.clock.now(), self.mailboxes.watch.as_ref().map(|_| entries.clone()));
         let watched = |watch: &Watch| watch.list(now, kind, copy.unwrap_or_default());
-        self.module(|module| module.list(now, kind, entries), watched);
+        self.module(|module| module.on_list_update(now, kind, entries), watched);
     }
 
     /// Other settings from now on; the list has to be told again.
     pub fn change(&self, settings: Settings) {
         let now = self.clock.now();
-        self.module(|module| module.change(now, settings), |_| ());
+        self.module(|module| module.apply_settings(now, settings), |_| ());
     }
 
     /// Fetches a second that the fleet grants us from now on; how many requests were to be fetched so far.
     pub fn granted(&self, rate: Option<f64>) -> u64 {
         let (now, mut wanted) = (self.clock.now(), 0);
-        self.module(|module| wanted = module.granted(now, rate), |_| ());
+        self.module(|module| wanted = module.set_origin_fetch_rate(now, rate), |_| ());
         wanted
     }
 
     /// Caches that fell silent to us.
     pub fn silent(&self) -> Vec<NodeId> {
-        self.module.borrow().silent()
+        self.module.borrow().silent_caches()
     }
 
     /// Others try this node, for so long from now.
     pub fn tried_by_others(&self, node: &NodeId, time: Micros) {
         let until = self.clock.now() + time;
-        self.module(|module| module.tried_by_others(node, until), |_| ());
+        self.module(|module| module.defer_probe(node, until), |_| ());
     }
 
     /// After a standstill of ours, what has come meanwhile is read before anything is sent. Danger: a list that has come
@@ -170,7 +170,7 @@
 
     /// How many listed caches the module avoids now.
     pub fn avoided(&self) -> usize {
-        self.module.borrow().avoided(self.clock.now())
+        self.module.borrow().count_avoided_caches(self.clock.now())
     }
 
     /// A handle for a request; none while another of the same id is in hand.
@@ -195,7 +195,7 @@
                 () = sleep_until(self.clock.instant(first.max(not_before))) => {
                     let now = self.clock.now();
                     while let Some(label) = self.due(now) {
-                        self.module(|module| module.timer(now, label), |watch| watch.timer(now, label));
+                        self.module(|module| module.on_timer(now, label), |watch| watch.timer(now, label));
                     }
                     not_before = now + STEP;
                 }
@@ -223,7 +223,7 @@
 }
 
 impl RequestHandle {
-    pub fn arrives(&mut self, arrival: Arrival) {
+    pub fn arrives(&mut self, arrival: IncomingRequest) {
         self.over = false;
         let now = self.dispatcher.clock.now();
         let copy = self.dispatcher.mailboxes.watch.as_ref().map(|watch| {
@@ -231,7 +231,7 @@
             arrival.clone()
         });
         let watched = |watch: &Watch| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
-        self.or_fail(self.dispatcher.module(|module| module.request_arrives(now, arrival), watched));
+        self.or_fail(self.dispatcher.module(|module| module.on_request(now, arrival), watched));
     }
 
     /// A request that the module could not decide on is failed.
@@ -261,14 +261,14 @@
     }
 
     /// How the attempt that is out has ended, after `wait`.
-    pub fn ended(&mut self, ending: Ending, wait: Micros, first: bool) {
+    pub fn ended(&mut self, ending: AttemptStatus, wait: Micros, first: bool) {
         let Some(node) = self.out.take() else { return };
-        self.over |= ending == Ending::Served;
-        let outcome = Outcome { number: self.attempts, ending, wait, settled: self.over, first };
+        self.over |= ending == AttemptStatus::Served;
+        let outcome = AttemptOutcome { attempt_index: self.attempts, status: ending, latency: wait, request_finished: self.over, first_on_connection: first };
         self.attempts += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
         let watched = |watch: &Watch| watch.outcome(now, id, &node, outcome);
-        self.or_fail(self.dispatcher.module(|module| module.outcome(now, id, &node, outcome), watched));
+        self.or_fail(self.dispatcher.module(|module| module.on_attempt_outcome(now, id, &node, outcome), watched));
     }
 }
 
@@ -280,9 +280,9 @@
             self.out.get_or_insert(node);
         }
         if !std::mem::replace(&mut self.over, true) {
-            self.dispatcher.module(|module| module.request_gone(now, &id), |watch| watch.gone(now, &id));
+            self.dispatcher.module(|module| module.on_request_closed(now, &id), |watch| watch.gone(now, &id));
         }
-        self.ended(Ending::Cancelled, 0, false);
+        self.ended(AttemptStatus::Cancelled, 0, false);
         self.dispatcher.mailboxes.watch.as_deref().inspect(|watch| watch.over(now, &id));
         self.dispatcher.mailboxes.places.borrow_mut().remove(&self.id);
     }
--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::requests::watch::Counts;
-use flintwell_core::interface::Standing;
+use flintwell_core::interface::NodeState;
 
 fn dispatcher() -> Rc<Dispatcher> {
     dispatcher_with(None)
@@ -19,9 +19,9 @@
     Rc::new(Dispatcher::new(Clock::start(), settings, 1, Pool::new(1, 1, 1), watch))
 }
 
-fn entry(node: &str, kind: u32, zone: u32) -> Entry {
-    let (node, standing) = (node.into(), Standing::Ready);
-    Entry { node, kind, zone, standing, size: 1.0, ..Entry::default() }
+fn entry(node: &str, kind: u32, zone: u32) -> NodeEntry {
+    let (node, standing) = (node.into(), NodeState::Ready);
+    NodeEntry { node, kind, zone, state: standing, weight: 1.0, ..NodeEntry::default() }
 }
 
 /// A read of this key that has missed at the cache, if it came that far, and what the module says then.
@@ -36,11 +36,11 @@
     let mut handle = dispatcher.handle(id.into()).expect("a handle");
     let (id, key) = (id.into(), Some(key.into()));
     let deadline = dispatcher.clock.now() + 1_000_000;
-    handle.arrives(Arrival { id, class: 0, tenant: 0, key, deadline, work: None, write: false });
+    handle.arrives(IncomingRequest { id, class: 0, tenant: 0, key, deadline, expected_work: None, is_write: false });
     if let Some(Step::Attempt { node, .. }) = handle.place.next.take() {
         handle.sends(&node);
         first = Some(node);
-        handle.ended(Ending::Miss, 1_000, false);
+        handle.ended(AttemptStatus::Miss, 1_000, false);
     }
     let step = handle.place.next.take();
     if let Some(Step::Attempt { node, .. }) = &step {
@@ -56,7 +56,7 @@
     assert!(!dispatcher.module(|_| panic!("as a test"), |_| ()));
     handle.or_fail(false);
     assert!(matches!(handle.place.next.take(), Some(Step::Fail)));
-    assert!(dispatcher.module(|module| module.timer(0, 0), |_| ()));
+    assert!(dispatcher.module(|module| module.on_timer(0, 0), |_| ()));
     assert!(dispatcher.handle("a".into()).is_none(), "the id is in hand");
 }
 
@@ -65,13 +65,13 @@
     let dispatcher = dispatcher_with(other);
     let far = [entry("far 1", 0, 1), entry("far 2", 0, 1)];
     let near = [entry("near 1", 0, 0), entry("near 2", 0, 0), entry("origin", 1, 0)];
-    dispatcher.list(ListKind::Whole, far.into_iter().chain(near).collect());
+    dispatcher.list(ListUpdateKind::Snapshot, far.into_iter().chain(near).collect());
     let mut sent = Vec::new();
     for n in 0..60 {
         let (mut handle, step, first) = read(&dispatcher, &format!("a{n}"), &format!("k{n}"));
         assert!(matches!(step, Some(Step::Attempt { .. })), "fetched, whatever is watched");
         sent.push(first.expect("a cache"));
-        handle.ended(Ending::Served, 1_000, false);
+        handle.ended(AttemptStatus::Served, 1_000, false);
     }
     (sent, dispatcher.mailboxes.watch.as_ref().map(|watch| watch.counts()))
 }
@@ -101,7 +101,7 @@
     let dispatcher = dispatcher_with(Some(serde_json::json!({})));
     let watch = dispatcher.mailboxes.watch.clone().expect("it");
     watch.fails();
-    dispatcher.list(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.list(ListUpdateKind::Snapshot, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     assert!(matches!(missed(&dispatcher, "a", "k").1, Some(Step::Attempt { .. })));
     assert_eq!(watch.counts(), Counts::default());
 }
@@ -109,13 +109,13 @@
 #[test]
 fn a_client_that_leaves_while_held_leaves_no_fetch_behind() {
     let dispatcher = dispatcher();
-    dispatcher.list(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.list(ListUpdateKind::Snapshot, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     let (mut leader, step) = missed(&dispatcher, "leader", "k");
     assert!(matches!(step, Some(Step::Attempt { .. })));
     for n in 0..8 {
         assert!(missed(&dispatcher, &format!("held {n}"), "k").1.is_none(), "held, then dropped");
     }
-    leader.ended(Ending::Error, 1_000, false);
+    leader.ended(AttemptStatus::Error, 1_000, false);
     let others = ["a", "b", "c"].map(|key| missed(&dispatcher, key, key));
     assert!(others.iter().all(|(_, step)| matches!(step, Some(Step::Attempt { .. }))));
 }
@@ -123,14 +123,14 @@
 #[test]
 fn a_step_told_to_one_whose_client_leaves_before_it_is_taken_leaves_nothing_out() {
     let dispatcher = dispatcher();
-    dispatcher.list(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.list(ListUpdateKind::Snapshot, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     // Far more than may be out at the origin at once; each is told to go there and dropped before it takes its step.
     for n in 0..64 {
         let (mut leader, step) = missed(&dispatcher, &format!("leader {n}"), &format!("k{n}"));
         assert!(matches!(step, Some(Step::Attempt { .. })), "{n}: fetched");
         let (held, none) = missed(&dispatcher, &format!("held {n}"), &format!("k{n}"));
         assert!(none.is_none(), "held");
-        leader.ended(Ending::Spoilt, 1_000, false);
+        leader.ended(AttemptStatus::InvalidResponse, 1_000, false);
         drop(leader);
         drop(held);
     }
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -10,7 +10,7 @@
 use crate::process::count::one_more;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
 use crate::staff::counts::Counts;
-use flintwell_core::interface::{Ending, Micros};
+use flintwell_core::interface::{AttemptStatus, Micros};
 use std::rc::Rc;
 use std::time::Instant;
 use tower::ServiceExt;
@@ -74,11 +74,11 @@
                 }
                 match ended {
                     Ok(answered) => {
-                        if fetch && answered.ending == Ending::Full {
+                        if fetch && answered.ending == AttemptStatus::Full {
                             one_more(&counts.refused);
                         }
                         handle.ended(answered.ending, wait, answered.first);
-                        if answered.ending == Ending::Served {
+                        if answered.ending == AttemptStatus::Served {
                             return Answer::Served(answered.body);
                         }
                     }
--- a/crates/flintwell/src/requests/watch.rs
+++ b/crates/flintwell/src/requests/watch.rs
@@ -4,7 +4,7 @@
 
 use crate::say;
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::{Cell, RefCell};
@@ -65,7 +65,7 @@
 }
 
 impl Host for Notes {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
         self.note(request, Move::Attempt(node.clone()));
     }
     fn refuse(&mut self, request: &RequestId, _: Micros) {
@@ -75,8 +75,8 @@
         self.note(request, Move::Fail);
     }
     fn close_idle(&mut self, _: &NodeId) {}
-    fn wake_at(&mut self, _: u64, _: Micros) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: u64, _: Micros) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 pub struct Watch {
@@ -90,7 +90,7 @@
 impl Watch {
     pub fn new(now: Micros, settings: Settings, seed: u64) -> Self {
         let (pairs, origin_kind) = (Pairs::default(), settings.origin_kind);
-        let other = RefCell::new(Some(Policy::start(now, settings, seed, Notes(pairs.clone()))));
+        let other = RefCell::new(Some(Policy::new(now, settings, seed, Notes(pairs.clone()))));
         Watch { other, pairs, origin_kind, origins: RefCell::default(), counts: Cell::default() }
     }
 
@@ -114,14 +114,14 @@
         self.other(|_| panic!("as a test"));
     }
 
-    pub fn list(&self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
+    pub fn list(&self, now: Micros, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         let origins = entries.iter().filter(|entry| Some(entry.kind) == self.origin_kind);
         self.origins.borrow_mut().extend(origins.map(|entry| entry.node.clone()));
-        self.other(|other| other.list(now, kind, entries));
+        self.other(|other| other.on_list_update(now, kind, entries));
     }
 
     pub fn timer(&self, now: Micros, label: u64) {
-        self.other(|other| other.timer(now, label));
+        self.other(|other| other.on_timer(now, label));
     }
 
     /// A request is about to arrive at the module that decides.
@@ -138,20 +138,20 @@
         }
     }
 
-    pub fn arrives(&self, now: Micros, arrival: Arrival) {
+    pub fn arrives(&self, now: Micros, arrival: IncomingRequest) {
         let id = arrival.id.clone();
-        self.other(|other| other.request_arrives(now, arrival));
+        self.other(|other| other.on_request(now, arrival));
         self.compare(now, &id);
     }
 
-    pub fn outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
+    pub fn outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: AttemptOutcome) {
         self.compare(now, id);
-        self.other(|other| other.outcome(now, id, node, outcome));
+        self.other(|other| other.on_attempt_outcome(now, id, node, outcome));
     }
 
     pub fn gone(&self, now: Micros, id: &RequestId) {
         self.compare(now, id);
-        self.other(|other| other.request_gone(now, id));
+        self.other(|other| other.on_request_closed(now, id));
     }
 
     /// Nothing more happens to a request.
@@ -194,11 +194,11 @@
     /// The module that is watched gives the request up, and forgets the attempt that it had out.
     fn leave(&self, now: Micros, id: &RequestId, others: &[Move]) {
         if let [earlier @ .., Move::Attempt(node)] = others {
-            let (number, ending) = (earlier.len(), Ending::Cancelled);
-            let outcome = Outcome { number, ending, wait: 0, settled: true, first: false };
-            self.other(|other| other.outcome(now, id, node, outcome));
+            let (number, ending) = (earlier.len(), AttemptStatus::Cancelled);
+            let outcome = AttemptOutcome { attempt_index: number, status: ending, latency: 0, request_finished: true, first_on_connection: false };
+            self.other(|other| other.on_attempt_outcome(now, id, node, outcome));
         }
-        self.other(|other| other.request_gone(now, id));
+        self.other(|other| other.on_request_closed(now, id));
     }
 
     pub async fn tell(&self) {
