--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -9,151 +9,151 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Slots in a slot table: enough for the claims of some hundred nodes, in 16 KB.
-const SLOTS: usize = 8_192;
+const SLOT_COUNT: usize = 8_192;
 /// Slots claimed by a node of average weight; keeps the nodes' shares within about 10% of each other.
-const CLAIMS: f64 = 32.0;
+const SLOT_CLAIMS_PER_NODE: f64 = 32.0;
 /// Slots examined at most to find a key's caches; enough to find the only cache of a fleet.
-const PROBES: u64 = 4_096;
+const MAX_SLOT_PROBES: u64 = 4_096;
 /// Caches that reads of a key may try: home, spare and two more for when those are unavailable.
-const RANKS: usize = 4;
+const MAX_CACHES_PER_KEY: usize = 4;
 /// Caches among which reads of a hot key are spread at most.
-const RANKS_HOT: usize = 16;
+const MAX_CACHES_PER_HOT_KEY: usize = 16;
 /// In-flight requests of this proxy at the home below which the spare is not considered.
-const SPILL_FLOOR: u32 = 2;
+const MIN_SPILL_IN_FLIGHT: u32 = 2;
 /// The home must also exceed this multiple of the proxy's mean per cache before the spare is considered.
 const SPILL_FACTOR: f64 = 2.0;
 /// Decay time of the request counts per key; the proxy sends some tens of requests within it.
-const HEAT_FADE: Micros = 20_000_000;
-/// Requests per cache within `HEAT_FADE` below which a proxy's traffic is sparse: it then uses a given cache
+const REQUEST_COUNT_DECAY: Micros = 20_000_000;
+/// Requests per cache within `REQUEST_COUNT_DECAY` below which a proxy's traffic is sparse: it then uses a given cache
 /// only every few seconds.
-const THIN: f64 = 10.0;
+const SPARSE_REQUESTS_PER_CACHE: f64 = 10.0;
 /// Counters of requests by key; far more than the keys that a proxy with sparse traffic requests meanwhile.
-const HEATS: usize = 512;
+const KEY_COUNTERS: usize = 512;
 /// Read-through mode: how long after an answer the cache is assumed to hold the key.
 const SERVED_WINDOW: Micros = 5_000_000;
 /// Bounds memory; far above the number of fetches that one proxy can have in flight.
-const MAX_KEYS: usize = 8_192;
+const MAX_KEY_FETCHES: usize = 8_192;
 /// Answer time assumed before the first answer, as a fraction of the shortest latency target.
-const FIRST_SHARE: f64 = 0.125;
+const INITIAL_ANSWER_TIME_FRACTION: f64 = 0.125;
 /// EWMA weight of a new sample; averages over about ten samples.
-const SMOOTHING: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 /// EWMA weight for less frequent samples, such as those of one node.
-const NODE_SMOOTHING: f64 = 0.2;
+const SPARSE_EWMA_WEIGHT: f64 = 0.2;
 /// Age from which one new sample counts more than all earlier ones.
-const ESTIMATE_AGE: f64 = 5_000_000.0;
+const ESTIMATE_DECAY_US: f64 = 5_000_000.0;
 /// The same for the origin's answer times; shorter, as all misses depend on them.
-const ORIGIN_AGE: f64 = 2_000_000.0;
+const ORIGIN_ESTIMATE_DECAY_US: f64 = 2_000_000.0;
 /// Mean deviations above the mean answer time after which an attempt times out.
-const PATIENCE: f64 = 6.0;
+const TIMEOUT_DEVIATIONS: f64 = 6.0;
 /// Shortest time-out as a fraction of the latency target; a shorter one costs more than it saves.
-const PATIENCE_FLOOR: f64 = 0.3;
+const MIN_TIMEOUT_FRACTION: f64 = 0.3;
 /// Fraction of the latency target by which a node's mean answer time may exceed its minimum; slower nodes are
 /// passed over.
-const BEARABLE: f64 = 0.22;
+const MAX_ADDED_LATENCY_FRACTION: f64 = 0.22;
 /// Fraction of the latency target that a refusal counts as: the spare may still answer in time.
-const FULL_USED: f64 = 0.7;
+const REFUSAL_TARGET_FRACTION: f64 = 0.7;
 /// Fraction of the mean answer time for which a full node is passed over, until it has a free place again.
-const FULL_SHARE: f64 = 0.3;
+const FULL_BACKOFF_FRACTION: f64 = 0.3;
 /// First ejection of a failing node; a few answer times.
-const SKIP_FIRST: Micros = 300_000;
+const BASE_EJECTION_TIME: Micros = 300_000;
 /// Ejections last at most 16 times the first one, so that a node's recovery is noticed within seconds.
-const SKIP_DOUBLINGS: u32 = 4;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 /// Nodes of a zone that fall silent in a row before the zone is ejected; unlikely while it is reachable.
-const ZONE_SILENT: u32 = 3;
+const ZONE_EJECTION_THRESHOLD: u32 = 3;
 /// Fraction of a node's attempts that fail from which each failure ejects the node.
-const FAULTY: f64 = 0.3;
+const FAULT_RATE_THRESHOLD: f64 = 0.3;
 /// Time after the last request to a removed node until its record is reused; far longer than any request.
-const FORGOTTEN: Micros = 60_000_000;
+const NODE_RECORD_RETENTION: Micros = 60_000_000;
 /// Limit on concurrent fetches until the origin's answers adjust it.
-const FETCHES_FIRST: f64 = 4.0;
+const INITIAL_FETCH_LIMIT: f64 = 4.0;
 /// Below a limit of 1, fetches are spaced out in time, since many proxies may share a weak origin.
-const FETCHES_LEAST: f64 = 0.1;
+const MIN_FETCH_LIMIT: f64 = 0.1;
 /// Factor on the fetch limit at a sign of overload, at most once per answer time.
-const FETCHES_CUT: f64 = 0.8;
+const FETCH_LIMIT_DECREASE: f64 = 0.8;
 /// Multiple of the fetch limit up to which writes are sent without queueing.
-const WRITE_ROOM: f64 = 2.0;
+const WRITE_LIMIT_FACTOR: f64 = 2.0;
 /// Fraction of recent requests that the origin refused above which refused fetches are not retried. The
 /// origin then gets half again as many requests as it can serve.
-const REFUSES: f64 = 0.3;
+const MAX_RETRY_REFUSAL_RATE: f64 = 0.3;
 /// Refusals that one answer of the origin pays for; without credit, only probes are sent.
-const EARNS: f64 = 0.7;
+const REFUSAL_CREDIT_PER_ANSWER: f64 = 0.7;
 /// Limit on the credit; lets a few occasional refusals cost nothing.
-const EARNED_MOST: f64 = 8.0;
+const MAX_REFUSAL_CREDIT: f64 = 8.0;
 /// Doublings of the time between probes, which starts at the origin's mean answer time; a recovered origin is
 /// noticed within a second.
-const PROBE_DOUBLINGS: u32 = 3;
+const MAX_PROBE_DOUBLINGS: u32 = 3;
 /// How far ahead of the granted rate's schedule a fetch may be sent, as fetches come in bursts.
-const GRANT_AHEAD: Micros = 200_000;
+const MAX_FETCH_ADVANCE: Micros = 200_000;
 /// Fraction of the origin's mean answer time before a refused fetch is retried.
-const PAUSE: f64 = 0.5;
+const FETCH_RETRY_DELAY_FRACTION: f64 = 0.5;
 /// The origin counts as overloaded when its answers take this many times as long as at its best.
-const FETCH_SLOW: f64 = 3.0;
+const ORIGIN_OVERLOAD_FACTOR: f64 = 3.0;
 /// Fraction of the shortest latency target within which the origin's answers never count as slow.
-const FETCH_BEARABLE: f64 = 0.5;
+const ORIGIN_ACCEPTABLE_FRACTION: f64 = 0.5;
 /// Mean fraction of the latency target that cache answers use, above which the caches are overloaded.
-const CROWDED: f64 = 0.4;
+const OVERLOAD_TARGET_FRACTION: f64 = 0.4;
 /// Fraction of the latency target recorded for a request that no cache accepted.
-const NOT_TAKEN: f64 = 2.0;
-/// Like `CROWDED`, for requests beyond a tenant's quota: they are shed well before the others suffer.
-const CROWDED_SURPLUS: f64 = 0.13;
+const UNSERVED_TARGET_FRACTION: f64 = 2.0;
+/// Like `OVERLOAD_TARGET_FRACTION`, for requests beyond a tenant's quota: they are shed well before the others suffer.
+const OVER_QUOTA_OVERLOAD_TARGET_FRACTION: f64 = 0.13;
 /// Time between steps of the admitted fractions; about one answer time.
-const CONTROL: Micros = 100_000;
+const ADMISSION_INTERVAL: Micros = 100_000;
 /// Steps made up for at most at one answer after a time without answers.
-const STEPS_MOST: i64 = 20;
+const MAX_CATCH_UP_STEPS: i64 = 20;
 /// Factor on the admitted fraction per step during overload; halves it in under a second.
-const ADMIT_FALL: f64 = 0.9;
+const ADMISSION_DECREASE: f64 = 0.9;
 /// Added to the admitted fraction per step otherwise; restores it within seconds.
-const ADMIT_RISE: f64 = 0.02;
+const ADMISSION_INCREASE: f64 = 0.02;
 /// Some requests must always be admitted: without answers the end of an overload goes unnoticed.
-const ADMIT_LEAST: f64 = 0.05;
+const MIN_ADMITTED_FRACTION: f64 = 0.05;
 /// Growth of a node's minimum answer time per answer, so that an outdated minimum is forgotten.
-const BEST_DRIFT: f64 = 1.01;
+const MIN_LATENCY_DRIFT: f64 = 1.01;
 /// The same for the origin, whose overload may last for hundreds of answers.
-const ORIGIN_DRIFT: f64 = 1.001;
+const ORIGIN_MIN_LATENCY_DRIFT: f64 = 1.001;
 /// Length of a proxy's turn at a newly started node; long enough for its keys to be cached there.
-const TURN: Micros = 250_000;
+const WARMUP_TURN: Micros = 250_000;
 /// Groups of proxies that take turns in a fleet of hundreds; a quarter is about a cold node's share.
-const TURN_GROUPS: u32 = 4;
+const MAX_WARMUP_GROUPS: u32 = 4;
 /// Fraction of the ramp time in which proxies take turns at a newly started node.
-const TURNS_SHARE: f64 = 0.25;
+const WARMUP_TURNS_FRACTION: f64 = 0.25;
 /// Requests per core that a node holds while it still answers well within a latency target.
-const HELD: f64 = 2.0;
+const HEALTHY_REQUESTS_PER_CORE: f64 = 2.0;
 /// Largest factor by which one list update reduces the fraction of reads that a node keeps.
-const LEAVE_MOST: f64 = 2.0;
+const MAX_READ_SHARE_CUT: f64 = 2.0;
 /// Added to that fraction by an update that reports less load; restores it after some updates.
-const LEAVE_FALL: f64 = 0.05;
+const READ_SHARE_RECOVERY: f64 = 0.05;
 /// EWMA weight of a sample for a kind's speed; averages over hundreds of answers.
-const SPEED_SMOOTHING: f64 = 0.005;
+const SPEED_EWMA_WEIGHT: f64 = 0.005;
 /// Answers of a kind needed before its speed is used.
-const SPEED_KNOWN: u32 = 100;
+const MIN_SPEED_SAMPLES: u32 = 100;
 /// Steps per factor of two in speed, which is also the largest factor taken into account.
-const SPEED_STEPS: f64 = 4.0;
+const SPEED_STEPS_PER_DOUBLING: f64 = 4.0;
 /// Steps by which a kind's speed must differ from its current level before the level changes.
-const SPEED_MARGIN: f64 = 0.75;
+const SPEED_HYSTERESIS_STEPS: f64 = 0.75;
 /// Cost in misses of one more copy of all keys, in units of a request's worth.
-const COPY_PRICE: f64 = 0.012;
+const COPY_COST: f64 = 0.012;
 /// Factor on the fraction of requests that caches accept; used where cold nodes get first choices only.
-const COLD_ROOM: f64 = 1.5;
+const COLD_SHARE_FACTOR: f64 = 1.5;
 /// Multiple of its fair share that a cold node may get from this proxy; it withstands twice that.
-const COLD_MARGIN: f64 = 1.2;
+const COLD_LOAD_FACTOR: f64 = 1.2;
 /// Time per proxy of the fleet over which the first list requests are spread.
-const LIST_SPREAD: Micros = 30_000;
+const LIST_REQUEST_SPREAD_PER_PROXY: Micros = 30_000;
 /// Bounds that spread, as a fraction of the time limit for requesting the list.
-const LIST_FIRST: f64 = 0.8;
+const MAX_LIST_REQUEST_SPREAD_FRACTION: f64 = 0.8;
 /// Bounds that spread, too: a proxy is expected to know a change 6 s after discovery had it.
-const LIST_FIRST_MOST: Micros = 5_800_000;
+const MAX_LIST_REQUEST_SPREAD: Micros = 5_800_000;
 /// Delay before a failed list request is retried for the first time.
-const LIST_RETRY: Micros = 700_000;
+const LIST_RETRY_DELAY: Micros = 700_000;
 /// Doublings of that delay; a proxy is expected to know a change 6 s after it could be fetched.
-const LIST_RETRY_MOST: u32 = 2;
+const MAX_LIST_RETRY_DOUBLINGS: u32 = 2;
 /// Retry-after hint of a refusal; about the time in which a queue drains.
-const STAY_AWAY: Micros = 500_000;
+const RETRY_AFTER: Micros = 500_000;
 /// Tokens that a tenant's bucket holds at least: a proxy's part of a quota may be below one request a second.
-const ALLOWANCE_LEAST: f64 = 5.0;
+const MIN_QUOTA_BURST: f64 = 5.0;
 /// Factor on the proxy's part of a quota up to which requests are within it, as the parts are estimates.
-const SHARE_ROOM: f64 = 1.3;
+const QUOTA_TOLERANCE: f64 = 1.3;
 /// The only timer label in use.
-const WAKE: u64 = 0;
+const TIMER_LABEL: u64 = 0;
 
 /// The decision module of one proxy.
 pub struct Policy<H: Host> {
@@ -184,10 +184,10 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // A fleet that starts at once would request the list at once; requests late in the service's queue
         // fail and are repeated. The first requests are therefore spread over time.
-        let most = ((settings.max_list_refresh_interval as f64 * LIST_FIRST) as Micros).min(LIST_FIRST_MOST);
-        let spread = rng.random_range(0..=most.min(LIST_SPREAD * i64::from(settings.fleet_size)));
+        let most = ((settings.max_list_refresh_interval as f64 * MAX_LIST_REQUEST_SPREAD_FRACTION) as Micros).min(MAX_LIST_REQUEST_SPREAD);
+        let spread = rng.random_range(0..=most.min(LIST_REQUEST_SPREAD_PER_PROXY * i64::from(settings.fleet_size)));
         let shortest = shortest_target(&settings);
-        let times = Times { mean: shortest * FIRST_SHARE, deviation: shortest * FIRST_SHARE / 2.0 };
+        let times = Times { mean: shortest * INITIAL_ANSWER_TIME_FRACTION, deviation: shortest * INITIAL_ANSWER_TIME_FRACTION / 2.0 };
         let places = Places::new(&settings.classes);
         Policy {
             host,
@@ -203,9 +203,9 @@
             speeds: Average::default(),
             places,
             slots: Vec::new(),
-            caches: Caches::new(now, times, ADMIT_LEAST),
-            origin: Origin::new(now, times, FETCHES_FIRST, shortest * FETCH_BEARABLE, EARNED_MOST),
-            heat: Heat::new(HEATS),
+            caches: Caches::new(now, times, MIN_ADMITTED_FRACTION),
+            origin: Origin::new(now, times, INITIAL_FETCH_LIMIT, shortest * ORIGIN_ACCEPTABLE_FRACTION, MAX_REFUSAL_CREDIT),
+            heat: Heat::new(KEY_COUNTERS),
             list_failures: 0,
             next_wake: Micros::MAX,
         }
@@ -215,7 +215,7 @@
     /// Learned estimates are kept: a fleet that reset its fetch limits would overload the origin at once.
     pub fn apply_settings(&mut self, now: Micros, mut settings: Settings) {
         // Requests in progress finish under their old class, which is appended after the new ones.
-        self.origin.bearable = shortest_target(&settings) * FETCH_BEARABLE;
+        self.origin.bearable = shortest_target(&settings) * ORIGIN_ACCEPTABLE_FRACTION;
         let cases = &mut settings.classes;
         let in_hand: BTreeSet<usize> = self.requests.values().map(|request| request.class).collect();
         let moved: BTreeMap<usize, usize> = in_hand.into_iter().zip(cases.len()..).collect();
@@ -242,7 +242,7 @@
         let (id, tenant, write) = (arrival.id.clone(), arrival.tenant, arrival.is_write);
         let request = Request::new(arrival, now, useful, self.settings.max_attempts, self.rng.random());
         let key = request.key.clone();
-        self.heat.add(now, HEAT_FADE, request.slot);
+        self.heat.add(now, REQUEST_COUNT_DECAY, request.slot);
         self.requests.insert(id.clone(), request);
         let late = self.caches.target_used.mean >= 1.0;
         let shut = self.rng.random::<f64>() >= self.caches.admit.now;
@@ -250,7 +250,7 @@
             self.give_up(now, &id);
         } else if write {
             self.write_passes(now, &id, &key);
-        } else if shut && (late || self.target(now, &id).is_none_or(|n| n.target_used.mean >= CROWDED)) {
+        } else if shut && (late || self.target(now, &id).is_none_or(|n| n.target_used.mean >= OVERLOAD_TARGET_FRACTION)) {
             // Overloaded nodes answer late. The mean over all caches alone would let a few hot nodes shut out
             // reads that idle nodes could serve, so the target node must be overloaded, too.
             if self.may_fetch(now) { self.fetch(now, &id) } else { self.give_up(now, &id) }
@@ -269,7 +269,7 @@
         // The idle connections of hundreds of proxies fill the connection table of a node or an origin.
         // Connections that are used too seldom to be worth their cost are closed.
         let worth = self.settings.connection_cost * f64::from(self.settings.fleet_size);
-        let asked = self.nodes[node].asked.now(now, HEAT_FADE) - 1.0;
+        let asked = self.nodes[node].asked.now(now, REQUEST_COUNT_DECAY) - 1.0;
         let full = self.of_origin(node) && now < self.origin.full_until;
         if full || worth > 1.0 && !self.of_origin(node) && asked < worth * self.mean_heat(now) {
             self.host.close_idle(&self.nodes[node].entry.node);
@@ -278,11 +278,11 @@
         // of a fast kind idle. Steps are coarse, so that all proxies build the same table and homes rarely
         // move.
         if outcome.status == AttemptStatus::Served && !self.of_origin(node) && self.settings.weight_mode != WeightMode::Live {
-            let all = self.speeds.learn(outcome.latency, SPEED_SMOOTHING);
+            let all = self.speeds.learn(outcome.latency, SPEED_EWMA_WEIGHT);
             let kind = self.kinds.entry(self.nodes[node].entry.kind).or_default();
-            let steps = kind.faster(all, outcome.latency, SPEED_SMOOTHING) * SPEED_STEPS;
-            if kind.time.count >= SPEED_KNOWN && (steps - kind.level).abs() > SPEED_MARGIN {
-                kind.level = steps.round().clamp(-SPEED_STEPS, SPEED_STEPS);
+            let steps = kind.faster(all, outcome.latency, SPEED_EWMA_WEIGHT) * SPEED_STEPS_PER_DOUBLING;
+            if kind.time.count >= MIN_SPEED_SAMPLES && (steps - kind.level).abs() > SPEED_HYSTERESIS_STEPS {
+                kind.level = steps.round().clamp(-SPEED_STEPS_PER_DOUBLING, SPEED_STEPS_PER_DOUBLING);
                 self.build_slots();
             }
         }
@@ -319,7 +319,7 @@
         if kind == ListUpdateKind::Failed {
             // Instances that request the list at once and retry at once keep the list service overloaded;
             // retries back off with jitter.
-            let wait = (LIST_RETRY << self.list_failures.min(LIST_RETRY_MOST)) as f64;
+            let wait = (LIST_RETRY_DELAY << self.list_failures.min(MAX_LIST_RETRY_DOUBLINGS)) as f64;
             let at = now + (wait * self.rng.random_range(0.5..1.5)) as Micros;
             self.list_failures += 1;
             self.list_due = if self.settings.list_on_request { at } else { Micros::MAX };
@@ -340,7 +340,7 @@
 
     /// The timer with this label has fired.
     pub fn on_timer(&mut self, now: Micros, label: u64) {
-        if label == WAKE && now >= self.next_wake {
+        if label == TIMER_LABEL && now >= self.next_wake {
             self.next_wake = Micros::MAX;
             self.upkeep(now);
         }
@@ -350,7 +350,7 @@
     /// limit. Returns how many fetches have been requested so far, sent or not.
     pub fn set_origin_fetch_rate(&mut self, now: Micros, rate: Option<f64>) -> u64 {
         self.origin.apart = rate.map_or(0, |rate| (1e6 / rate.max(1e-3)) as Micros);
-        self.origin.turn = self.origin.turn.min(now + GRANT_AHEAD + self.origin.apart);
+        self.origin.turn = self.origin.turn.min(now + MAX_FETCH_ADVANCE + self.origin.apart);
         self.fetch_queued(now);
         self.arm();
         self.origin.wanted
@@ -388,7 +388,7 @@
             WeightMode::Live if kind.most > 0.0 => kind.most,
             _ => 1.0,
         };
-        let node = self.nodes.of(&entry.node, now, FORGOTTEN);
+        let node = self.nodes.of(&entry.node, now, NODE_RECORD_RETENTION);
         // Listed start times may be off, so a node listed as started long ago may still be cold. It counts as
         // started at the latest time possible, but no later than when that start was first listed.
         let told_start = std::mem::replace(&mut node.told_start, entry.started_at);
@@ -408,7 +408,7 @@
         // when that is over, so the load in the list is used. All proxies see the same list: each moves away
         // a random part of its reads, or all would leave and return together.
         if self.settings.weight_mode == WeightMode::Live && told > 0.0 {
-            node.left(entry.weight / told - 1.0, HELD, LEAVE_MOST, LEAVE_FALL);
+            node.left(entry.weight / told - 1.0, HEALTHY_REQUESTS_PER_CORE, MAX_READ_SHARE_CUT, READ_SHARE_RECOVERY);
         }
         node.entry = entry;
         same
@@ -424,17 +424,17 @@
         for node in self.nodes.iter_mut() {
             let kind = self.kinds.entry(node.entry.kind).or_default();
             node.entry.weight = if live && kind.most > 0.0 { kind.most } else { node.entry.weight };
-            node.size = node.entry.weight * (kind.level / SPEED_STEPS).exp2();
+            node.size = node.entry.weight * (kind.level / SPEED_STEPS_PER_DOUBLING).exp2();
         }
         self.caches.ready = ready.len();
         self.caches.size = ready.iter().map(|&n| self.nodes[n].size).sum();
         // Weights have no unit. They are scaled by a power of two near their mean, which rarely changes.
         let listed: f64 = ready.iter().map(|&n| self.nodes[n].entry.weight).sum();
         let unit = (listed / ready.len().max(1) as f64).max(1e-9).log2().round().exp2();
-        let claims = |n: usize| (CLAIMS * (self.nodes[n].size / unit).min(8.0)).ceil() as u64;
+        let claims = |n: usize| (SLOT_CLAIMS_PER_NODE * (self.nodes[n].size / unit).min(8.0)).ceil() as u64;
         let table = |place| {
             let open = ready.iter().filter(|&&n| self.nodes[n].open_to(place));
-            Slots::new(SLOTS, open.map(|&n| (n, self.nodes[n].id_hash, claims(n))))
+            Slots::new(SLOT_COUNT, open.map(|&n| (n, self.nodes[n].id_hash, claims(n))))
         };
         self.slots = (0..self.places.count()).map(table).collect();
     }
@@ -442,11 +442,11 @@
     /// Whether this proxy sends only a small part of each cache's traffic. Refusals are then due to chance,
     /// and its own requests in flight say little about a cache's load.
     fn thin(&self, now: Micros) -> bool {
-        self.settings.fleet_size as usize > self.caches.ready || self.mean_heat(now) < THIN
+        self.settings.fleet_size as usize > self.caches.ready || self.mean_heat(now) < SPARSE_REQUESTS_PER_CACHE
     }
 
     fn mean_heat(&self, now: Micros) -> f64 {
-        self.heat.all.now(now, HEAT_FADE) / self.caches.ready.max(1) as f64
+        self.heat.all.now(now, REQUEST_COUNT_DECAY) / self.caches.ready.max(1) as f64
     }
 
     fn of_origin(&self, n: usize) -> bool {
@@ -475,19 +475,19 @@
     /// than a warm node of its capacity would get.
     fn cold_takes(&self, now: Micros, n: usize, lot: u64, warmth: f64) -> bool {
         let node = &self.nodes[n];
-        let turns = (self.settings.ramp_time as f64 * TURNS_SHARE) as Micros;
+        let turns = (self.settings.ramp_time as f64 * WARMUP_TURNS_FRACTION) as Micros;
         let fresh = node.age(now) < turns;
         // Turns go by proxy number: one proxy at a time in a small fleet, else a group of proxies.
-        let most = if self.thin(now) { TURN_GROUPS } else { self.settings.fleet_size };
-        let groups = ((turns / TURN) as u32).min(most).max(1);
-        let turn = (now / TURN) as u32 % groups == self.settings.proxy_index % groups;
+        let most = if self.thin(now) { MAX_WARMUP_GROUPS } else { self.settings.fleet_size };
+        let groups = ((turns / WARMUP_TURN) as u32).min(most).max(1);
+        let turn = (now / WARMUP_TURN) as u32 % groups == self.settings.proxy_index % groups;
         // In an overload, warm nodes are sent more than they can accept, so the accepted requests count.
         let lately = |pace: &Pace| pace.now(now, self.settings.cold_overload_window);
         let (taken, sent) = (lately(&self.caches.taken), lately(&self.caches.sent));
         // Reducing the share by what warm nodes refused left cold nodes idle in large fleets. There, cold
         // nodes get first choices only and nothing that other nodes refused, so their load follows the
         // arrivals and the share may be larger.
-        let part = warmth * (if self.thin(now) { COLD_ROOM } else { 1.0 } * taken / sent.max(1.0)).min(1.0);
+        let part = warmth * (if self.thin(now) { COLD_SHARE_FACTOR } else { 1.0 } * taken / sent.max(1.0)).min(1.0);
         if unit(mix(node.id_hash ^ lot)) > part || fresh && !turn {
             return false;
         }
@@ -495,7 +495,7 @@
         // One request allowed by each of thirty proxies makes thirty. A limit below one is therefore met by
         // allowing one request in a matching part of the time windows, drawn by hash. With sparse traffic,
         // each proxy reaches a cold node only by chance, and the share above limits that.
-        let most = COLD_MARGIN * fair * node.size * warmth;
+        let most = COLD_LOAD_FACTOR * fair * node.size * warmth;
         let turn = unit(draw(
             node.id_hash ^ u64::from(self.settings.proxy_index),
             (now / self.settings.cold_overload_window.max(1)) as u64,
@@ -516,25 +516,25 @@
         // flight there. The proxy's recent requests for the key show that instead: reads of a key that it
         // requests often are spread over more caches.
         let thin = self.thin(now);
-        let own = self.heat.of(request.slot).now(now, HEAT_FADE);
+        let own = self.heat.of(request.slot).now(now, REQUEST_COUNT_DECAY);
         let mean = self.mean_heat(now);
-        let hot = thin && own >= f64::from(SPILL_FLOOR) && own > SPILL_FACTOR * mean;
-        let reach = if hot { (own / mean).ceil().min(RANKS_HOT as f64) as usize } else { 1 };
+        let hot = thin && own >= f64::from(MIN_SPILL_IN_FLIGHT) && own > SPILL_FACTOR * mean;
+        let reach = if hot { (own / mean).ceil().min(MAX_CACHES_PER_HOT_KEY as f64) as usize } else { 1 };
         // With sparse traffic, refusals are due to chance and the node is free a moment later, unless all
         // caches are overloaded. More ranks are then tried.
         let open = room && thin && self.caches.admit.now >= 1.0;
-        let deep = if open { RANKS } else { 1 + usize::from(room) };
+        let deep = if open { MAX_CACHES_PER_KEY } else { 1 + usize::from(room) };
         // A hot key brings as much load as all other keys of a cold node, and would overload it, as would
         // requests that other nodes refused. A cold node gets neither. It gets a fraction of its keys; with
         // sparse traffic, where a proxy cannot tell which keys are hot, a random fraction of its reads.
         let lot = if thin { request.turn } else { request.slot };
         let takes = |&(rank, n): &(usize, usize)| self.takes(now, n, (rank == 0 && !hot).then_some(lot));
         let slots = self.slots.get(self.places.of(request.class)).ok_or(false)?;
-        let mut ranks: Vec<usize> = slots.ranks::<RANKS_HOT>(request.slot, PROBES).collect();
+        let mut ranks: Vec<usize> = slots.ranks::<MAX_CACHES_PER_HOT_KEY>(request.slot, MAX_SLOT_PROBES).collect();
         // If cross-zone attempts cost more than a copy in each zone, the home is the key's first cache in
         // this zone, and the spare the first one elsewhere.
         let near = |&n: &usize| self.nodes[n].entry.zone == self.settings.zone;
-        if self.settings.cross_zone_cost > COPY_PRICE * f64::from(self.settings.zone_count) {
+        if self.settings.cross_zone_cost > COPY_COST * f64::from(self.settings.zone_count) {
             let (home, spare) = (ranks.iter().copied().find(near), ranks.iter().copied().find(|n| !near(n)));
             ranks.sort_by_key(|&n| (Some(n) != home, Some(n) != spare));
         }
@@ -545,7 +545,7 @@
         first.rotate_left(request.turn as usize % first.len().max(1));
         // If several caches hold the key, one in this zone answers sooner and costs no cross-zone attempt.
         first.sort_by_key(|&n| self.nodes[n].entry.zone != self.settings.zone);
-        let bearable = self.settings.classes[request.class].latency_target as f64 * BEARABLE;
+        let bearable = self.settings.classes[request.class].latency_target as f64 * MAX_ADDED_LATENCY_FRACTION;
         let mut open = there.iter().copied().filter(|&n| {
             let node = &self.nodes[n];
             // The network latency to another zone would make an idle node look overloaded, so the node's
@@ -562,7 +562,7 @@
         let home = open.next().ok_or(!there.is_empty() && !room)?;
         let load = self.nodes[home].in_flight;
         let mean = f64::from(self.caches.in_flight) / self.caches.ready.max(1) as f64;
-        if load < SPILL_FLOOR || f64::from(load) <= SPILL_FACTOR * mean {
+        if load < MIN_SPILL_IN_FLIGHT || f64::from(load) <= SPILL_FACTOR * mean {
             return Ok(home);
         }
         Ok(open.next().filter(|&spare| self.nodes[spare].in_flight < load).unwrap_or(home))
@@ -578,7 +578,7 @@
             Ok(node) => self.attempt(now, id, node),
             Err(false) if fetches => self.fetch(now, id),
             Err(_) => {
-                (!request.attempts.is_empty()).then(|| self.feel(now, NOT_TAKEN));
+                (!request.attempts.is_empty()).then(|| self.feel(now, UNSERVED_TARGET_FRACTION));
                 self.give_up(now, id);
             }
         }
@@ -628,7 +628,7 @@
     }
 
     fn lead(&mut self, now: Micros, id: &RequestId, key: Key, node: usize) {
-        if self.joins.len() >= MAX_KEYS {
+        if self.joins.len() >= MAX_KEY_FETCHES {
             self.joins.retain(|_, j| j.leader.is_some() || now - j.served_at < SERVED_WINDOW);
         } else {
             self.joins.insert(key, Join { leader: Some(id.clone()), node, ..Join::default() });
@@ -667,9 +667,9 @@
 
     /// Whether one more request may be sent to the origin. Writes have a higher limit than fetches.
     fn origin_has_room(&self, now: Micros, origin: usize, write: bool) -> bool {
-        let most = self.origin.most * if write { WRITE_ROOM } else { 1.0 };
+        let most = self.origin.most * if write { WRITE_LIMIT_FACTOR } else { 1.0 };
         let free = most >= 1.0 && self.origin.earned > 0.0;
-        let open = (free || now >= self.origin.after) && self.origin.turn <= now + GRANT_AHEAD;
+        let open = (free || now >= self.origin.after) && self.origin.turn <= now + MAX_FETCH_ADVANCE;
         f64::from(self.nodes[origin].in_flight) < most.max(1.0) && open
     }
 
@@ -702,16 +702,16 @@
     /// that fetches refused together are not retried together.
     fn fetch_again(&mut self, now: Micros, id: &RequestId, first: bool) {
         let out = self.origin.node.map_or(0, |o| self.nodes[o].in_flight);
-        self.origin.full_until = if first { now + ESTIMATE_AGE as Micros } else { self.origin.full_until };
+        self.origin.full_until = if first { now + ESTIMATE_DECAY_US as Micros } else { self.origin.full_until };
         if first && out > 0 {
             // The origin's connection table is full of the connections of many proxies: it accepts no more,
             // however idle it is. The requests in flight become the limit until answers raise it again.
             self.origin.most = self.origin.most.min(f64::from(out));
             return self.fetch(now, id);
         }
-        let pause = (self.origin.times.mean * PAUSE * self.rng.random_range(0.5..1.5)) as Micros;
+        let pause = (self.origin.times.mean * FETCH_RETRY_DELAY_FRACTION * self.rng.random_range(0.5..1.5)) as Micros;
         let until = self.requests.get(id).map_or(0, |request| request.useful_until);
-        if self.origin.refused.mean > REFUSES || now + pause + self.origin.times.expected() > until {
+        if self.origin.refused.mean > MAX_RETRY_REFUSAL_RATE || now + pause + self.origin.times.expected() > until {
             return self.give_up(now, id);
         }
         self.hold(id, Role::Pausing, now + pause);
@@ -776,12 +776,12 @@
         if left <= least || !self.may_attempt(now, request, n) {
             return self.give_up(now, id);
         }
-        let floor = self.settings.classes[request.class].latency_target as f64 * PATIENCE_FLOOR;
-        let patience = (times.mean + PATIENCE * times.deviation).max(floor) as Micros;
+        let floor = self.settings.classes[request.class].latency_target as f64 * MIN_TIMEOUT_FRACTION;
+        let patience = (times.mean + TIMEOUT_DEVIATIONS * times.deviation).max(floor) as Micros;
         let allow_for = if at_origin || request.write { left } else { patience.min(left) };
         let node = &mut self.nodes[n];
         node.sent.add(now, self.settings.cold_overload_window);
-        node.asked.add(now, HEAT_FADE);
+        node.asked.add(now, REQUEST_COUNT_DECAY);
         node.in_flight += 1;
         if at_origin {
             self.origin.turn = self.origin.turn.max(now) + self.origin.apart;
@@ -803,7 +803,7 @@
     fn give_up(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         match self.may_refuse(now, request) {
-            true => self.host.refuse(id, STAY_AWAY.min(self.settings.max_retry_after)),
+            true => self.host.refuse(id, RETRY_AFTER.min(self.settings.max_retry_after)),
             false => self.host.fail(id),
         }
         self.finish(now, id, false, 0);
@@ -839,12 +839,12 @@
 
     fn arm(&mut self) {
         let idle = |o: usize| self.nodes[o].in_flight == 0 && !self.origin.queue.is_empty();
-        let due = self.origin.after.max(self.origin.turn - GRANT_AHEAD);
+        let due = self.origin.after.max(self.origin.turn - MAX_FETCH_ADVANCE);
         let fetch = if self.origin.node.is_some_and(idle) { due } else { Micros::MAX };
         let at = self.requests.first_due().min(self.list_due).min(fetch);
         if at < self.next_wake {
             self.next_wake = at;
-            self.host.set_timer(WAKE, at);
+            self.host.set_timer(TIMER_LABEL, at);
         }
     }
 
@@ -874,28 +874,28 @@
         let fault =
             silent || matches!((outcome.status, at_origin), (AttemptStatus::Error, _) | (AttemptStatus::InvalidResponse, false));
         if fault || matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss) {
-            node.faults.learn(now, f64::from(u8::from(fault)), SMOOTHING, ESTIMATE_AGE);
+            node.faults.learn(now, f64::from(u8::from(fault)), EWMA_WEIGHT, ESTIMATE_DECAY_US);
         }
         // A node that accepts requests and answers none, or answers most at once with an error, looks idle
         // and would attract requests. A single silent connection or invalid response can also come from a
         // healthy node: silence counts only if nothing was received since the attempt began, faults only by
         // their rate.
-        let struck = silent && node.heard_at <= sent_at || fault && node.faults.mean > FAULTY;
+        let struck = silent && node.heard_at <= sent_at || fault && node.faults.mean > FAULT_RATE_THRESHOLD;
         // Without zone ejection, the loss of a zone would be detected node by node, and again when each
         // node's ejection ends.
         let zone = self.zones.entry(node.entry.zone).or_default();
         if silent && !at_origin && zone.heard_at <= sent_at {
             zone.silent += u32::from(node.strikes == 0);
-            (zone.silent >= ZONE_SILENT).then(|| zone.strike(now, SKIP_FIRST, SKIP_DOUBLINGS));
+            (zone.silent >= ZONE_EJECTION_THRESHOLD).then(|| zone.strike(now, BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS));
         } else if !silent && !matches!(outcome.status, AttemptStatus::Cancelled | AttemptStatus::NotSent) {
             *zone = Zone { heard_at: now, ..Zone::default() };
         }
         match outcome.status {
-            _ if struck => node.strike(now, SKIP_FIRST, SKIP_DOUBLINGS),
+            _ if struck => node.strike(now, BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS),
             AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Full | AttemptStatus::Error | AttemptStatus::InvalidResponse => {
                 (node.heard_at, node.strikes, node.skip_until) = (now, 0, 0);
                 match outcome.status {
-                    AttemptStatus::Full => node.full_until = now + (mean * FULL_SHARE) as Micros,
+                    AttemptStatus::Full => node.full_until = now + (mean * FULL_BACKOFF_FRACTION) as Micros,
                     AttemptStatus::Served if !at_origin => self.caches.taken.add(now, self.settings.cold_overload_window),
                     AttemptStatus::Miss if thin => self.caches.taken.add(now, self.settings.cold_overload_window),
                     _ => {}
@@ -909,20 +909,20 @@
         self.caches.in_flight = self.caches.in_flight.saturating_sub(1);
         let used = match outcome.status {
             AttemptStatus::Cancelled | AttemptStatus::NotSent => return,
-            AttemptStatus::Full | AttemptStatus::ConnectFailed => FULL_USED,
+            AttemptStatus::Full | AttemptStatus::ConnectFailed => REFUSAL_TARGET_FRACTION,
             _ => target.map_or(self.caches.target_used.mean, |target| wait as f64 / target.max(1.0)),
         };
         // A proxy that uses a node twice a minute must not judge it by answers that are minutes old, so old
         // samples lose weight. A refusal is a momentary state and does not outweigh them.
         let full = matches!(outcome.status, AttemptStatus::Full | AttemptStatus::ConnectFailed);
-        let age = if full { f64::INFINITY } else { ESTIMATE_AGE };
-        node.target_used.learn(now, used, NODE_SMOOTHING, age);
+        let age = if full { f64::INFINITY } else { ESTIMATE_DECAY_US };
+        node.target_used.learn(now, used, SPARSE_EWMA_WEIGHT, age);
         // Time-outs at unreachable nodes would raise the mean answer time, and with it the time-out of all
         // attempts.
         if matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::TimedOut) && !struck {
-            node.time.learn(now, wait as f64, NODE_SMOOTHING, age);
-            node.learn_least(wait as f64, BEST_DRIFT);
-            self.caches.times.learn(wait, SMOOTHING);
+            node.time.learn(now, wait as f64, SPARSE_EWMA_WEIGHT, age);
+            node.learn_least(wait as f64, MIN_LATENCY_DRIFT);
+            self.caches.times.learn(wait, EWMA_WEIGHT);
         }
         if !full || !thin {
             self.feel(now, used);
@@ -934,13 +934,13 @@
     fn feel(&mut self, now: Micros, used: f64) {
         // A proxy that admits few requests gets few answers. Old samples lose weight, or it would keep
         // shedding long after the overload.
-        self.caches.target_used.learn(now, used, SMOOTHING, ESTIMATE_AGE);
+        self.caches.target_used.learn(now, used, EWMA_WEIGHT, ESTIMATE_DECAY_US);
         let all = &mut self.caches;
-        for (share, most) in [(&mut all.admit, CROWDED), (&mut all.surplus, CROWDED_SURPLUS)] {
-            let steps = ((now - share.at) / CONTROL).min(STEPS_MOST) as f64;
+        for (share, most) in [(&mut all.admit, OVERLOAD_TARGET_FRACTION), (&mut all.surplus, OVER_QUOTA_OVERLOAD_TARGET_FRACTION)] {
+            let steps = ((now - share.at) / ADMISSION_INTERVAL).min(MAX_CATCH_UP_STEPS) as f64;
             let (fall, rise) =
-                if all.target_used.mean > most { (ADMIT_FALL, 0.0) } else { (1.0, ADMIT_RISE) };
-            share.step(now, steps, fall, rise, ADMIT_LEAST);
+                if all.target_used.mean > most { (ADMISSION_DECREASE, 0.0) } else { (1.0, ADMISSION_INCREASE) };
+            share.step(now, steps, fall, rise, MIN_ADMITTED_FRACTION);
         }
     }
 
@@ -948,16 +948,16 @@
         if outcome.status == AttemptStatus::Served {
             // A proxy that fetches every few seconds would consider the origin slow long after it recovered,
             // so old samples lose weight.
-            self.origin.answers(now, outcome.latency, SMOOTHING, ORIGIN_AGE);
-            self.origin.best = (self.origin.best * ORIGIN_DRIFT).min(self.origin.times.mean);
+            self.origin.answers(now, outcome.latency, EWMA_WEIGHT, ORIGIN_ESTIMATE_DECAY_US);
+            self.origin.best = (self.origin.best * ORIGIN_MIN_LATENCY_DRIFT).min(self.origin.times.mean);
         }
         // A refusal takes no time, so a limit on concurrent fetches does not slow down refused ones: twelve
         // proxies with room for six fetches sent thirteen for each that was accepted, and larger fleets send
         // more. Refusals therefore use up credit.
         match outcome.status {
-            AttemptStatus::Served => self.origin.pays(EARNS, EARNED_MOST),
+            AttemptStatus::Served => self.origin.pays(REFUSAL_CREDIT_PER_ANSWER, MAX_REFUSAL_CREDIT),
             AttemptStatus::Full => {
-                self.origin.refuses(now, -EARNS, PROBE_DOUBLINGS, || self.rng.random_range(0.5..1.5))
+                self.origin.refuses(now, -REFUSAL_CREDIT_PER_ANSWER, MAX_PROBE_DOUBLINGS, || self.rng.random_range(0.5..1.5))
             }
             _ => {}
         }
@@ -965,10 +965,10 @@
         // overloaded.
         let refused = outcome.status == AttemptStatus::Full && !outcome.first_on_connection;
         if refused || outcome.status == AttemptStatus::Served {
-            self.origin.refused.learn(now, f64::from(u8::from(refused)), NODE_SMOOTHING, f64::INFINITY);
+            self.origin.refused.learn(now, f64::from(u8::from(refused)), SPARSE_EWMA_WEIGHT, f64::INFINITY);
         }
         let strained = match outcome.status {
-            AttemptStatus::Served => self.origin.slow(FETCH_SLOW),
+            AttemptStatus::Served => self.origin.slow(ORIGIN_OVERLOAD_FACTOR),
             AttemptStatus::Miss | AttemptStatus::Cancelled | AttemptStatus::NotSent | AttemptStatus::InvalidResponse | AttemptStatus::Unknown => return,
             // Refusals do not reduce the limit. Single ones occur by chance, and each reduced the limit of
             // one proxy among a hundred to one fetch per second. They already use up credit, and a limit
@@ -977,12 +977,12 @@
         };
         // One proxy among hundreds, with one fetch per second, would take half a minute to reduce its limit.
         // It makes up for the answer times that have passed.
-        let cuts = self.origin.silence(now).clamp(1, STEPS_MOST) as i32;
+        let cuts = self.origin.silence(now).clamp(1, MAX_CATCH_UP_STEPS) as i32;
         let used = self.origin.node.map_or(0, |o| self.nodes[o].in_flight + 1);
         if outcome.status == AttemptStatus::Served && !strained && f64::from(used) >= self.origin.most / 2.0 {
             self.origin.most += 1.0 / self.origin.most.max(1.0);
         } else if strained && now - self.origin.cut_at >= self.origin.times.expected() {
-            self.origin.most = (self.origin.most * FETCHES_CUT.powi(cuts)).max(FETCHES_LEAST);
+            self.origin.most = (self.origin.most * FETCH_LIMIT_DECREASE.powi(cuts)).max(MIN_FETCH_LIMIT);
             self.origin.cut_at = now;
         }
     }
@@ -993,7 +993,7 @@
     fn surplus(&mut self, now: Micros, tenant: usize, id: &RequestId) -> bool {
         let Some(quota) = self.settings.quotas.get(tenant) else { return false };
         let part = quota / f64::from(self.settings.fleet_size.max(1));
-        let within = self.tenants[tenant].take(now, part * SHARE_ROOM, ALLOWANCE_LEAST);
+        let within = self.tenants[tenant].take(now, part * QUOTA_TOLERANCE, MIN_QUOTA_BURST);
         let shut = self.rng.random::<f64>() >= self.caches.surplus.now;
         !within && (shut || self.target(now, id).is_none_or(|n| n.in_flight > 0))
     }
