--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -161,19 +161,19 @@
     rng: ChaCha8Rng,
     settings: Settings,
     requests: Requests,
-    joins: BTreeMap<Key, Join>,
+    key_fetches: BTreeMap<Key, KeyFetch>,
     nodes: Nodes,
-    zones: BTreeMap<u32, Zone>,
-    kinds: BTreeMap<u32, Kind>,
-    speeds: Average,
-    places: Places,
+    zone_health: BTreeMap<u32, ZoneHealth>,
+    kind_stats: BTreeMap<u32, KindStats>,
+    mean_answer_time: RunningMean,
+    filters: NodeFilters,
     /// One table per node filter, so that all proxies agree on the homes of its keys.
-    slots: Vec<Slots>,
-    caches: Caches,
-    origin: Origin,
-    heat: Heat,
-    tenants: Vec<Tenant>,
-    list_due: Micros,
+    slot_tables: Vec<SlotTable>,
+    caches: CacheStats,
+    origin: OriginState,
+    request_counts: RequestCounts,
+    tenants: Vec<TokenBucket>,
+    list_request_due: Micros,
     list_failures: u32,
     next_wake: Micros,
 }
@@ -186,26 +186,26 @@
         // fail and are repeated. The first requests are therefore spread over time.
         let most = ((settings.max_list_refresh_interval as f64 * MAX_LIST_REQUEST_SPREAD_FRACTION) as Micros).min(MAX_LIST_REQUEST_SPREAD);
         let spread = rng.random_range(0..=most.min(LIST_REQUEST_SPREAD_PER_PROXY * i64::from(settings.fleet_size)));
-        let shortest = shortest_target(&settings);
-        let times = Times { mean: shortest * INITIAL_ANSWER_TIME_FRACTION, deviation: shortest * INITIAL_ANSWER_TIME_FRACTION / 2.0 };
-        let places = Places::new(&settings.classes);
+        let shortest = shortest_latency_target(&settings);
+        let times = AnswerTimes { mean: shortest * INITIAL_ANSWER_TIME_FRACTION, deviation: shortest * INITIAL_ANSWER_TIME_FRACTION / 2.0 };
+        let places = NodeFilters::new(&settings.classes);
         Policy {
             host,
             rng,
-            tenants: settings.quotas.iter().map(|_| Tenant { allowance: 1.0, filled_at: now }).collect(),
-            list_due: if settings.list_on_request { now + spread } else { Micros::MAX },
+            tenants: settings.quotas.iter().map(|_| TokenBucket { tokens: 1.0, refilled_at: now }).collect(),
+            list_request_due: if settings.list_on_request { now + spread } else { Micros::MAX },
             settings,
             requests: Requests::default(),
-            joins: BTreeMap::new(),
+            key_fetches: BTreeMap::new(),
             nodes: Nodes::default(),
-            zones: BTreeMap::new(),
-            kinds: BTreeMap::new(),
-            speeds: Average::default(),
-            places,
-            slots: Vec::new(),
-            caches: Caches::new(now, times, MIN_ADMITTED_FRACTION),
-            origin: Origin::new(now, times, INITIAL_FETCH_LIMIT, shortest * ORIGIN_ACCEPTABLE_FRACTION, MAX_REFUSAL_CREDIT),
-            heat: Heat::new(KEY_COUNTERS),
+            zone_health: BTreeMap::new(),
+            kind_stats: BTreeMap::new(),
+            mean_answer_time: RunningMean::default(),
+            filters: places,
+            slot_tables: Vec::new(),
+            caches: CacheStats::new(now, times, MIN_ADMITTED_FRACTION),
+            origin: OriginState::new(now, times, INITIAL_FETCH_LIMIT, shortest * ORIGIN_ACCEPTABLE_FRACTION, MAX_REFUSAL_CREDIT),
+            request_counts: RequestCounts::new(KEY_COUNTERS),
             list_failures: 0,
             next_wake: Micros::MAX,
         }
@@ -215,20 +215,20 @@
     /// Learned estimates are kept: a fleet that reset its fetch limits would overload the origin at once.
     pub fn apply_settings(&mut self, now: Micros, mut settings: Settings) {
         // Requests in progress finish under their old class, which is appended after the new ones.
-        self.origin.bearable = shortest_target(&settings) * ORIGIN_ACCEPTABLE_FRACTION;
+        self.origin.acceptable_answer_time = shortest_latency_target(&settings) * ORIGIN_ACCEPTABLE_FRACTION;
         let cases = &mut settings.classes;
         let in_hand: BTreeSet<usize> = self.requests.values().map(|request| request.class).collect();
         let moved: BTreeMap<usize, usize> = in_hand.into_iter().zip(cases.len()..).collect();
         cases.extend(moved.keys().map(|&old| self.settings.classes[old].clone()));
         self.requests.values_mut().for_each(|request| request.class = moved[&request.class]);
         let known = self.tenants.len();
-        let fresh = |_| Tenant { allowance: 1.0, filled_at: now };
+        let fresh = |_| TokenBucket { tokens: 1.0, refilled_at: now };
         self.tenants.extend((known..settings.quotas.len()).map(fresh));
-        self.places = Places::new(&settings.classes);
+        self.filters = NodeFilters::new(&settings.classes);
         self.settings = settings;
-        self.nodes.iter_mut().for_each(|node| node.places = self.places.holding(&node.entry));
+        self.nodes.iter_mut().for_each(|node| node.filter_bits = self.filters.matching_bits(&node.entry));
         self.build_slots();
-        self.upkeep(now);
+        self.run_due_work(now);
     }
 
     /// Decides on a request that has arrived.
@@ -242,20 +242,20 @@
         let (id, tenant, write) = (arrival.id.clone(), arrival.tenant, arrival.is_write);
         let request = Request::new(arrival, now, useful, self.settings.max_attempts, self.rng.random());
         let key = request.key.clone();
-        self.heat.add(now, REQUEST_COUNT_DECAY, request.slot);
+        self.request_counts.add(now, REQUEST_COUNT_DECAY, request.key_hash);
         self.requests.insert(id.clone(), request);
-        let late = self.caches.target_used.mean >= 1.0;
-        let shut = self.rng.random::<f64>() >= self.caches.admit.now;
-        if self.surplus(now, tenant, &id) {
+        let late = self.caches.target_fraction.mean >= 1.0;
+        let shut = self.rng.random::<f64>() >= self.caches.admitted_reads.value;
+        if self.exceeds_quota(now, tenant, &id) {
             self.give_up(now, &id);
         } else if write {
-            self.write_passes(now, &id, &key);
-        } else if shut && (late || self.target(now, &id).is_none_or(|n| n.target_used.mean >= OVERLOAD_TARGET_FRACTION)) {
+            self.forward_write(now, &id, &key);
+        } else if shut && (late || self.preferred_node(now, &id).is_none_or(|n| n.target_fraction.mean >= OVERLOAD_TARGET_FRACTION)) {
             // Overloaded nodes answer late. The mean over all caches alone would let a few hot nodes shut out
             // reads that idle nodes could serve, so the target node must be overloaded, too.
-            if self.may_fetch(now) { self.fetch(now, &id) } else { self.give_up(now, &id) }
+            if self.can_fetch(now) { self.fetch(now, &id) } else { self.give_up(now, &id) }
         } else if self.settings.cache_aside {
-            self.ask_cache(now, &id);
+            self.send_to_cache(now, &id);
         } else {
             self.read_through(now, &id, key);
         }
@@ -265,53 +265,53 @@
     pub fn on_attempt_outcome(&mut self, now: Micros, id: &RequestId, node: &NodeId, outcome: AttemptOutcome) {
         let Some(node) = self.nodes.find(node) else { return };
         let target = self.requests.get(id).map(|a| self.settings.classes[a.class].latency_target as f64);
-        self.observe(now, node, &outcome, target);
+        self.record_outcome(now, node, &outcome, target);
         // The idle connections of hundreds of proxies fill the connection table of a node or an origin.
         // Connections that are used too seldom to be worth their cost are closed.
         let worth = self.settings.connection_cost * f64::from(self.settings.fleet_size);
-        let asked = self.nodes[node].asked.now(now, REQUEST_COUNT_DECAY) - 1.0;
-        let full = self.of_origin(node) && now < self.origin.full_until;
-        if full || worth > 1.0 && !self.of_origin(node) && asked < worth * self.mean_heat(now) {
+        let asked = self.nodes[node].long_term_requests.value(now, REQUEST_COUNT_DECAY) - 1.0;
+        let full = self.is_origin_node(node) && now < self.origin.connections_full_until;
+        if full || worth > 1.0 && !self.is_origin_node(node) && asked < worth * self.mean_requests_per_cache(now) {
             self.host.close_idle(&self.nodes[node].entry.node);
         }
         // If the list does not reflect speed, nodes of a slow kind are overloaded by their share while those
         // of a fast kind idle. Steps are coarse, so that all proxies build the same table and homes rarely
         // move.
-        if outcome.status == AttemptStatus::Served && !self.of_origin(node) && self.settings.weight_mode != WeightMode::Live {
-            let all = self.speeds.learn(outcome.latency, SPEED_EWMA_WEIGHT);
-            let kind = self.kinds.entry(self.nodes[node].entry.kind).or_default();
-            let steps = kind.faster(all, outcome.latency, SPEED_EWMA_WEIGHT) * SPEED_STEPS_PER_DOUBLING;
-            if kind.time.count >= MIN_SPEED_SAMPLES && (steps - kind.level).abs() > SPEED_HYSTERESIS_STEPS {
-                kind.level = steps.round().clamp(-SPEED_STEPS_PER_DOUBLING, SPEED_STEPS_PER_DOUBLING);
+        if outcome.status == AttemptStatus::Served && !self.is_origin_node(node) && self.settings.weight_mode != WeightMode::Live {
+            let all = self.mean_answer_time.record(outcome.latency, SPEED_EWMA_WEIGHT);
+            let kind = self.kind_stats.entry(self.nodes[node].entry.kind).or_default();
+            let steps = kind.record_speed(all, outcome.latency, SPEED_EWMA_WEIGHT) * SPEED_STEPS_PER_DOUBLING;
+            if kind.answer_time.count >= MIN_SPEED_SAMPLES && (steps - kind.speed_level).abs() > SPEED_HYSTERESIS_STEPS {
+                kind.speed_level = steps.round().clamp(-SPEED_STEPS_PER_DOUBLING, SPEED_STEPS_PER_DOUBLING);
                 self.build_slots();
             }
         }
         let attempt = self.requests.get_mut(id).and_then(|a| a.attempts.get_mut(outcome.attempt_index));
         // A late answer to a finished request only updates estimates and frees capacity at the origin.
-        if attempt.is_some_and(|h| h.ending.replace(outcome.status).is_none()) {
+        if attempt.is_some_and(|h| h.result.replace(outcome.status).is_none()) {
             match outcome.status {
                 ending if outcome.request_finished => self.finish(now, id, ending == AttemptStatus::Served, node),
-                AttemptStatus::Miss => self.missed(now, id, node),
+                AttemptStatus::Miss => self.on_miss(now, id, node),
                 // Repeating every failed fetch would overload an origin at its limit. An invalid response or
                 // a reset does not indicate overload.
                 AttemptStatus::InvalidResponse | AttemptStatus::Reset if Some(node) == self.origin.node => self.fetch(now, id),
-                AttemptStatus::Full if Some(node) == self.origin.node => self.fetch_again(now, id, outcome.first_on_connection),
+                AttemptStatus::Full if Some(node) == self.origin.node => self.retry_refused_fetch(now, id, outcome.first_on_connection),
                 _ if Some(node) == self.origin.node => self.give_up(now, id),
-                _ => self.ask_cache(now, id),
+                _ => self.send_to_cache(now, id),
             }
         }
         if Some(node) == self.origin.node {
-            self.fetch_queued(now);
+            self.send_queued_fetches(now);
         }
-        self.arm();
+        self.arm_timer();
     }
 
     /// The request needs no answer any more: the client has left, or its response has begun to stream.
     pub fn on_request_closed(&mut self, now: Micros, id: &RequestId) {
-        let next = self.next_lead(id);
+        let next = self.promote_follower(id);
         self.finish(now, id, false, 0);
-        next.inspect(|next| self.alone(now, next));
-        self.arm();
+        next.inspect(|next| self.proceed_alone(now, next));
+        self.arm_timer();
     }
 
     /// Takes in the node list or a part of it.
@@ -322,38 +322,38 @@
             let wait = (LIST_RETRY_DELAY << self.list_failures.min(MAX_LIST_RETRY_DOUBLINGS)) as f64;
             let at = now + (wait * self.rng.random_range(0.5..1.5)) as Micros;
             self.list_failures += 1;
-            self.list_due = if self.settings.list_on_request { at } else { Micros::MAX };
-            return self.arm();
+            self.list_request_due = if self.settings.list_on_request { at } else { Micros::MAX };
+            return self.arm_timer();
         }
         if kind != ListUpdateKind::Restored {
-            (self.list_failures, self.list_due) = (0, Micros::MAX);
+            (self.list_failures, self.list_request_due) = (0, Micros::MAX);
         }
         if kind != ListUpdateKind::Delta {
             self.nodes.iter_mut().for_each(|node| node.entry.state = NodeState::Gone);
         }
-        let same = entries.into_iter().map(|entry| self.enter(now, entry)).fold(true, |a, b| a & b);
-        let ready = |&n: &usize| self.of_origin(n) && self.nodes[n].entry.state == NodeState::Ready;
+        let same = entries.into_iter().map(|entry| self.apply_entry(now, entry)).fold(true, |a, b| a & b);
+        let ready = |&n: &usize| self.is_origin_node(n) && self.nodes[n].entry.state == NodeState::Ready;
         self.origin.node = (0..self.nodes.len()).find(ready);
         (!same || kind != ListUpdateKind::Delta).then(|| self.build_slots());
-        self.upkeep(now);
+        self.run_due_work(now);
     }
 
     /// The timer with this label has fired.
     pub fn on_timer(&mut self, now: Micros, label: u64) {
         if label == TIMER_LABEL && now >= self.next_wake {
             self.next_wake = Micros::MAX;
-            self.upkeep(now);
+            self.run_due_work(now);
         }
     }
 
     /// Sets the rate of fetches per second that the fleet grants this proxy at the origin; `None` for no
     /// limit. Returns how many fetches have been requested so far, sent or not.
     pub fn set_origin_fetch_rate(&mut self, now: Micros, rate: Option<f64>) -> u64 {
-        self.origin.apart = rate.map_or(0, |rate| (1e6 / rate.max(1e-3)) as Micros);
-        self.origin.turn = self.origin.turn.min(now + MAX_FETCH_ADVANCE + self.origin.apart);
-        self.fetch_queued(now);
-        self.arm();
-        self.origin.wanted
+        self.origin.fetch_interval = rate.map_or(0, |rate| (1e6 / rate.max(1e-3)) as Micros);
+        self.origin.next_scheduled_fetch = self.origin.next_scheduled_fetch.min(now + MAX_FETCH_ADVANCE + self.origin.fetch_interval);
+        self.send_queued_fetches(now);
+        self.arm_timer();
+        self.origin.fetch_demand
     }
 
     /// Caches that stopped answering this proxy and have not answered since.
@@ -363,52 +363,52 @@
 
     /// Another proxy probes this silent node until then, or, if that is past, got an answer from it.
     pub fn defer_probe(&mut self, node: &NodeId, until: Micros) {
-        self.nodes.put_off(node, until);
+        self.nodes.defer_probe(node, until);
     }
 
     /// Number of listed caches that are passed over now, because they drain or were ejected.
     pub fn count_avoided_caches(&self, now: Micros) -> usize {
-        (0..self.nodes.len()).filter(|&n| !self.of_origin(n) && self.nodes[n].avoided(now)).count()
+        (0..self.nodes.len()).filter(|&n| !self.is_origin_node(n) && self.nodes[n].is_avoided(now)).count()
     }
 
     pub fn is_origin(&self, node: &NodeId) -> bool {
-        self.nodes.find(node).is_some_and(|n| self.of_origin(n))
+        self.nodes.find(node).is_some_and(|n| self.is_origin_node(n))
     }
 
     /// Applies a list entry; returns whether the slot tables stay valid.
-    fn enter(&mut self, now: Micros, mut entry: NodeEntry) -> bool {
+    fn apply_entry(&mut self, now: Micros, mut entry: NodeEntry) -> bool {
         let told = if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 0.0 };
         // A live weight falls with load. Used as the capacity, it would move keys at every list update, and
         // all proxies away from a node together. The largest weight listed for the kind is the capacity: of
         // many nodes of a kind, some are always idle.
-        let kind = self.kinds.entry(entry.kind).or_default();
-        kind.most = kind.most.max(told);
+        let kind = self.kind_stats.entry(entry.kind).or_default();
+        kind.max_weight = kind.max_weight.max(told);
         entry.weight = match self.settings.weight_mode {
             WeightMode::Declared if told > 0.0 => told,
-            WeightMode::Live if kind.most > 0.0 => kind.most,
+            WeightMode::Live if kind.max_weight > 0.0 => kind.max_weight,
             _ => 1.0,
         };
-        let node = self.nodes.of(&entry.node, now, NODE_RECORD_RETENTION);
+        let node = self.nodes.get_or_insert(&entry.node, now, NODE_RECORD_RETENTION);
         // Listed start times may be off, so a node listed as started long ago may still be cold. It counts as
         // started at the latest time possible, but no later than when that start was first listed.
-        let told_start = std::mem::replace(&mut node.told_start, entry.started_at);
+        let told_start = std::mem::replace(&mut node.listed_start, entry.started_at);
         if entry.started_at > 0 && self.settings.max_start_time_error > 0 {
             let latest = (entry.started_at + self.settings.max_start_time_error).min(now);
             entry.started_at = if told_start == entry.started_at { node.entry.started_at } else { latest };
         }
-        node.places = self.places.holding(&entry);
+        node.filter_bits = self.filters.matching_bits(&entry);
         let old = &node.entry;
         let same = (old.state, old.weight, old.kind, old.zone)
             == (entry.state, entry.weight, entry.kind, entry.zone);
         if entry.started_at != node.entry.started_at {
             // A restarted node has the same id as before, but its cache is empty.
-            (node.strikes, node.skip_until, node.sent) = (0, 0, Pace::default());
+            (node.ejections, node.ejected_until, node.recent_requests) = (0, 0, DecayingCount::default());
         }
         // In a fleet of hundreds, each proxy uses a node about twice a minute and notices its overload only
         // when that is over, so the load in the list is used. All proxies see the same list: each moves away
         // a random part of its reads, or all would leave and return together.
         if self.settings.weight_mode == WeightMode::Live && told > 0.0 {
-            node.left(entry.weight / told - 1.0, HEALTHY_REQUESTS_PER_CORE, MAX_READ_SHARE_CUT, READ_SHARE_RECOVERY);
+            node.adjust_bypass(entry.weight / told - 1.0, HEALTHY_REQUESTS_PER_CORE, MAX_READ_SHARE_CUT, READ_SHARE_RECOVERY);
         }
         node.entry = entry;
         same
@@ -418,119 +418,119 @@
     /// claim slots by a hash of their id, so that only keys of added or removed nodes move. Ranking every
     /// node for every key instead would take too long with hundreds of nodes.
     fn build_slots(&mut self) {
-        let mut ready: Vec<usize> = (0..self.nodes.len()).filter(|&n| self.is_cache(n)).collect();
+        let mut ready: Vec<usize> = (0..self.nodes.len()).filter(|&n| self.is_ready_cache(n)).collect();
         ready.sort_by(|&a, &b| self.nodes[a].entry.node.cmp(&self.nodes[b].entry.node));
         let live = self.settings.weight_mode == WeightMode::Live;
         for node in self.nodes.iter_mut() {
-            let kind = self.kinds.entry(node.entry.kind).or_default();
-            node.entry.weight = if live && kind.most > 0.0 { kind.most } else { node.entry.weight };
-            node.size = node.entry.weight * (kind.level / SPEED_STEPS_PER_DOUBLING).exp2();
+            let kind = self.kind_stats.entry(node.entry.kind).or_default();
+            node.entry.weight = if live && kind.max_weight > 0.0 { kind.max_weight } else { node.entry.weight };
+            node.capacity = node.entry.weight * (kind.speed_level / SPEED_STEPS_PER_DOUBLING).exp2();
         }
-        self.caches.ready = ready.len();
-        self.caches.size = ready.iter().map(|&n| self.nodes[n].size).sum();
+        self.caches.ready_count = ready.len();
+        self.caches.total_capacity = ready.iter().map(|&n| self.nodes[n].capacity).sum();
         // Weights have no unit. They are scaled by a power of two near their mean, which rarely changes.
         let listed: f64 = ready.iter().map(|&n| self.nodes[n].entry.weight).sum();
         let unit = (listed / ready.len().max(1) as f64).max(1e-9).log2().round().exp2();
-        let claims = |n: usize| (SLOT_CLAIMS_PER_NODE * (self.nodes[n].size / unit).min(8.0)).ceil() as u64;
+        let claims = |n: usize| (SLOT_CLAIMS_PER_NODE * (self.nodes[n].capacity / unit).min(8.0)).ceil() as u64;
         let table = |place| {
-            let open = ready.iter().filter(|&&n| self.nodes[n].open_to(place));
-            Slots::new(SLOT_COUNT, open.map(|&n| (n, self.nodes[n].id_hash, claims(n))))
+            let open = ready.iter().filter(|&&n| self.nodes[n].passes_filter(place));
+            SlotTable::new(SLOT_COUNT, open.map(|&n| (n, self.nodes[n].id_hash, claims(n))))
         };
-        self.slots = (0..self.places.count()).map(table).collect();
+        self.slot_tables = (0..self.filters.count()).map(table).collect();
     }
 
     /// Whether this proxy sends only a small part of each cache's traffic. Refusals are then due to chance,
     /// and its own requests in flight say little about a cache's load.
-    fn thin(&self, now: Micros) -> bool {
-        self.settings.fleet_size as usize > self.caches.ready || self.mean_heat(now) < SPARSE_REQUESTS_PER_CACHE
+    fn has_sparse_traffic(&self, now: Micros) -> bool {
+        self.settings.fleet_size as usize > self.caches.ready_count || self.mean_requests_per_cache(now) < SPARSE_REQUESTS_PER_CACHE
     }
 
-    fn mean_heat(&self, now: Micros) -> f64 {
-        self.heat.all.now(now, REQUEST_COUNT_DECAY) / self.caches.ready.max(1) as f64
+    fn mean_requests_per_cache(&self, now: Micros) -> f64 {
+        self.request_counts.total.value(now, REQUEST_COUNT_DECAY) / self.caches.ready_count.max(1) as f64
     }
 
-    fn of_origin(&self, n: usize) -> bool {
+    fn is_origin_node(&self, n: usize) -> bool {
         self.settings.origin_kind == Some(self.nodes[n].entry.kind)
     }
 
-    fn is_cache(&self, n: usize) -> bool {
-        self.nodes[n].entry.state == NodeState::Ready && !self.of_origin(n)
+    fn is_ready_cache(&self, n: usize) -> bool {
+        self.nodes[n].entry.state == NodeState::Ready && !self.is_origin_node(n)
     }
 
     /// Whether a cache node may get a request now. A cold node accepts a fraction of the values of `lot`, and
     /// nothing without one.
-    fn takes(&self, now: Micros, n: usize, lot: Option<u64>) -> bool {
+    fn accepts(&self, now: Micros, n: usize, lot: Option<u64>) -> bool {
         let node = &self.nodes[n];
         // A burst sent to a node that still does not answer would be lost. After an ejection only one request
         // at a time is sent, until the node has answered.
-        let zone = self.zones.get(&node.entry.zone).is_none_or(|z| now >= z.tried_at + z.spell);
-        let trusted = zone && now >= node.skip_until && (node.strikes == 0 || node.in_flight == 0);
-        let warmth = node.warmth(now, self.settings.start_capacity, self.settings.ramp_time);
-        let cold_takes = || lot.is_some_and(|lot| self.cold_takes(now, n, lot, warmth));
-        self.is_cache(n) && trusted && (warmth >= 1.0 || cold_takes())
+        let zone = self.zone_health.get(&node.entry.zone).is_none_or(|z| now >= z.probed_at + z.ejection_time);
+        let trusted = zone && now >= node.ejected_until && (node.ejections == 0 || node.in_flight == 0);
+        let warmth = node.warm_fraction(now, self.settings.start_capacity, self.settings.ramp_time);
+        let cold_takes = || lot.is_some_and(|lot| self.cold_node_accepts(now, n, lot, warmth));
+        self.is_ready_cache(n) && trusted && (warmth >= 1.0 || cold_takes())
     }
 
     /// Slow start for a cold node: all its keys at once would overload the node, and their misses the origin.
     /// It gets keys in proportion to its warmth, from the proxies in turn at first, and never more requests
     /// than a warm node of its capacity would get.
-    fn cold_takes(&self, now: Micros, n: usize, lot: u64, warmth: f64) -> bool {
+    fn cold_node_accepts(&self, now: Micros, n: usize, lot: u64, warmth: f64) -> bool {
         let node = &self.nodes[n];
         let turns = (self.settings.ramp_time as f64 * WARMUP_TURNS_FRACTION) as Micros;
         let fresh = node.age(now) < turns;
         // Turns go by proxy number: one proxy at a time in a small fleet, else a group of proxies.
-        let most = if self.thin(now) { MAX_WARMUP_GROUPS } else { self.settings.fleet_size };
+        let most = if self.has_sparse_traffic(now) { MAX_WARMUP_GROUPS } else { self.settings.fleet_size };
         let groups = ((turns / WARMUP_TURN) as u32).min(most).max(1);
         let turn = (now / WARMUP_TURN) as u32 % groups == self.settings.proxy_index % groups;
         // In an overload, warm nodes are sent more than they can accept, so the accepted requests count.
-        let lately = |pace: &Pace| pace.now(now, self.settings.cold_overload_window);
-        let (taken, sent) = (lately(&self.caches.taken), lately(&self.caches.sent));
+        let lately = |pace: &DecayingCount| pace.value(now, self.settings.cold_overload_window);
+        let (taken, sent) = (lately(&self.caches.recent_accepted), lately(&self.caches.recent_sent));
         // Reducing the share by what warm nodes refused left cold nodes idle in large fleets. There, cold
         // nodes get first choices only and nothing that other nodes refused, so their load follows the
         // arrivals and the share may be larger.
-        let part = warmth * (if self.thin(now) { COLD_SHARE_FACTOR } else { 1.0 } * taken / sent.max(1.0)).min(1.0);
-        if unit(mix(node.id_hash ^ lot)) > part || fresh && !turn {
+        let part = warmth * (if self.has_sparse_traffic(now) { COLD_SHARE_FACTOR } else { 1.0 } * taken / sent.max(1.0)).min(1.0);
+        if to_unit_interval(mix(node.id_hash ^ lot)) > part || fresh && !turn {
             return false;
         }
-        let fair = taken / self.caches.size.max(1.0);
+        let fair = taken / self.caches.total_capacity.max(1.0);
         // One request allowed by each of thirty proxies makes thirty. A limit below one is therefore met by
         // allowing one request in a matching part of the time windows, drawn by hash. With sparse traffic,
         // each proxy reaches a cold node only by chance, and the share above limits that.
-        let most = COLD_LOAD_FACTOR * fair * node.size * warmth;
-        let turn = unit(draw(
+        let most = COLD_LOAD_FACTOR * fair * node.capacity * warmth;
+        let turn = to_unit_interval(nth_hash(
             node.id_hash ^ u64::from(self.settings.proxy_index),
             (now / self.settings.cold_overload_window.max(1)) as u64,
         ));
-        lately(&node.sent) < if self.thin(now) { most + 1.0 } else { (most + turn).floor() }
+        lately(&node.recent_requests) < if self.has_sparse_traffic(now) { most + 1.0 } else { (most + turn).floor() }
     }
 
-    fn target(&self, now: Micros, id: &RequestId) -> Option<&Node> {
-        self.choose(now, self.requests.get(id)?).ok().map(|n| &self.nodes[n])
+    fn preferred_node(&self, now: Micros, id: &RequestId) -> Option<&Node> {
+        self.choose_cache(now, self.requests.get(id)?).ok().map(|n| &self.nodes[n])
     }
 
     /// Chooses the home, or the spare if the home has more than its part of this proxy's requests in flight.
     /// `Err(false)` allows a fetch instead: no cache accepts the key at all, or the origin has room.
-    fn choose(&self, now: Micros, request: &Request) -> Result<usize, bool> {
+    fn choose_cache(&self, now: Micros, request: &Request) -> Result<usize, bool> {
         // The spare may lack the key. While the origin has no room, that miss would end in a refusal.
         let room = self.origin.node.is_none_or(|o| self.origin_has_room(now, o, false));
         // Hundreds of proxies overload the home of a hot key together while each has hardly a request in
         // flight there. The proxy's recent requests for the key show that instead: reads of a key that it
         // requests often are spread over more caches.
-        let thin = self.thin(now);
-        let own = self.heat.of(request.slot).now(now, REQUEST_COUNT_DECAY);
-        let mean = self.mean_heat(now);
+        let thin = self.has_sparse_traffic(now);
+        let own = self.request_counts.for_key(request.key_hash).value(now, REQUEST_COUNT_DECAY);
+        let mean = self.mean_requests_per_cache(now);
         let hot = thin && own >= f64::from(MIN_SPILL_IN_FLIGHT) && own > SPILL_FACTOR * mean;
         let reach = if hot { (own / mean).ceil().min(MAX_CACHES_PER_HOT_KEY as f64) as usize } else { 1 };
         // With sparse traffic, refusals are due to chance and the node is free a moment later, unless all
         // caches are overloaded. More ranks are then tried.
-        let open = room && thin && self.caches.admit.now >= 1.0;
+        let open = room && thin && self.caches.admitted_reads.value >= 1.0;
         let deep = if open { MAX_CACHES_PER_KEY } else { 1 + usize::from(room) };
         // A hot key brings as much load as all other keys of a cold node, and would overload it, as would
         // requests that other nodes refused. A cold node gets neither. It gets a fraction of its keys; with
         // sparse traffic, where a proxy cannot tell which keys are hot, a random fraction of its reads.
-        let lot = if thin { request.turn } else { request.slot };
-        let takes = |&(rank, n): &(usize, usize)| self.takes(now, n, (rank == 0 && !hot).then_some(lot));
-        let slots = self.slots.get(self.places.of(request.class)).ok_or(false)?;
-        let mut ranks: Vec<usize> = slots.ranks::<MAX_CACHES_PER_HOT_KEY>(request.slot, MAX_SLOT_PROBES).collect();
+        let lot = if thin { request.random } else { request.key_hash };
+        let takes = |&(rank, n): &(usize, usize)| self.accepts(now, n, (rank == 0 && !hot).then_some(lot));
+        let slots = self.slot_tables.get(self.filters.index_for(request.class)).ok_or(false)?;
+        let mut ranks: Vec<usize> = slots.ranked_caches::<MAX_CACHES_PER_HOT_KEY>(request.key_hash, MAX_SLOT_PROBES).collect();
         // If cross-zone attempts cost more than a copy in each zone, the home is the key's first cache in
         // this zone, and the spare the first one elsewhere.
         let near = |&n: &usize| self.nodes[n].entry.zone == self.settings.zone;
@@ -542,7 +542,7 @@
         let mut there: Vec<usize> = ranks.map(|(_, n)| n).take(reach.max(deep)).collect();
         let turns = reach.min(there.len());
         let first = &mut there[..turns];
-        first.rotate_left(request.turn as usize % first.len().max(1));
+        first.rotate_left(request.random as usize % first.len().max(1));
         // If several caches hold the key, one in this zone answers sooner and costs no cross-zone attempt.
         first.sort_by_key(|&n| self.nodes[n].entry.zone != self.settings.zone);
         let bearable = self.settings.classes[request.class].latency_target as f64 * MAX_ADDED_LATENCY_FRACTION;
@@ -550,35 +550,35 @@
             let node = &self.nodes[n];
             // The network latency to another zone would make an idle node look overloaded, so the node's
             // minimum is subtracted. With sparse traffic, the minimum is not known well enough.
-            let slow = node.time.mean - if thin { 0.0 } else { node.least };
+            let slow = node.answer_time.mean - if thin { 0.0 } else { node.min_answer_time };
             // An overloaded node would get more than it can answer in time. It is only probed while this
             // proxy has no request in flight there, and the less often the slower it is.
-            let tries = || node.in_flight == 0 && unit(draw(request.turn, n as u64)) < bearable / slow;
-            let left = unit(draw(request.turn, !(n as u64))) < node.leave;
-            !request.tried(n) && now >= node.full_until && !left && (slow < bearable || tries())
+            let tries = || node.in_flight == 0 && to_unit_interval(nth_hash(request.random, n as u64)) < bearable / slow;
+            let left = to_unit_interval(nth_hash(request.random, !(n as u64))) < node.bypass_fraction;
+            !request.was_tried(n) && now >= node.full_until && !left && (slow < bearable || tries())
         });
         // A request that finds both its nodes busy for a moment must not be refused while the origin has
         // room.
         let home = open.next().ok_or(!there.is_empty() && !room)?;
         let load = self.nodes[home].in_flight;
-        let mean = f64::from(self.caches.in_flight) / self.caches.ready.max(1) as f64;
+        let mean = f64::from(self.caches.in_flight) / self.caches.ready_count.max(1) as f64;
         if load < MIN_SPILL_IN_FLIGHT || f64::from(load) <= SPILL_FACTOR * mean {
             return Ok(home);
         }
         Ok(open.next().filter(|&spare| self.nodes[spare].in_flight < load).unwrap_or(home))
     }
 
-    fn ask_cache(&mut self, now: Micros, id: &RequestId) {
+    fn send_to_cache(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let fetches = self.settings.cache_aside && !request.write;
-        let last = request.attempts.len() + 1 == request.attempts_most;
-        match self.choose(now, request) {
+        let fetches = self.settings.cache_aside && !request.is_write;
+        let last = request.attempts.len() + 1 == request.max_attempts;
+        match self.choose_cache(now, request) {
             // A miss on the last attempt would leave none for the fetch.
-            Ok(_) if last && fetches && self.may_fetch(now) => self.fetch(now, id),
-            Ok(node) => self.attempt(now, id, node),
+            Ok(_) if last && fetches && self.can_fetch(now) => self.fetch(now, id),
+            Ok(node) => self.start_attempt(now, id, node),
             Err(false) if fetches => self.fetch(now, id),
             Err(_) => {
-                (!request.attempts.is_empty()).then(|| self.feel(now, UNSERVED_TARGET_FRACTION));
+                (!request.attempts.is_empty()).then(|| self.record_target_use(now, UNSERVED_TARGET_FRACTION));
                 self.give_up(now, id);
             }
         }
@@ -586,26 +586,26 @@
 
     /// Sends a write at once. It ends the key's coalesced fetch and served window; waiting reads join the
     /// fetch made after it.
-    fn write_passes(&mut self, now: Micros, id: &RequestId, key: &Key) {
-        let join = self.joins.remove(key).unwrap_or_default();
-        self.alone(now, id);
+    fn forward_write(&mut self, now: Micros, id: &RequestId, key: &Key) {
+        let join = self.key_fetches.remove(key).unwrap_or_default();
+        self.proceed_alone(now, id);
         for follower in join.followers {
-            self.requests.unhold(&follower);
+            self.requests.end_wait(&follower);
             match self.settings.cache_aside {
-                true => self.missed(now, &follower, join.node),
+                true => self.on_miss(now, &follower, join.node),
                 false => self.read_through(now, &follower, key.clone()),
             }
         }
     }
 
     fn read_through(&mut self, now: Micros, id: &RequestId, key: Key) {
-        match self.joins.get(&key) {
+        match self.key_fetches.get(&key) {
             Some(join) if join.leader.is_some() => self.follow(now, id, key),
-            Some(join) if now - join.served_at < SERVED_WINDOW => self.ask_cache(now, id),
+            Some(join) if now - join.served_at < SERVED_WINDOW => self.send_to_cache(now, id),
             _ => {
-                if let Some(Ok(node)) = self.requests.get(id).map(|a| self.choose(now, a)) {
-                    self.lead(now, id, key, node);
-                    return self.attempt(now, id, node);
+                if let Some(Ok(node)) = self.requests.get(id).map(|a| self.choose_cache(now, a)) {
+                    self.start_leading(now, id, key, node);
+                    return self.start_attempt(now, id, node);
                 }
                 self.give_up(now, id);
             }
@@ -613,120 +613,120 @@
     }
 
     /// Handles a miss. In cache-aside mode, the first miss of a key leads the fetch and later ones follow it.
-    fn missed(&mut self, now: Micros, id: &RequestId, node: usize) {
+    fn on_miss(&mut self, now: Micros, id: &RequestId, node: usize) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        request.missed_at = Some(node);
+        request.missed_node = Some(node);
         let key = request.key.clone();
-        if request.write || !self.settings.cache_aside {
-            return self.ask_cache(now, id);
+        if request.is_write || !self.settings.cache_aside {
+            return self.send_to_cache(now, id);
         }
-        if self.joins.contains_key(&key) {
+        if self.key_fetches.contains_key(&key) {
             return self.follow(now, id, key);
         }
-        self.lead(now, id, key, node);
+        self.start_leading(now, id, key, node);
         self.fetch(now, id);
     }
 
-    fn lead(&mut self, now: Micros, id: &RequestId, key: Key, node: usize) {
-        if self.joins.len() >= MAX_KEY_FETCHES {
-            self.joins.retain(|_, j| j.leader.is_some() || now - j.served_at < SERVED_WINDOW);
+    fn start_leading(&mut self, now: Micros, id: &RequestId, key: Key, node: usize) {
+        if self.key_fetches.len() >= MAX_KEY_FETCHES {
+            self.key_fetches.retain(|_, j| j.leader.is_some() || now - j.served_at < SERVED_WINDOW);
         } else {
-            self.joins.insert(key, Join { leader: Some(id.clone()), node, ..Join::default() });
+            self.key_fetches.insert(key, KeyFetch { leader: Some(id.clone()), node, ..KeyFetch::default() });
         }
     }
 
     /// Lets the request wait for the key's leader; it proceeds alone once half of its useful time has passed.
     fn follow(&mut self, now: Micros, id: &RequestId, key: Key) {
         let Some(request) = self.requests.get(id) else { return };
-        let release = request.arrived + (request.useful_until - request.arrived) / 2;
+        let release = request.arrived_at + (request.useful_until - request.arrived_at) / 2;
         if release <= now {
-            return self.alone(now, id);
+            return self.proceed_alone(now, id);
         }
-        if let Some(join) = self.joins.get_mut(&key) {
+        if let Some(join) = self.key_fetches.get_mut(&key) {
             join.followers.push(id.clone());
-            self.hold(id, Role::Following, release);
+            self.start_wait(id, WaitReason::Following, release);
         }
     }
 
     /// Makes the first follower the leader when the leader's client has left. Otherwise each follower would
     /// fetch the key.
-    fn next_lead(&mut self, id: &RequestId) -> Option<RequestId> {
+    fn promote_follower(&mut self, id: &RequestId) -> Option<RequestId> {
         let join =
-            self.joins.get_mut(&self.requests.get(id)?.key).filter(|j| j.leader.as_ref() == Some(id))?;
+            self.key_fetches.get_mut(&self.requests.get(id)?.key).filter(|j| j.leader.as_ref() == Some(id))?;
         join.followers.retain(|follower| self.requests.contains_key(follower));
         let next = join.followers.first().cloned()?;
         join.followers.remove(0);
         join.leader = Some(next.clone());
-        self.requests.unhold(&next);
+        self.requests.end_wait(&next);
         Some(next)
     }
 
-    fn alone(&mut self, now: Micros, id: &RequestId) {
-        if self.settings.cache_aside { self.fetch(now, id) } else { self.ask_cache(now, id) }
+    fn proceed_alone(&mut self, now: Micros, id: &RequestId) {
+        if self.settings.cache_aside { self.fetch(now, id) } else { self.send_to_cache(now, id) }
     }
 
     /// Whether one more request may be sent to the origin. Writes have a higher limit than fetches.
     fn origin_has_room(&self, now: Micros, origin: usize, write: bool) -> bool {
-        let most = self.origin.most * if write { WRITE_LIMIT_FACTOR } else { 1.0 };
-        let free = most >= 1.0 && self.origin.earned > 0.0;
-        let open = (free || now >= self.origin.after) && self.origin.turn <= now + MAX_FETCH_ADVANCE;
+        let most = self.origin.fetch_limit * if write { WRITE_LIMIT_FACTOR } else { 1.0 };
+        let free = most >= 1.0 && self.origin.refusal_credit > 0.0;
+        let open = (free || now >= self.origin.next_probe_at) && self.origin.next_scheduled_fetch <= now + MAX_FETCH_ADVANCE;
         f64::from(self.nodes[origin].in_flight) < most.max(1.0) && open
     }
 
-    fn may_fetch(&self, now: Micros) -> bool {
+    fn can_fetch(&self, now: Micros) -> bool {
         self.settings.cache_aside && self.origin.node.is_some_and(|o| self.origin_has_room(now, o, false))
     }
 
     /// Sends the request to the origin, or queues it until the origin has room.
     fn fetch(&mut self, now: Micros, id: &RequestId) {
         let Some(origin) = self.origin.node else { return self.give_up(now, id) };
-        self.origin.wanted += 1;
+        self.origin.fetch_demand += 1;
         let Some(request) = self.requests.get(id) else { return };
-        let (until, expected, write) = (request.useful_until, self.origin.times.expected(), request.write);
+        let (until, expected, write) = (request.useful_until, self.origin.answer_times.expected(), request.is_write);
         if self.origin_has_room(now, origin, write) {
-            return self.attempt(now, id, origin);
+            return self.start_attempt(now, id, origin);
         }
         // The origin completes requests whose clients have given up, and would stay busy with them and their
         // retries, also of writes. A request that cannot be answered in time is not queued.
-        let ahead = if write { 1.0 } else { (self.origin.queue.len() + 1) as f64 } / self.origin.pace();
+        let ahead = if write { 1.0 } else { (self.origin.queue.len() + 1) as f64 } / self.origin.requests_per_answer_time();
         if now + expected + (expected as f64 * ahead) as Micros > until {
             return self.give_up(now, id);
         }
         let place = if write { 0 } else { self.origin.queue.len() };
         self.origin.queue.insert(place, id.clone());
-        self.hold(id, Role::Queued, until - expected);
+        self.start_wait(id, WaitReason::Queued, until - expected);
     }
 
     /// Retries a fetch that the origin refused. Without retries, each request refused by an origin that is
     /// full for a moment would be lost. An origin that refuses many gets no retries. The delay is random, so
     /// that fetches refused together are not retried together.
-    fn fetch_again(&mut self, now: Micros, id: &RequestId, first: bool) {
+    fn retry_refused_fetch(&mut self, now: Micros, id: &RequestId, first: bool) {
         let out = self.origin.node.map_or(0, |o| self.nodes[o].in_flight);
-        self.origin.full_until = if first { now + ESTIMATE_DECAY_US as Micros } else { self.origin.full_until };
+        self.origin.connections_full_until = if first { now + ESTIMATE_DECAY_US as Micros } else { self.origin.connections_full_until };
         if first && out > 0 {
             // The origin's connection table is full of the connections of many proxies: it accepts no more,
             // however idle it is. The requests in flight become the limit until answers raise it again.
-            self.origin.most = self.origin.most.min(f64::from(out));
+            self.origin.fetch_limit = self.origin.fetch_limit.min(f64::from(out));
             return self.fetch(now, id);
         }
-        let pause = (self.origin.times.mean * FETCH_RETRY_DELAY_FRACTION * self.rng.random_range(0.5..1.5)) as Micros;
+        let pause = (self.origin.answer_times.mean * FETCH_RETRY_DELAY_FRACTION * self.rng.random_range(0.5..1.5)) as Micros;
         let until = self.requests.get(id).map_or(0, |request| request.useful_until);
-        if self.origin.refused.mean > MAX_RETRY_REFUSAL_RATE || now + pause + self.origin.times.expected() > until {
+        if self.origin.refusal_rate.mean > MAX_RETRY_REFUSAL_RATE || now + pause + self.origin.answer_times.expected() > until {
             return self.give_up(now, id);
         }
-        self.hold(id, Role::Pausing, now + pause);
+        self.start_wait(id, WaitReason::Backoff, now + pause);
     }
 
-    fn fetch_queued(&mut self, now: Micros) {
+    fn send_queued_fetches(&mut self, now: Micros) {
         while let (Some(origin), Some(id)) = (self.origin.node, self.origin.queue.front().cloned()) {
-            let queued = self.requests.get(&id).filter(|a| a.role == Role::Queued).map(|a| a.write);
+            let queued = self.requests.get(&id).filter(|a| a.wait_reason == WaitReason::Queued).map(|a| a.is_write);
             if queued.is_some_and(|write| !self.origin_has_room(now, origin, write)) {
                 return;
             }
             self.origin.queue.pop_front();
             if queued.is_some() {
-                self.requests.unhold(&id);
-                self.attempt(now, &id, origin);
+                self.requests.end_wait(&id);
+                self.start_attempt(now, &id, origin);
             }
         }
     }
@@ -736,11 +736,11 @@
     fn may_attempt(&self, now: Micros, request: &Request, n: usize) -> bool {
         let case = &self.settings.classes[request.class];
         let node = &self.nodes[n];
-        let over = now >= request.deadline || request.attempts.len() >= request.attempts_most;
-        let out = request.attempts.iter().any(|h| h.ending.is_none());
+        let over = now >= request.deadline || request.attempts.len() >= request.max_attempts;
+        let out = request.attempts.iter().any(|h| h.result.is_none());
         // A follower is sent to the cache where its leader missed, which its own class may not be allowed to
         // use.
-        let open = self.of_origin(n) || node.open_to(self.places.of(request.class));
+        let open = self.is_origin_node(n) || node.passes_filter(self.filters.index_for(request.class));
         if over || out || !open || node.entry.state != NodeState::Ready {
             return false;
         }
@@ -750,7 +750,7 @@
             Idempotency::Unsafe => false,
             // A repeat that waits for its connection could be sent after the deduplication window has ended.
             Idempotency::Keyed if now + self.settings.dial_timeout >= first.sent_at + case.dedup_window => false,
-            Idempotency::Keyed => node.in_group(&self.nodes[first.node], case.dedup_scope),
+            Idempotency::Keyed => node.shares_dedup_scope(&self.nodes[first.node], case.dedup_scope),
         }
     }
 
@@ -759,17 +759,17 @@
         let case = &self.settings.classes[request.class];
         match request.may_have_run() {
             Some(first) if case.idempotency == Idempotency::Keyed => {
-                case.dedup_scope == DedupScope::All && first.ending.is_some() && now < first.sent_at + case.dedup_window
+                case.dedup_scope == DedupScope::All && first.result.is_some() && now < first.sent_at + case.dedup_window
             }
             Some(_) => case.idempotency == Idempotency::Safe,
             None => true,
         }
     }
 
-    fn attempt(&mut self, now: Micros, id: &RequestId, n: usize) {
+    fn start_attempt(&mut self, now: Micros, id: &RequestId, n: usize) {
         let Some(request) = self.requests.get(id) else { return };
         let at_origin = Some(n) == self.origin.node;
-        let times = if at_origin { &self.origin.times } else { &self.caches.times };
+        let times = if at_origin { &self.origin.answer_times } else { &self.caches.answer_times };
         let left = request.useful_until - now;
         // A further attempt is made only if the remaining time exceeds its expected duration.
         let least = if request.attempts.is_empty() { 0 } else { times.expected() };
@@ -778,25 +778,25 @@
         }
         let floor = self.settings.classes[request.class].latency_target as f64 * MIN_TIMEOUT_FRACTION;
         let patience = (times.mean + TIMEOUT_DEVIATIONS * times.deviation).max(floor) as Micros;
-        let allow_for = if at_origin || request.write { left } else { patience.min(left) };
+        let allow_for = if at_origin || request.is_write { left } else { patience.min(left) };
         let node = &mut self.nodes[n];
-        node.sent.add(now, self.settings.cold_overload_window);
-        node.asked.add(now, REQUEST_COUNT_DECAY);
+        node.recent_requests.add(now, self.settings.cold_overload_window);
+        node.long_term_requests.add(now, REQUEST_COUNT_DECAY);
         node.in_flight += 1;
         if at_origin {
-            self.origin.turn = self.origin.turn.max(now) + self.origin.apart;
-            self.origin.after = now + (self.origin.times.mean / self.origin.most.min(1.0)) as Micros;
+            self.origin.next_scheduled_fetch = self.origin.next_scheduled_fetch.max(now) + self.origin.fetch_interval;
+            self.origin.next_probe_at = now + (self.origin.answer_times.mean / self.origin.fetch_limit.min(1.0)) as Micros;
         } else {
             // A silent zone is probed by one request at a time.
-            if let Some(zone) = self.zones.get_mut(&node.entry.zone).filter(|zone| zone.spell > 0) {
-                zone.tried_at = now;
+            if let Some(zone) = self.zone_health.get_mut(&node.entry.zone).filter(|zone| zone.ejection_time > 0) {
+                zone.probed_at = now;
             }
             self.caches.in_flight += 1;
-            self.caches.sent.add(now, self.settings.cold_overload_window);
+            self.caches.recent_sent.add(now, self.settings.cold_overload_window);
         }
         self.host.start_attempt(id, &node.entry.node, allow_for);
         if let Some(request) = self.requests.get_mut(id) {
-            request.attempts.push(Attempt { node: n, sent_at: now, ending: None });
+            request.attempts.push(Attempt { node: n, sent_at: now, result: None });
         }
     }
 
@@ -812,152 +812,152 @@
     /// Removes a finished request. If it led a fetch, its followers go to its cache, or proceed alone if the
     /// fetch failed.
     fn finish(&mut self, now: Micros, id: &RequestId, served: bool, node: usize) {
-        self.requests.unhold(id);
+        self.requests.end_wait(id);
         let Some(request) = self.requests.remove(id) else { return };
-        let node = request.missed_at.unwrap_or(node);
-        if self.joins.get(&request.key).and_then(|j| j.leader.as_ref()) != Some(id) {
+        let node = request.missed_node.unwrap_or(node);
+        if self.key_fetches.get(&request.key).and_then(|j| j.leader.as_ref()) != Some(id) {
             return;
         }
-        let followers = self.joins.remove(&request.key).map_or(Vec::new(), |j| j.followers);
+        let followers = self.key_fetches.remove(&request.key).map_or(Vec::new(), |j| j.followers);
         if served && !self.settings.cache_aside {
-            self.joins.insert(request.key, Join { node, served_at: now, ..Join::default() });
+            self.key_fetches.insert(request.key, KeyFetch { node, served_at: now, ..KeyFetch::default() });
         }
         for follower in followers {
-            self.requests.unhold(&follower);
-            let place = self.requests.get(&follower).map_or(0, |a| self.places.of(a.class));
-            match served && self.is_cache(node) && self.nodes[node].open_to(place) {
-                true => self.attempt(now, &follower, node),
-                false => self.alone(now, &follower),
+            self.requests.end_wait(&follower);
+            let place = self.requests.get(&follower).map_or(0, |a| self.filters.index_for(a.class));
+            match served && self.is_ready_cache(node) && self.nodes[node].passes_filter(place) {
+                true => self.start_attempt(now, &follower, node),
+                false => self.proceed_alone(now, &follower),
             }
         }
     }
 
-    fn hold(&mut self, id: &RequestId, role: Role, until: Micros) {
-        self.requests.hold(id, role, until);
-        self.arm();
+    fn start_wait(&mut self, id: &RequestId, role: WaitReason, until: Micros) {
+        self.requests.start_wait(id, role, until);
+        self.arm_timer();
     }
 
-    fn arm(&mut self) {
+    fn arm_timer(&mut self) {
         let idle = |o: usize| self.nodes[o].in_flight == 0 && !self.origin.queue.is_empty();
-        let due = self.origin.after.max(self.origin.turn - MAX_FETCH_ADVANCE);
+        let due = self.origin.next_probe_at.max(self.origin.next_scheduled_fetch - MAX_FETCH_ADVANCE);
         let fetch = if self.origin.node.is_some_and(idle) { due } else { Micros::MAX };
-        let at = self.requests.first_due().min(self.list_due).min(fetch);
+        let at = self.requests.next_wait_end().min(self.list_request_due).min(fetch);
         if at < self.next_wake {
             self.next_wake = at;
             self.host.set_timer(TIMER_LABEL, at);
         }
     }
 
-    fn upkeep(&mut self, now: Micros) {
-        while let Some(id) = self.requests.due(now) {
-            match self.requests.unhold(&id) {
-                Role::Following | Role::Pausing => self.alone(now, &id),
+    fn run_due_work(&mut self, now: Micros) {
+        while let Some(id) = self.requests.first_expired(now) {
+            match self.requests.end_wait(&id) {
+                WaitReason::Following | WaitReason::Backoff => self.proceed_alone(now, &id),
                 _ => self.give_up(now, &id),
             }
         }
-        self.fetch_queued(now);
-        if self.list_due <= now {
+        self.send_queued_fetches(now);
+        if self.list_request_due <= now {
             self.host.subscribe_to_list();
             // Without an answer, requests the list again before the proxy is expected to know its contents.
-            self.list_due = now + self.settings.max_list_refresh_interval / 2;
+            self.list_request_due = now + self.settings.max_list_refresh_interval / 2;
         }
-        self.arm();
+        self.arm_timer();
     }
 
-    fn observe(&mut self, now: Micros, n: usize, outcome: &AttemptOutcome, target: Option<f64>) {
-        let at_origin = self.of_origin(n);
+    fn record_outcome(&mut self, now: Micros, n: usize, outcome: &AttemptOutcome, target: Option<f64>) {
+        let at_origin = self.is_origin_node(n);
         let (wait, sent_at) = (outcome.latency, now - outcome.latency);
-        let (mean, thin) = (self.caches.times.mean, self.thin(now));
+        let (mean, thin) = (self.caches.answer_times.mean, self.has_sparse_traffic(now));
         let node = &mut self.nodes[n];
         node.in_flight = node.in_flight.saturating_sub(1);
         let silent = matches!(outcome.status, AttemptStatus::TimedOut | AttemptStatus::Reset | AttemptStatus::ConnectFailed);
         let fault =
             silent || matches!((outcome.status, at_origin), (AttemptStatus::Error, _) | (AttemptStatus::InvalidResponse, false));
         if fault || matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss) {
-            node.faults.learn(now, f64::from(u8::from(fault)), EWMA_WEIGHT, ESTIMATE_DECAY_US);
+            node.fault_rate.record(now, f64::from(u8::from(fault)), EWMA_WEIGHT, ESTIMATE_DECAY_US);
         }
         // A node that accepts requests and answers none, or answers most at once with an error, looks idle
         // and would attract requests. A single silent connection or invalid response can also come from a
         // healthy node: silence counts only if nothing was received since the attempt began, faults only by
         // their rate.
-        let struck = silent && node.heard_at <= sent_at || fault && node.faults.mean > FAULT_RATE_THRESHOLD;
+        let struck = silent && node.last_answer_at <= sent_at || fault && node.fault_rate.mean > FAULT_RATE_THRESHOLD;
         // Without zone ejection, the loss of a zone would be detected node by node, and again when each
         // node's ejection ends.
-        let zone = self.zones.entry(node.entry.zone).or_default();
-        if silent && !at_origin && zone.heard_at <= sent_at {
-            zone.silent += u32::from(node.strikes == 0);
-            (zone.silent >= ZONE_EJECTION_THRESHOLD).then(|| zone.strike(now, BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS));
+        let zone = self.zone_health.entry(node.entry.zone).or_default();
+        if silent && !at_origin && zone.last_answer_at <= sent_at {
+            zone.silent_nodes += u32::from(node.ejections == 0);
+            (zone.silent_nodes >= ZONE_EJECTION_THRESHOLD).then(|| zone.eject(now, BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS));
         } else if !silent && !matches!(outcome.status, AttemptStatus::Cancelled | AttemptStatus::NotSent) {
-            *zone = Zone { heard_at: now, ..Zone::default() };
+            *zone = ZoneHealth { last_answer_at: now, ..ZoneHealth::default() };
         }
         match outcome.status {
-            _ if struck => node.strike(now, BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS),
+            _ if struck => node.eject(now, BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS),
             AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Full | AttemptStatus::Error | AttemptStatus::InvalidResponse => {
-                (node.heard_at, node.strikes, node.skip_until) = (now, 0, 0);
+                (node.last_answer_at, node.ejections, node.ejected_until) = (now, 0, 0);
                 match outcome.status {
                     AttemptStatus::Full => node.full_until = now + (mean * FULL_BACKOFF_FRACTION) as Micros,
-                    AttemptStatus::Served if !at_origin => self.caches.taken.add(now, self.settings.cold_overload_window),
-                    AttemptStatus::Miss if thin => self.caches.taken.add(now, self.settings.cold_overload_window),
+                    AttemptStatus::Served if !at_origin => self.caches.recent_accepted.add(now, self.settings.cold_overload_window),
+                    AttemptStatus::Miss if thin => self.caches.recent_accepted.add(now, self.settings.cold_overload_window),
                     _ => {}
                 }
             }
             _ => {}
         }
         if at_origin {
-            return self.learn_origin(now, outcome, struck);
+            return self.record_origin_outcome(now, outcome, struck);
         }
         self.caches.in_flight = self.caches.in_flight.saturating_sub(1);
         let used = match outcome.status {
             AttemptStatus::Cancelled | AttemptStatus::NotSent => return,
             AttemptStatus::Full | AttemptStatus::ConnectFailed => REFUSAL_TARGET_FRACTION,
-            _ => target.map_or(self.caches.target_used.mean, |target| wait as f64 / target.max(1.0)),
+            _ => target.map_or(self.caches.target_fraction.mean, |target| wait as f64 / target.max(1.0)),
         };
         // A proxy that uses a node twice a minute must not judge it by answers that are minutes old, so old
         // samples lose weight. A refusal is a momentary state and does not outweigh them.
         let full = matches!(outcome.status, AttemptStatus::Full | AttemptStatus::ConnectFailed);
         let age = if full { f64::INFINITY } else { ESTIMATE_DECAY_US };
-        node.target_used.learn(now, used, SPARSE_EWMA_WEIGHT, age);
+        node.target_fraction.record(now, used, SPARSE_EWMA_WEIGHT, age);
         // Time-outs at unreachable nodes would raise the mean answer time, and with it the time-out of all
         // attempts.
         if matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::TimedOut) && !struck {
-            node.time.learn(now, wait as f64, SPARSE_EWMA_WEIGHT, age);
-            node.learn_least(wait as f64, MIN_LATENCY_DRIFT);
-            self.caches.times.learn(wait, EWMA_WEIGHT);
+            node.answer_time.record(now, wait as f64, SPARSE_EWMA_WEIGHT, age);
+            node.record_min_answer_time(wait as f64, MIN_LATENCY_DRIFT);
+            self.caches.answer_times.record(wait, EWMA_WEIGHT);
         }
         if !full || !thin {
-            self.feel(now, used);
+            self.record_target_use(now, used);
         }
     }
 
     /// Records the fraction of its latency target that a request used at the caches, and steps the admitted
     /// fractions. A refused attempt counts as little if another cache may still answer in time.
-    fn feel(&mut self, now: Micros, used: f64) {
+    fn record_target_use(&mut self, now: Micros, used: f64) {
         // A proxy that admits few requests gets few answers. Old samples lose weight, or it would keep
         // shedding long after the overload.
-        self.caches.target_used.learn(now, used, EWMA_WEIGHT, ESTIMATE_DECAY_US);
+        self.caches.target_fraction.record(now, used, EWMA_WEIGHT, ESTIMATE_DECAY_US);
         let all = &mut self.caches;
-        for (share, most) in [(&mut all.admit, OVERLOAD_TARGET_FRACTION), (&mut all.surplus, OVER_QUOTA_OVERLOAD_TARGET_FRACTION)] {
-            let steps = ((now - share.at) / ADMISSION_INTERVAL).min(MAX_CATCH_UP_STEPS) as f64;
+        for (share, most) in [(&mut all.admitted_reads, OVERLOAD_TARGET_FRACTION), (&mut all.admitted_over_quota, OVER_QUOTA_OVERLOAD_TARGET_FRACTION)] {
+            let steps = ((now - share.stepped_at) / ADMISSION_INTERVAL).min(MAX_CATCH_UP_STEPS) as f64;
             let (fall, rise) =
-                if all.target_used.mean > most { (ADMISSION_DECREASE, 0.0) } else { (1.0, ADMISSION_INCREASE) };
+                if all.target_fraction.mean > most { (ADMISSION_DECREASE, 0.0) } else { (1.0, ADMISSION_INCREASE) };
             share.step(now, steps, fall, rise, MIN_ADMITTED_FRACTION);
         }
     }
 
-    fn learn_origin(&mut self, now: Micros, outcome: &AttemptOutcome, struck: bool) {
+    fn record_origin_outcome(&mut self, now: Micros, outcome: &AttemptOutcome, struck: bool) {
         if outcome.status == AttemptStatus::Served {
             // A proxy that fetches every few seconds would consider the origin slow long after it recovered,
             // so old samples lose weight.
-            self.origin.answers(now, outcome.latency, EWMA_WEIGHT, ORIGIN_ESTIMATE_DECAY_US);
-            self.origin.best = (self.origin.best * ORIGIN_MIN_LATENCY_DRIFT).min(self.origin.times.mean);
+            self.origin.record_answer(now, outcome.latency, EWMA_WEIGHT, ORIGIN_ESTIMATE_DECAY_US);
+            self.origin.best_answer_time = (self.origin.best_answer_time * ORIGIN_MIN_LATENCY_DRIFT).min(self.origin.answer_times.mean);
         }
         // A refusal takes no time, so a limit on concurrent fetches does not slow down refused ones: twelve
         // proxies with room for six fetches sent thirteen for each that was accepted, and larger fleets send
         // more. Refusals therefore use up credit.
         match outcome.status {
-            AttemptStatus::Served => self.origin.pays(REFUSAL_CREDIT_PER_ANSWER, MAX_REFUSAL_CREDIT),
+            AttemptStatus::Served => self.origin.earn_credit(REFUSAL_CREDIT_PER_ANSWER, MAX_REFUSAL_CREDIT),
             AttemptStatus::Full => {
-                self.origin.refuses(now, -REFUSAL_CREDIT_PER_ANSWER, MAX_PROBE_DOUBLINGS, || self.rng.random_range(0.5..1.5))
+                self.origin.spend_credit(now, -REFUSAL_CREDIT_PER_ANSWER, MAX_PROBE_DOUBLINGS, || self.rng.random_range(0.5..1.5))
             }
             _ => {}
         }
@@ -965,10 +965,10 @@
         // overloaded.
         let refused = outcome.status == AttemptStatus::Full && !outcome.first_on_connection;
         if refused || outcome.status == AttemptStatus::Served {
-            self.origin.refused.learn(now, f64::from(u8::from(refused)), SPARSE_EWMA_WEIGHT, f64::INFINITY);
+            self.origin.refusal_rate.record(now, f64::from(u8::from(refused)), SPARSE_EWMA_WEIGHT, f64::INFINITY);
         }
         let strained = match outcome.status {
-            AttemptStatus::Served => self.origin.slow(ORIGIN_OVERLOAD_FACTOR),
+            AttemptStatus::Served => self.origin.is_slow(ORIGIN_OVERLOAD_FACTOR),
             AttemptStatus::Miss | AttemptStatus::Cancelled | AttemptStatus::NotSent | AttemptStatus::InvalidResponse | AttemptStatus::Unknown => return,
             // Refusals do not reduce the limit. Single ones occur by chance, and each reduced the limit of
             // one proxy among a hundred to one fetch per second. They already use up credit, and a limit
@@ -977,24 +977,24 @@
         };
         // One proxy among hundreds, with one fetch per second, would take half a minute to reduce its limit.
         // It makes up for the answer times that have passed.
-        let cuts = self.origin.silence(now).clamp(1, MAX_CATCH_UP_STEPS) as i32;
+        let cuts = self.origin.take_silent_periods(now).clamp(1, MAX_CATCH_UP_STEPS) as i32;
         let used = self.origin.node.map_or(0, |o| self.nodes[o].in_flight + 1);
-        if outcome.status == AttemptStatus::Served && !strained && f64::from(used) >= self.origin.most / 2.0 {
-            self.origin.most += 1.0 / self.origin.most.max(1.0);
-        } else if strained && now - self.origin.cut_at >= self.origin.times.expected() {
-            self.origin.most = (self.origin.most * FETCH_LIMIT_DECREASE.powi(cuts)).max(MIN_FETCH_LIMIT);
-            self.origin.cut_at = now;
+        if outcome.status == AttemptStatus::Served && !strained && f64::from(used) >= self.origin.fetch_limit / 2.0 {
+            self.origin.fetch_limit += 1.0 / self.origin.fetch_limit.max(1.0);
+        } else if strained && now - self.origin.limit_reduced_at >= self.origin.answer_times.expected() {
+            self.origin.fetch_limit = (self.origin.fetch_limit * FETCH_LIMIT_DECREASE.powi(cuts)).max(MIN_FETCH_LIMIT);
+            self.origin.limit_reduced_at = now;
         }
     }
 
     /// Whether to shed this request because it exceeds the proxy's part of its tenant's quota. Idle nodes
     /// alone do not admit it: in a fleet of hundreds, each proxy has nothing in flight at its nodes while all
     /// together overload them with requests beyond the quotas.
-    fn surplus(&mut self, now: Micros, tenant: usize, id: &RequestId) -> bool {
+    fn exceeds_quota(&mut self, now: Micros, tenant: usize, id: &RequestId) -> bool {
         let Some(quota) = self.settings.quotas.get(tenant) else { return false };
         let part = quota / f64::from(self.settings.fleet_size.max(1));
-        let within = self.tenants[tenant].take(now, part * QUOTA_TOLERANCE, MIN_QUOTA_BURST);
-        let shut = self.rng.random::<f64>() >= self.caches.surplus.now;
-        !within && (shut || self.target(now, id).is_none_or(|n| n.in_flight > 0))
+        let within = self.tenants[tenant].try_take(now, part * QUOTA_TOLERANCE, MIN_QUOTA_BURST);
+        let shut = self.rng.random::<f64>() >= self.caches.admitted_over_quota.value;
+        !within && (shut || self.preferred_node(now, id).is_none_or(|n| n.in_flight > 0))
     }
 }
--- a/crates/flintwell-core/src/state/tests.rs
+++ b/crates/flintwell-core/src/state/tests.rs
@@ -7,12 +7,12 @@
     for n in 1..=200 {
         let now = n * 400;
         let id: NodeId = format!("n{n}").into();
-        let node = nodes.of(&id, now, long);
-        assert!(node.strikes == 0 && node.id_hash == hash(&id));
+        let node = nodes.get_or_insert(&id, now, long);
+        assert!(node.ejections == 0 && node.id_hash == hash(&id));
         node.entry.node = id.clone();
-        node.sent.add(now, long);
-        node.strike(now, long, 1);
-        assert_eq!(nodes.of(&id, now + 1, long).strikes, 1, "the record of a node in use stays");
+        node.recent_requests.add(now, long);
+        node.eject(now, long, 1);
+        assert_eq!(nodes.get_or_insert(&id, now + 1, long).ejections, 1, "the record of a node in use stays");
     }
     assert!(nodes.len() <= 5 && nodes.by_id.len() == nodes.len(), "{} of 200", nodes.len());
 }
@@ -22,9 +22,9 @@
 #[test]
 fn each_of_a_few_hundred_caches_owns_slots_and_shares_stay_within_bounds() {
     for (caches, without, spread) in [(16, 0, 0.06), (200, 0, 0.16), (300, 0, 0.18), (1_024, 4, 0.36)] {
-        let table = Slots::new(8_192, (0..caches).map(|n| (n, hash(&format!("server-{n}")), 32)));
+        let table = SlotTable::new(8_192, (0..caches).map(|n| (n, hash(&format!("server-{n}")), 32)));
         let mut parts = vec![0.0_f64; caches];
-        table.holders.iter().filter(|n| **n != u16::MAX).for_each(|n| parts[usize::from(*n)] += 1.0);
+        table.owners.iter().filter(|n| **n != u16::MAX).for_each(|n| parts[usize::from(*n)] += 1.0);
         let mean = parts.iter().sum::<f64>() / caches as f64;
         let off = parts.iter().map(|part| (part / mean - 1.0).powi(2)).sum::<f64>() / caches as f64;
         let none = parts.iter().filter(|part| **part == 0.0).count();
