--- a/crates/flintwell-membership/src/member.rs
+++ b/crates/flintwell-membership/src/member.rs
@@ -1,6 +1,6 @@
-//! One member: hears datagrams and the time, sends datagrams, knows who is there.
+//! One fleet member: takes received datagrams and the time, sends datagrams and tracks which members are alive.
 
-use crate::seal::{BODY_MOST, Dropped, Kind, Seal};
+use crate::seal::{MAX_BODY_BYTES, Dropped, Kind, Seal};
 use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, State, Timer};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -10,25 +10,27 @@
 use std::num::{NonZeroU8, NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-const PERIOD: Duration = Duration::from_millis(500); // in which each probes one other
-const ANSWER: Duration = Duration::from_millis(200); // for its answer, before others are asked to try
-const OTHERS: usize = 3; // asked to try
-const SUSPECTED: f64 = 2.0; // periods a doubling of the fleet, from suspicion to being taken as gone
-const GONE_FOR: Duration = Duration::from_secs(300); // that one taken as gone is remembered, so that no old word brings it back
-const GOSSIP: Duration = Duration::from_millis(250); // between news to some others
-const TOLD: usize = 2; // of those
-const AGAIN: Duration = Duration::from_secs(5); // between words to one taken as gone: cuts heal
-const ANNOUNCES: Duration = Duration::from_secs(3); // between askings of one other for all it knows
-const SEEDS: u64 = 2_000; // ms between words to a seed that is not known as there
-const SENT: u8 = 8; // times that a piece of news is told on
-const LATE: u64 = 250; // ms past its time at which we have stood still
+const PROBE_PERIOD: Duration = Duration::from_millis(500); // each member probes one peer per period
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200); // then indirect probes start
+const INDIRECT_PROBES: usize = 3;
+const SUSPICION_PERIODS: f64 = 2.0; // probe periods from suspicion to down, per doubling of the fleet size
+const DOWN_RETENTION: Duration = Duration::from_secs(300); // keeps stale gossip from reviving a member that is down
+const GOSSIP_PERIOD: Duration = Duration::from_millis(250);
+const GOSSIP_FANOUT: usize = 2; // peers per gossip period
+const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(5); // lets the fleet merge again after a network partition
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3); // each asks one peer for its full member list
+const SEED_ANNOUNCE_PERIOD_MS: u64 = 2_000; // between announcements to seeds that are not known to be alive
+const MAX_TRANSMISSIONS: u8 = 8; // per membership update
+const PAUSE_THRESHOLD_MS: u64 = 250; // a tick that is later than this counts as a pause of the process
 
-/// One process of the fleet.
+/// Identity of one process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Id {
+    /// Number of the member within the fleet.
     pub number: u32,
+    /// Address at which the member receives datagrams.
     pub addr: SocketAddr,
-    /// Grows with each start under this number, and when it is wrongly taken as gone.
+    /// Grows with each start under this number, and when the member was wrongly declared down.
     pub life: u64,
 }
 
@@ -45,13 +47,15 @@
     }
 }
 
-/// Where datagrams go, and words that come are heard.
+/// Sends datagrams and delivers received messages to the host.
 pub trait Wire {
+    /// Sends one datagram; it may be lost.
     fn sends(&mut self, to: SocketAddr, datagram: &[u8]);
-    fn hears(&mut self, from: &Id, word: &[u8]);
+    /// Delivers a message that a member sent with [`Member::tells`].
+    fn hears(&mut self, from: &Id, message: &[u8]);
 }
 
-/// A wire that keeps what goes out and what is heard, for a host that deals with it after the call.
+/// Transport that buffers outgoing datagrams and delivered messages for a host that processes them after the call.
 #[derive(Default)]
 pub struct Mail {
     pub sends: Vec<(SocketAddr, Vec<u8>)>,
@@ -62,33 +66,38 @@
     fn sends(&mut self, to: SocketAddr, datagram: &[u8]) {
         self.sends.push((to, datagram.to_vec()));
     }
-    fn hears(&mut self, from: &Id, word: &[u8]) {
-        self.heard.push((from.clone(), word.to_vec()));
+    fn hears(&mut self, from: &Id, message: &[u8]) {
+        self.heard.push((from.clone(), message.to_vec()));
     }
 }
 
+/// Settings of one member.
 pub struct Settings {
+    /// Name of the cluster; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Of the keyed tag; empty for none.
+    /// Key of the authentication tag; empty for no authentication.
     pub key: Vec<u8>,
+    /// Identity of this process.
     pub id: Id,
+    /// Addresses of members to announce to until they are known to be alive.
     pub seeds: Vec<SocketAddr>,
-    /// Numbers run under this.
+    /// Size of the fleet; member numbers are below it.
     pub fleet: u32,
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 type Protocol = Foca<Id, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>;
 
-/// What the protocol asks for within one call.
+/// Actions that the protocol requests during one call.
 #[derive(Default)]
-struct Asked {
+struct ProtocolActions {
     sends: Vec<(Id, Vec<u8>)>,
     timers: Vec<(Duration, Timer<Id>)>,
     downs: u64,
 }
 
-impl Runtime<Id> for &mut Asked {
+impl Runtime<Id> for &mut ProtocolActions {
     fn notify(&mut self, notification: Notification<'_, Id>) {
         self.downs += u64::from(matches!(notification, Notification::MemberDown(_)));
     }
@@ -100,50 +109,57 @@
     }
 }
 
+/// One member of the fleet; does no I/O and is driven by its host.
 pub struct Member {
     protocol: Protocol,
     seal: Seal,
     seeds: Vec<SocketAddr>,
     next_seed: usize,
-    seeds_due: u64,
+    next_seed_announce_at: u64,
+    /// Pending timers by time on the protocol's clock and by id.
     timers: BTreeMap<(u64, u64), Timer<Id>>,
-    set: u64,
-    /// ms that we stood still; the protocol's time does without them.
-    stood: u64,
-    /// Members taken as gone since the start.
+    last_timer_id: u64,
+    /// Sum of the pauses of this process; the protocol's clock excludes them.
+    paused_ms: u64,
+    /// Members declared down since the start.
     pub downs: u64,
+    /// Datagrams sent since the start.
     pub sent: u64,
+    /// Bytes of datagrams sent since the start.
     pub sent_bytes: u64,
 }
 
-/// What the staff and others may ask for.
+/// State of one known member, as the status endpoint shows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Standing {
+    /// Number of the member within the fleet.
     pub number: u32,
+    /// Address at which the member receives datagrams.
     pub addr: String,
+    /// `alive`, `suspect` or `gone`.
     pub state: String,
 }
 
 fn config(fleet: u32) -> Config {
-    let least = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let periodic = |frequency, members| Some(foca::PeriodicParams { frequency, num_members: least(members) });
+    let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
+    let periodic = |frequency, members| Some(foca::PeriodicParams { frequency, num_members: non_zero(members) });
     let mut config = Config::new_lan(NonZeroU32::new(fleet).unwrap_or(NonZeroU32::MIN));
-    config.probe_period = PERIOD;
-    config.probe_rtt = ANSWER;
-    config.num_indirect_probes = least(OTHERS);
-    config.max_transmissions = NonZeroU8::new(SENT).unwrap_or(NonZeroU8::MIN);
-    config.suspect_to_down_after = PERIOD.mul_f64(SUSPECTED * f64::from(fleet.max(2)).log2());
-    config.remove_down_after = Some(GONE_FOR);
-    config.max_packet_size = least(BODY_MOST);
+    config.probe_period = PROBE_PERIOD;
+    config.probe_rtt = PROBE_TIMEOUT;
+    config.num_indirect_probes = non_zero(INDIRECT_PROBES);
+    config.max_transmissions = NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN);
+    config.suspect_to_down_after = PROBE_PERIOD.mul_f64(SUSPICION_PERIODS * f64::from(fleet.max(2)).log2());
+    config.remove_down_after = Some(DOWN_RETENTION);
+    config.max_packet_size = non_zero(MAX_BODY_BYTES);
     config.notify_down_members = true;
-    config.periodic_gossip = periodic(GOSSIP, TOLD);
-    config.periodic_announce = periodic(ANNOUNCES, 1);
-    config.periodic_announce_to_down_members = periodic(AGAIN, 1);
+    config.periodic_gossip = periodic(GOSSIP_PERIOD, GOSSIP_FANOUT);
+    config.periodic_announce = periodic(ANNOUNCE_PERIOD, 1);
+    config.periodic_announce_to_down_members = periodic(ANNOUNCE_TO_DOWN_PERIOD, 1);
     config
 }
 
 impl Member {
-    /// `now` in ms on any clock that does not leap.
+    /// Creates a member. `now` is in ms, like all times here, on a monotonic clock with any origin.
     pub fn start(now: u64, settings: Settings) -> Self {
         let Settings { cluster, key, id, seeds, fleet, seed } = settings;
         let seal = Seal::new(&cluster, &key, fleet, id.number, id.life);
@@ -154,111 +170,121 @@
             seal,
             seeds,
             next_seed: seed as usize,
-            seeds_due: now,
+            next_seed_announce_at: now,
             timers: BTreeMap::new(),
-            set: 0,
-            stood: 0,
+            last_timer_id: 0,
+            paused_ms: 0,
             downs: 0,
             sent: 0,
             sent_bytes: 0,
         }
     }
 
-    /// The next time to call `tick`.
+    /// Time at which [`Member::tick`] must be called next.
     pub fn due(&self) -> u64 {
-        let timer = self.timers.first_key_value().map_or(u64::MAX, |(key, _)| key.0 + self.stood);
-        timer.min(self.seeds_due)
+        let timer = self.timers.first_key_value().map_or(u64::MAX, |(key, _)| key.0 + self.paused_ms);
+        timer.min(self.next_seed_announce_at)
     }
 
-    pub fn tick(&mut self, now: u64, wire: &mut impl Wire) {
-        // Danger: one that stood still would take all others as silent at once, and tell it to the fleet.
+    /// Runs the timers that have expired and announces this member to a seed that is not known to be alive.
+    pub fn tick(&mut self, now: u64, transport: &mut impl Wire) {
+        // Danger: after a pause of this process, all pending probes would time out at once, and it would gossip that all
+        // other members are suspect. The pause is therefore excluded from the protocol's clock.
         let late = now.saturating_sub(self.due());
-        if late > LATE {
-            self.stood += late;
+        if late > PAUSE_THRESHOLD_MS {
+            self.paused_ms += late;
         }
-        while let Some((&(at, set), _)) = self.timers.first_key_value() {
-            if at + self.stood > now {
+        while let Some((&(at, timer_id), _)) = self.timers.first_key_value() {
+            if at + self.paused_ms > now {
                 break;
             }
-            let Some(timer) = self.timers.remove(&(at, set)) else { break };
-            self.does(now, wire, |protocol, asked| {
-                // What is out of date is dropped there.
-                let _ = protocol.handle_timer(timer, asked);
+            let Some(timer) = self.timers.remove(&(at, timer_id)) else { break };
+            self.run_protocol(now, transport, |protocol, actions| {
+                // Outdated timers are ignored by the protocol.
+                let _ = protocol.handle_timer(timer, actions);
             });
         }
-        if now >= self.seeds_due {
-            self.seeds_due = now + SEEDS;
-            // Danger: a fleet that starts at once may begin as two that each know some, and never hear of one another.
+        if now >= self.next_seed_announce_at {
+            self.next_seed_announce_at = now + SEED_ANNOUNCE_PERIOD_MS;
+            // Danger: when all members start together, two groups may form whose members know only their own group, and
+            // gossip never joins them. Announcing to unknown seeds does.
             let known: Vec<SocketAddr> = self.protocol.iter_members().map(|one| one.id().addr).collect();
             let unknown: Vec<SocketAddr> =
                 self.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect();
             if !unknown.is_empty() {
                 self.next_seed = (self.next_seed + 1) % unknown.len();
                 let addr = unknown[self.next_seed];
-                // Its number and life are not known, and not needed to ask it.
+                // The seed's number and incarnation are unknown; an announcement needs only its address.
                 let seed = Id { number: u32::MAX, addr, life: 0 };
-                self.does(now, wire, |protocol, asked| drop(protocol.announce(seed, asked)));
+                self.run_protocol(now, transport, |protocol, actions| drop(protocol.announce(seed, actions)));
             }
         }
     }
 
-    pub fn receives(&mut self, now: u64, datagram: &[u8], wire: &mut impl Wire) {
+    /// Processes one received datagram.
+    pub fn receives(&mut self, now: u64, datagram: &[u8], transport: &mut impl Wire) {
         let Some(opened) = self.seal.open(now, datagram) else { return };
         match opened.kind {
             Kind::Word => match self.protocol.iter_members().find(|one| one.id().number == opened.from) {
-                Some(from) => wire.hears(&from.id().clone(), opened.body),
+                Some(from) => transport.hears(&from.id().clone(), opened.body),
                 None => self.seal.dropped.unknown += 1,
             },
             Kind::Membership => {
-                let mut wrong = false;
-                self.does(now, wire, |protocol, asked| {
-                    wrong = matches!(
-                        protocol.handle_data(opened.body, asked),
+                let mut is_malformed = false;
+                self.run_protocol(now, transport, |protocol, actions| {
+                    is_malformed = matches!(
+                        protocol.handle_data(opened.body, actions),
                         Err(foca::Error::MalformedPacket | foca::Error::Decode(_) | foca::Error::DataTooBig)
                     );
                 });
-                self.seal.dropped.malformed += u64::from(wrong);
+                self.seal.dropped.malformed += u64::from(is_malformed);
             }
         }
     }
 
-    /// A word of another subsystem to one member; may be lost, doubled or late.
-    pub fn tells(&mut self, to: &Id, word: &[u8], wire: &mut impl Wire) {
-        self.posts(to.addr, Kind::Word, word, wire);
+    /// Sends a message of another subsystem to one member. Delivery is best effort: it may be lost, duplicated or late.
+    pub fn tells(&mut self, to: &Id, message: &[u8], transport: &mut impl Wire) {
+        self.send_datagram(to.addr, Kind::Word, message, transport);
     }
 
-    fn posts(&mut self, to: SocketAddr, kind: Kind, body: &[u8], wire: &mut impl Wire) {
+    fn send_datagram(&mut self, to: SocketAddr, kind: Kind, body: &[u8], transport: &mut impl Wire) {
         if let Some(datagram) = self.seal.close(kind, body) {
             (self.sent, self.sent_bytes) = (self.sent + 1, self.sent_bytes + datagram.len() as u64);
-            wire.sends(to, &datagram);
+            transport.sends(to, &datagram);
         }
     }
 
-    /// Tells others that we go.
-    pub fn leaves(&mut self, now: u64, wire: &mut impl Wire) {
-        self.does(now, wire, |protocol, asked| drop(protocol.leave_cluster(asked)));
+    /// Announces to the other members that this one leaves.
+    pub fn leaves(&mut self, now: u64, transport: &mut impl Wire) {
+        self.run_protocol(now, transport, |protocol, actions| drop(protocol.leave_cluster(actions)));
     }
 
+    /// Identity of this member.
     pub fn id(&self) -> &Id {
         self.protocol.identity()
     }
-    /// The others that are there, by number.
+
+    /// The other members that are alive or suspect, by number.
     pub fn others(&self) -> Vec<Id> {
         let mut others: Vec<Id> = self.protocol.iter_members().map(|one| one.id().clone()).collect();
         others.sort_by_key(|id| id.number);
         others
     }
+
+    /// Received datagrams that were dropped, by cause.
     pub fn dropped(&self) -> Dropped {
         self.seal.dropped
     }
+
+    /// State of each known member, by number.
     pub fn standings(&self) -> Vec<Standing> {
         let state = |state: State| match state {
             State::Alive => "alive",
             State::Suspect => "suspect",
             State::Down => "gone",
         };
-        let told = self.protocol.iter_membership_state();
-        let mut all: Vec<Standing> = told
+        let members = self.protocol.iter_membership_state();
+        let mut all: Vec<Standing> = members
             .map(|one| Standing {
                 number: one.id().number,
                 addr: one.id().addr.to_string(),
@@ -269,17 +295,18 @@
         all
     }
 
-    fn does(&mut self, now: u64, wire: &mut impl Wire, what: impl FnOnce(&mut Protocol, &mut Asked)) {
-        let mut asked = Asked::default();
-        what(&mut self.protocol, &mut asked);
-        self.downs += asked.downs;
-        for (after, timer) in asked.timers {
-            self.set += 1;
-            let at = now.saturating_sub(self.stood) + after.as_millis() as u64;
-            self.timers.insert((at, self.set), timer);
+    /// Calls the protocol, then sends what it asked to send and sets the timers it asked for.
+    fn run_protocol(&mut self, now: u64, transport: &mut impl Wire, call: impl FnOnce(&mut Protocol, &mut ProtocolActions)) {
+        let mut actions = ProtocolActions::default();
+        call(&mut self.protocol, &mut actions);
+        self.downs += actions.downs;
+        for (after, timer) in actions.timers {
+            self.last_timer_id += 1;
+            let at = now.saturating_sub(self.paused_ms) + after.as_millis() as u64;
+            self.timers.insert((at, self.last_timer_id), timer);
         }
-        for (to, body) in asked.sends {
-            self.posts(to.addr, Kind::Membership, &body, wire);
+        for (to, body) in actions.sends {
+            self.send_datagram(to.addr, Kind::Membership, &body, transport);
         }
     }
 }
--- a/crates/flintwell-membership/src/seal.rs
+++ b/crates/flintwell-membership/src/seal.rs
@@ -1,117 +1,136 @@
-//! The seal around a datagram: version, cluster, sender, a window against replay, a keyed tag where there is a key.
+//! Datagram framing: version, cluster, sender and sequence number, and an authentication tag if a key is configured.
+//! Received datagrams pass a replay window and a rate limit per sender.
 
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-pub const DATAGRAM_MOST: usize = 256; // bytes; far under any path's limit, so none is split and lost in parts
-const VERSION: u8 = 1; // raised when the frame changes its meaning
-const HEAD: usize = 26; // bytes: version, cluster, kind, sender, its life, the count
-const TAG: usize = 16; // bytes of the keyed hash; 2^-128 is no chance worth a try
-pub const BODY_MOST: usize = DATAGRAM_MOST - HEAD - TAG; // bytes
-const WINDOW: u64 = 64; // datagrams of one sender that may overtake one another
-const RATE: u64 = 60; // datagrams a second taken of one sender; three times what a healthy one sends
-const BURST: u64 = 120; // of those at once, after a silence
+/// Maximum datagram size; far below any path MTU, so that datagrams are never fragmented and lost in part.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+const VERSION: u8 = 1; // incremented when the meaning of the frame changes
+const HEADER_BYTES: usize = 26; // version, cluster, kind, sender, its incarnation, sequence number
+const TAG_BYTES: usize = 16; // of the HMAC; a forgery succeeds with probability 2^-128
+/// Maximum size of a datagram's body.
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
+const REPLAY_WINDOW: u64 = 64; // datagrams by which those of one sender may be reordered
+const MAX_DATAGRAMS_PER_SECOND: u64 = 60; // accepted from one sender; three times what a healthy one sends
+const MAX_BURST: u64 = 120; // datagrams accepted at once after a silence
 
+/// What a datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// A packet of the membership protocol.
     Membership,
+    /// A message of another subsystem.
     Word,
 }
 
 /// Datagrams that were dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dropped {
-    /// Cut, oversized, or not understood.
+    /// Truncated, oversized or not decodable.
     pub malformed: u64,
+    /// Of another version of the frame.
     pub other_version: u64,
+    /// Of another cluster.
     pub other_cluster: u64,
+    /// The authentication tag was missing or wrong.
     pub unsigned: u64,
+    /// Received before, too old for the replay window, or of an earlier incarnation.
     pub replayed: u64,
+    /// Above the sender's rate limit.
     pub flooded: u64,
     /// From a number that no member has.
     pub unknown: u64,
 }
 
-/// What one sender has sent.
+/// Replay window and rate limit of one sender.
 struct Sender {
     life: u64,
-    highest: u64,
-    /// Seen of the counts under the highest, the lowest bit for the highest itself.
-    seen: u64,
-    allowance: u64,
-    filled_at: u64,
+    highest_sequence: u64,
+    /// Bitmap of the sequence numbers received, counted down from `highest` in the lowest bit.
+    received: u64,
+    tokens: u64,
+    refilled_at: u64,
 }
 
+/// Frames and authenticates outgoing datagrams and checks received ones.
 pub struct Seal {
     cluster: [u8; 4],
     key: Option<Hmac<Sha256>>,
     number: u32,
     life: u64,
-    count: u64,
-    /// Numbers under which a datagram may come.
+    /// Of the last datagram sent.
+    sequence: u64,
+    /// Size of the fleet; datagrams from this number or above are dropped.
     fleet: u32,
     senders: BTreeMap<u32, Sender>,
+    /// Received datagrams that were dropped, by cause.
     pub dropped: Dropped,
 }
 
-/// What a datagram held.
+/// Contents of a received datagram.
 pub struct Opened<'a> {
+    /// What the body is.
     pub kind: Kind,
+    /// Number of the sender.
     pub from: u32,
+    /// Incarnation of the sender.
     pub life: u64,
+    /// Body without header and tag.
     pub body: &'a [u8],
 }
 
 impl Seal {
-    /// `life` grows with each start of a process under this number. An empty key is no key.
+    /// Creates a codec for the member `number`. `life` grows with each start of a process under this number. An empty
+    /// key disables authentication.
     pub fn new(cluster: &str, key: &[u8], fleet: u32, number: u32, life: u64) -> Self {
         let hash = Sha256::digest(cluster.as_bytes());
         let key = Some(key).filter(|key| !key.is_empty());
         Seal {
             cluster: [hash[0], hash[1], hash[2], hash[3]],
-            // Takes keys of any length.
+            // HMAC accepts keys of any length.
             key: key.and_then(|key| Hmac::new_from_slice(key).ok()),
             number,
             life,
-            count: 0,
+            sequence: 0,
             fleet,
             senders: BTreeMap::new(),
             dropped: Dropped::default(),
         }
     }
 
-    /// None if the body is too long.
+    /// Frames a body; returns `None` if it is too long.
     pub fn close(&mut self, kind: Kind, body: &[u8]) -> Option<Vec<u8>> {
-        if body.len() > BODY_MOST {
+        if body.len() > MAX_BODY_BYTES {
             return None;
         }
-        self.count += 1;
-        let mut datagram = Vec::with_capacity(DATAGRAM_MOST);
+        self.sequence += 1;
+        let mut datagram = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         datagram.push(VERSION);
         datagram.extend(self.cluster);
         datagram.push(u8::from(kind == Kind::Word));
         datagram.extend(self.number.to_be_bytes());
         datagram.extend(self.life.to_be_bytes());
-        datagram.extend(self.count.to_be_bytes());
+        datagram.extend(self.sequence.to_be_bytes());
         datagram.extend(body);
         if let Some(key) = &self.key {
             let tag = key.clone().chain_update(&datagram).finalize().into_bytes();
-            datagram.extend(&tag[..TAG]);
+            datagram.extend(&tag[..TAG_BYTES]);
         }
         Some(datagram)
     }
 
-    /// None, and counted, where it is not to be read; `now` in ms.
+    /// Checks a received datagram; returns `None` and counts the cause if it is to be dropped. `now` is in ms.
     pub fn open<'a>(&mut self, now: u64, datagram: &'a [u8]) -> Option<Opened<'a>> {
-        let tag = if self.key.is_some() { TAG } else { 0 };
+        let tag_bytes = if self.key.is_some() { TAG_BYTES } else { 0 };
         let dropped = &mut self.dropped;
-        if datagram.len() < HEAD + tag || datagram.len() > DATAGRAM_MOST {
+        if datagram.len() < HEADER_BYTES + tag_bytes || datagram.len() > MAX_DATAGRAM_BYTES {
             dropped.malformed += 1;
             return None;
         }
-        // Others may frame what follows in another way.
+        // Other versions may frame the rest differently.
         if datagram[0] != VERSION {
             dropped.other_version += 1;
             return None;
@@ -120,17 +139,17 @@
             dropped.other_cluster += 1;
             return None;
         }
-        let (framed, told) = datagram.split_at(datagram.len() - tag);
+        let (framed, authentication_tag) = datagram.split_at(datagram.len() - tag_bytes);
         if let Some(key) = &self.key
-            && key.clone().chain_update(framed).verify_truncated_left(told).is_err()
+            && key.clone().chain_update(framed).verify_truncated_left(authentication_tag).is_err()
         {
             dropped.unsigned += 1;
             return None;
         }
-        let (head, body) = framed.split_at(HEAD);
-        let whole = |at: usize| head[at..at + 8].iter().fold(0, |sum, &byte| sum << 8 | u64::from(byte));
+        let (head, body) = framed.split_at(HEADER_BYTES);
+        let read_u64 = |at: usize| head[at..at + 8].iter().fold(0, |sum, &byte| sum << 8 | u64::from(byte));
         let from = head[6..10].iter().fold(0, |sum, &byte| sum << 8 | u32::from(byte));
-        let (kind, life, count) = (head[5], whole(10), whole(18));
+        let (kind, life, sequence) = (head[5], read_u64(10), read_u64(18));
         if kind > 1 || from == self.number {
             dropped.malformed += 1;
             return None;
@@ -139,21 +158,21 @@
             dropped.unknown += 1;
             return None;
         }
-        let fresh = Sender { life, highest: 0, seen: 0, allowance: BURST, filled_at: now };
-        let sender = self.senders.entry(from).or_insert(fresh);
-        // Danger: a datagram of a life that is over would bring back what it said then.
+        let new_sender = Sender { life, highest_sequence: 0, received: 0, tokens: MAX_BURST, refilled_at: now };
+        let sender = self.senders.entry(from).or_insert(new_sender);
+        // Danger: a delayed or replayed datagram of an earlier incarnation would revive the state that it announced then.
         if life < sender.life {
             dropped.replayed += 1;
             return None;
         }
         if life > sender.life {
-            (sender.life, sender.highest, sender.seen) = (life, 0, 0);
+            (sender.life, sender.highest_sequence, sender.received) = (life, 0, 0);
         }
-        if !sender.first(count) {
+        if !sender.accept_sequence(sequence) {
             dropped.replayed += 1;
             return None;
         }
-        if !sender.allowed(now) {
+        if !sender.take_token(now) {
             dropped.flooded += 1;
             return None;
         }
@@ -163,28 +182,29 @@
 }
 
 impl Sender {
-    /// Whether this count comes for the first time, as far as the window tells.
-    fn first(&mut self, count: u64) -> bool {
-        if count > self.highest {
-            let by = count - self.highest;
-            self.seen = if by < WINDOW { self.seen << by | 1 } else { 1 };
-            self.highest = count;
+    /// Records a sequence number; returns false if it was received before or is too old for the replay window.
+    fn accept_sequence(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest_sequence {
+            let ahead = sequence - self.highest_sequence;
+            self.received = if ahead < REPLAY_WINDOW { self.received << ahead | 1 } else { 1 };
+            self.highest_sequence = sequence;
             return true;
         }
-        let behind = self.highest - count;
-        let fresh = behind < WINDOW && self.seen >> behind & 1 == 0;
-        self.seen |= if fresh { 1 << behind } else { 0 };
-        fresh
+        let behind = self.highest_sequence - sequence;
+        let is_new = behind < REPLAY_WINDOW && self.received >> behind & 1 == 0;
+        self.received |= if is_new { 1 << behind } else { 0 };
+        is_new
     }
 
-    fn allowed(&mut self, now: u64) -> bool {
-        let more = now.saturating_sub(self.filled_at) * RATE / 1_000;
-        if more > 0 {
-            (self.allowance, self.filled_at) = ((self.allowance + more).min(BURST), now);
+    /// Takes one token from the sender's rate limit; returns false if none is left.
+    fn take_token(&mut self, now: u64) -> bool {
+        let refill = now.saturating_sub(self.refilled_at) * MAX_DATAGRAMS_PER_SECOND / 1_000;
+        if refill > 0 {
+            (self.tokens, self.refilled_at) = ((self.tokens + refill).min(MAX_BURST), now);
         }
-        let allowed = self.allowance > 0;
-        self.allowance -= u64::from(allowed);
-        allowed
+        let has_token = self.tokens > 0;
+        self.tokens -= u64::from(has_token);
+        has_token
     }
 }
 
--- a/crates/flintwell-membership/src/seal/tests.rs
+++ b/crates/flintwell-membership/src/seal/tests.rs
@@ -6,30 +6,30 @@
 }
 
 #[test]
-fn what_is_foreign_cut_changed_or_said_before_is_dropped_and_counted() {
+fn foreign_truncated_altered_and_replayed_datagrams_are_dropped_and_counted() {
     let (mut ours, mut other) = (seal(0, 5, b"key"), seal(1, 7, b"key"));
-    let told = other.close(Kind::Word, b"hello").expect("short enough");
-    let opened = ours.open(0, &told).expect("ours");
+    let datagram = other.close(Kind::Word, b"hello").expect("short enough");
+    let opened = ours.open(0, &datagram).expect("ours");
     assert_eq!((opened.kind, opened.from, opened.life, opened.body), (Kind::Word, 1, 7, &b"hello"[..]));
-    assert!(ours.open(0, &told).is_none(), "a replay");
-    let late: Vec<_> = (0..70).map(|n| other.close(Kind::Word, &[n]).expect("short")).collect();
-    assert!(ours.open(0, &late[69]).is_some() && ours.open(0, &late[30]).is_some(), "overtaken");
-    assert!(ours.open(0, &late[30]).is_none() && ours.open(0, &late[2]).is_none(), "twice; too old");
-    let mut changed = late[40].clone();
+    assert!(ours.open(0, &datagram).is_none(), "a replay");
+    let datagrams: Vec<_> = (0..70).map(|n| other.close(Kind::Word, &[n]).expect("short")).collect();
+    assert!(ours.open(0, &datagrams[69]).is_some() && ours.open(0, &datagrams[30]).is_some(), "reordered within the replay window");
+    assert!(ours.open(0, &datagrams[30]).is_none() && ours.open(0, &datagrams[2]).is_none(), "a duplicate, and one too old for the window");
+    let mut changed = datagrams[40].clone();
     changed[28] ^= 1;
-    assert!(ours.open(0, &changed).is_none() && ours.open(0, &told[..told.len() - 1]).is_none());
+    assert!(ours.open(0, &changed).is_none() && ours.open(0, &datagram[..datagram.len() - 1]).is_none());
     assert!(
         ours.open(0, &seal(1, 6, b"key").close(Kind::Word, b"").expect("short")).is_none(),
-        "an earlier life"
+        "an earlier incarnation"
     );
     assert!(ours.open(0, &seal(1, 9, b"other").close(Kind::Word, b"").expect("short")).is_none());
     assert!(ours.open(0, &seal(1, 9, b"").close(Kind::Word, b"").expect("short")).is_none());
     assert!(ours.open(0, &Seal::new("d", b"key", 8, 1, 9).close(Kind::Word, b"").expect("short")).is_none());
     assert!(ours.open(0, &Seal::new("c", b"key", 99, 9, 9).close(Kind::Word, b"").expect("short")).is_none());
-    let mut later = late[41].clone();
-    later[0] = 2;
-    assert!(ours.open(0, &later).is_none() && ours.open(0, &[1; 300]).is_none());
-    assert!(other.close(Kind::Word, &[0; BODY_MOST + 1]).is_none());
+    let mut other_version = datagrams[41].clone();
+    other_version[0] = 2;
+    assert!(ours.open(0, &other_version).is_none() && ours.open(0, &[1; 300]).is_none());
+    assert!(other.close(Kind::Word, &[0; MAX_BODY_BYTES + 1]).is_none());
     let dropped = Dropped {
         malformed: 2,
         other_version: 1,
@@ -43,20 +43,20 @@
 }
 
 #[test]
-fn one_that_floods_is_held_to_a_rate() {
+fn a_flooding_sender_is_rate_limited() {
     let (mut ours, mut other) = (seal(0, 1, b""), seal(1, 1, b""));
-    let mut taken = 0;
+    let mut accepted = 0;
     for ms in 0..10_000 {
-        let told = other.close(Kind::Membership, &[0; 100]).expect("short");
-        taken += u64::from(ours.open(ms, &told).is_some());
+        let datagram = other.close(Kind::Membership, &[0; 100]).expect("short");
+        accepted += u64::from(ours.open(ms, &datagram).is_some());
     }
-    assert!((600..=BURST + 600).contains(&taken), "{taken} of 10000 in ten seconds");
+    assert!((600..=MAX_BURST + 600).contains(&accepted), "{accepted} of 10000 datagrams accepted in ten seconds");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(1), ..ProptestConfig::default() })]
     #[test]
-    fn no_bytes_open_without_the_key(datagram in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_are_rejected_when_a_key_is_set(datagram in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut ours = seal(0, 1, b"key");
         prop_assert!(ours.open(0, &datagram).is_none());
         let mut open = seal(0, 1, b"");
--- a/crates/flintwell-membership/tests/fleet.rs
+++ b/crates/flintwell-membership/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets in virtual time over a wire that loses, doubles, delays and cuts.
+//! Fleets in virtual time over a simulated network that loses, duplicates and delays datagrams and can be partitioned.
 
 use flintwell_membership::member::{Id, Member, Settings, Wire};
 use rand::{RngExt, SeedableRng};
@@ -6,15 +6,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+/// A datagram in flight: sender, destination and bytes.
 type Flight = (usize, SocketAddr, Vec<u8>);
 
-struct Out<'a> {
+struct MemberTransport<'a> {
     from: usize,
     flights: &'a mut Vec<Flight>,
     heard: &'a mut usize,
 }
 
-impl Wire for Out<'_> {
+impl Wire for MemberTransport<'_> {
     fn sends(&mut self, to: SocketAddr, datagram: &[u8]) {
         assert!(datagram.len() <= 256, "{} bytes", datagram.len());
         self.flights.push((self.from, to, datagram.to_vec()));
@@ -24,18 +25,19 @@
     }
 }
 
+/// A simulated network and its members.
 struct Net {
     now: u64,
     rng: ChaCha8Rng,
     members: Vec<Option<Member>>,
     size: u32,
-    /// Stand still until then.
+    /// Members that are paused, and until when.
     paused: BTreeMap<usize, u64>,
-    under_way: BTreeMap<(u64, u64), Flight>,
+    in_flight: BTreeMap<(u64, u64), Flight>,
     count: u64,
     loss: f64,
-    /// Pairs between which nothing passes.
-    cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// Whether datagrams from the first member to the second are lost.
+    is_cut: Box<dyn Fn(usize, usize) -> bool>,
     heard: usize,
 }
 
@@ -58,20 +60,21 @@
             members: Vec::new(),
             size: count as u32,
             paused: BTreeMap::new(),
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             count: 0,
             loss,
-            cut: Box::new(|_, _| false),
+            is_cut: Box::new(|_, _| false),
             heard: 0,
         };
         for n in 0..count {
             net.members.push(None);
-            net.starts(n, 1);
+            net.start_member(n, 1);
         }
         net
     }
 
-    fn starts(&mut self, n: usize, life: u64) {
+    /// Starts or restarts member `n`.
+    fn start_member(&mut self, n: usize, life: u64) {
         let settings = Settings {
             cluster: "c".into(),
             key: b"key".to_vec(),
@@ -83,165 +86,167 @@
         self.members[n] = Some(Member::start(self.now, settings));
     }
 
-    /// Steps of 20 ms; each who is there hears what has come and the time.
-    fn runs(&mut self, ms: u64) {
+    /// Runs the network in steps of 20 ms.
+    fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 20;
             let mut flights = Vec::new();
-            // One that wakes looks at the time before it reads what waits: the worse order.
+            // A member that resumes runs its timers before it reads the datagrams that wait: the worse order.
             for n in 0..self.members.len() {
                 let paused = self.paused.get(&n).is_some_and(|&until| self.now < until);
-                let mut out = Out { from: n, flights: &mut flights, heard: &mut self.heard };
+                let mut out = MemberTransport { from: n, flights: &mut flights, heard: &mut self.heard };
                 if let Some(member) =
                     self.members[n].as_mut().filter(|member| !paused && member.due() <= self.now)
                 {
                     member.tick(self.now, &mut out);
                 }
             }
-            while let Some((&key, _)) = self.under_way.first_key_value().filter(|(key, _)| key.0 <= self.now)
+            while let Some((&key, _)) = self.in_flight.first_key_value().filter(|(key, _)| key.0 <= self.now)
             {
-                let Some((_, to, datagram)) = self.under_way.remove(&key) else { break };
+                let Some((_, to, datagram)) = self.in_flight.remove(&key) else { break };
                 let n = number(to);
                 if self.paused.get(&n).is_some_and(|&until| self.now < until) {
-                    // It waits in the socket's buffer.
-                    self.under_way.insert((self.paused[&n], key.1), (0, to, datagram));
+                    // The datagram waits in the socket buffer.
+                    self.in_flight.insert((self.paused[&n], key.1), (0, to, datagram));
                     continue;
                 }
-                let mut out = Out { from: n, flights: &mut flights, heard: &mut self.heard };
+                let mut out = MemberTransport { from: n, flights: &mut flights, heard: &mut self.heard };
                 if let Some(member) = self.members.get_mut(n).and_then(Option::as_mut) {
                     member.receives(self.now, &datagram, &mut out);
                 }
             }
             for (from, to, datagram) in flights {
-                if (self.cut)(from, number(to)) || self.rng.random::<f64>() < self.loss {
+                if (self.is_cut)(from, number(to)) || self.rng.random::<f64>() < self.loss {
                     continue;
                 }
                 let copies = 1 + usize::from(self.rng.random::<f64>() < self.loss);
                 for _ in 0..copies {
                     self.count += 1;
                     let at = self.now + self.rng.random_range(1..15);
-                    self.under_way.insert((at, self.count), (from, to, datagram.clone()));
+                    self.in_flight.insert((at, self.count), (from, to, datagram.clone()));
                 }
             }
         }
     }
 
-    /// Of each one that is there, how many others it knows.
+    /// For each running member, how many others it knows.
     fn known(&self) -> Vec<usize> {
         self.members.iter().flatten().map(|member| member.others().len()).collect()
     }
-    fn whole(&self) -> bool {
+    fn is_converged(&self) -> bool {
         let there = self.members.iter().flatten().count();
         self.known().iter().all(|&known| known == there - 1)
     }
     fn downs(&self) -> u64 {
         self.members.iter().flatten().map(|member| member.downs).sum()
     }
-    fn until_whole(&mut self, most: u64) -> u64 {
-        let began = self.now;
-        while !self.whole() && self.now < began + most {
-            self.runs(100);
+    /// Runs until every running member knows all others; returns the time taken.
+    fn run_until_converged(&mut self, max_ms: u64) -> u64 {
+        let started_at = self.now;
+        while !self.is_converged() && self.now < started_at + max_ms {
+            self.run(100);
         }
-        self.now - began
+        self.now - started_at
     }
 }
 
 #[test]
-fn a_fleet_finds_itself_loses_one_and_takes_it_back_under_the_same_number() {
+fn a_fleet_converges_detects_a_crash_and_accepts_the_restarted_member_under_its_number() {
     let mut net = Net::new(1, 24, 0.05);
-    let took = net.until_whole(30_000);
-    assert!(took < 20_000, "{took} ms to find one another");
-    net.runs(60_000);
-    assert!(net.whole() && net.downs() == 0, "nobody is taken as gone by lost words alone: {}", net.downs());
+    let took_ms = net.run_until_converged(30_000);
+    assert!(took_ms < 20_000, "converged after {took_ms} ms");
+    net.run(60_000);
+    assert!(net.is_converged() && net.downs() == 0, "{} members declared down by lost datagrams alone", net.downs());
     net.members[5] = None;
-    let took = net.until_whole(60_000);
-    assert!((1_000..20_000).contains(&took), "{took} ms until all take it as gone");
-    net.starts(5, 2);
-    let took = net.until_whole(60_000);
-    assert!(took < 15_000, "{took} ms until all have it back");
+    let took_ms = net.run_until_converged(60_000);
+    assert!((1_000..20_000).contains(&took_ms), "{took_ms} ms until all declared it down");
+    net.start_member(5, 2);
+    let took_ms = net.run_until_converged(60_000);
+    assert!(took_ms < 15_000, "{took_ms} ms until all accepted it again");
     let (now, mut flights) = (net.now, Vec::new());
-    let mut out = Out { from: 7, flights: &mut flights, heard: &mut net.heard };
+    let mut out = MemberTransport { from: 7, flights: &mut flights, heard: &mut net.heard };
     let seven = net.members[7].as_mut().expect("there");
     let to = seven.others()[0].clone();
-    seven.tells(&to, b"a word", &mut out);
+    seven.tells(&to, b"message", &mut out);
     seven.leaves(now, &mut out);
     net.members[7] = None;
     for flight in flights {
         net.count += 1;
-        net.under_way.insert((now + 5, net.count), flight);
+        net.in_flight.insert((now + 5, net.count), flight);
     }
-    let took = net.until_whole(20_000);
-    assert!(took < 4_000 && net.heard == 1, "{took} ms after it said that it goes, {} heard", net.heard);
+    let took_ms = net.run_until_converged(20_000);
+    assert!(took_ms < 4_000 && net.heard == 1, "{took_ms} ms after it announced that it leaves, {} messages delivered", net.heard);
 }
 
 #[test]
-fn a_cut_heals_and_one_that_stood_still_accuses_nobody() {
+fn a_partition_heals_and_a_paused_member_declares_nobody_down() {
     let mut net = Net::new(2, 16, 0.02);
-    net.until_whole(30_000);
+    net.run_until_converged(30_000);
     let downs = net.downs();
-    // It suspects somebody when it is stopped, and that one's word against it waits unread.
-    net.cut = Box::new(|from, to| from == 3 || to == 3);
-    net.runs(1_200);
-    net.cut = Box::new(|_, _| false);
+    // When it is paused it suspects a member, whose refutation waits unread in the socket buffer.
+    net.is_cut = Box::new(|from, to| from == 3 || to == 3);
+    net.run(1_200);
+    net.is_cut = Box::new(|_, _| false);
     net.paused.insert(3, net.now + 6_000);
-    net.runs(6_500);
-    let accused = net.members[3].as_ref().map(|member| member.downs);
-    assert_eq!(accused, Some(0), "it took others as gone when it woke");
-    net.until_whole(40_000);
-    assert!(net.whole(), "{:?}", net.known());
-    assert!(net.downs() - downs <= 16, "only it was taken as gone, if anybody");
-    net.cut = Box::new(|from, to| (from < 8) != (to < 8));
-    net.runs(40_000);
-    assert_eq!(net.known(), vec![7; 16], "each half knows itself");
-    net.cut = Box::new(|_, _| false);
-    let took = net.until_whole(60_000);
-    assert!(took < 40_000, "{took} ms to come together");
-    // One way only, from one to all: others still hear of it, through those who reach both.
-    net.cut = Box::new(|from, to| from == 4 && to < 8);
-    net.runs(30_000);
-    net.cut = Box::new(|_, _| false);
-    assert!(net.until_whole(60_000) < 60_000, "{:?}", net.known());
+    net.run(6_500);
+    let declared_down = net.members[3].as_ref().map(|member| member.downs);
+    assert_eq!(declared_down, Some(0), "it declared others down when it resumed");
+    net.run_until_converged(40_000);
+    assert!(net.is_converged(), "{:?}", net.known());
+    assert!(net.downs() - downs <= 16, "nobody but the paused member was declared down");
+    net.is_cut = Box::new(|from, to| (from < 8) != (to < 8));
+    net.run(40_000);
+    assert_eq!(net.known(), vec![7; 16], "each half knows its own members only");
+    net.is_cut = Box::new(|_, _| false);
+    let took_ms = net.run_until_converged(60_000);
+    assert!(took_ms < 40_000, "{took_ms} ms until the halves merged");
+    // One-way partition: datagrams from one member to half of the fleet are lost; that half still learns of it through
+    // the members that both reach.
+    net.is_cut = Box::new(|from, to| from == 4 && to < 8);
+    net.run(30_000);
+    net.is_cut = Box::new(|_, _| false);
+    assert!(net.run_until_converged(60_000) < 60_000, "{:?}", net.known());
 }
 
-/// What each sends does not grow with the fleet, and a dead one is known in seconds.
+/// The send rate of a member does not grow with the fleet, and a crash is detected within seconds.
 #[test]
-fn messages_are_flat_in_the_fleets_size() {
+fn send_rate_per_member_is_independent_of_fleet_size() {
     let mut rates = Vec::new();
     for count in [12, 48, 128] {
         let mut net = Net::new(3, count, 0.0);
-        let took = net.until_whole(120_000);
-        println!("{count}: whole after {took} ms");
-        assert!(net.whole(), "{count}: {:?}", net.known());
+        let took_ms = net.run_until_converged(120_000);
+        println!("{count}: converged after {took_ms} ms");
+        assert!(net.is_converged(), "{count}: {:?}", net.known());
         let sum = |net: &Net| {
             net.members.iter().flatten().fold((0, 0), |sum, one| (sum.0 + one.sent, sum.1 + one.sent_bytes))
         };
         let before = sum(&net);
-        net.runs(10_000);
+        net.run(10_000);
         let after = sum(&net);
         let each = |part: u64| part as f64 / 10.0 / count as f64;
         rates.push((each(after.0 - before.0), each(after.1 - before.1)));
         let killed = BTreeSet::from([count / 2]);
         killed.iter().for_each(|&n| net.members[n] = None);
-        let took = net.until_whole(90_000);
+        let took_ms = net.run_until_converged(90_000);
         println!(
-            "{count}: {:.1} datagrams, {:.0} bytes a second each; all know of one dead after {took} ms",
+            "{count}: {:.1} datagrams, {:.0} bytes per second and member; crash known to all after {took_ms} ms",
             rates[rates.len() - 1].0,
             rates[rates.len() - 1].1
         );
-        assert!(took < 45_000, "{took}");
+        assert!(took_ms < 45_000, "{took_ms}");
     }
     assert!(rates[2].0 < rates[0].0 * 1.3 && rates[2].0 < 30.0, "{rates:?}");
 }
 
-/// Two that each know some from their start: nobody but the seeds can bring them together.
+/// Two groups that each know only their own members from the start can merge only through the seeds.
 #[test]
-fn a_fleet_that_begins_as_two_becomes_one() {
+fn two_groups_formed_at_the_start_merge_through_the_seeds() {
     let mut net = Net::new(4, 6, 0.0);
-    net.cut = Box::new(|from, to| (from == 1 || from == 5) != (to == 1 || to == 5));
-    net.runs(1_500);
-    net.cut = Box::new(|_, _| false);
-    assert!(net.known().iter().any(|&known| known > 0), "some know some: {:?}", net.known());
-    let took = net.until_whole(20_000);
-    assert!(took < 10_000, "{took} ms, {:?}", net.known());
+    net.is_cut = Box::new(|from, to| (from == 1 || from == 5) != (to == 1 || to == 5));
+    net.run(1_500);
+    net.is_cut = Box::new(|_, _| false);
+    assert!(net.known().iter().any(|&known| known > 0), "the groups have formed: {:?}", net.known());
+    let took_ms = net.run_until_converged(20_000);
+    assert!(took_ms < 10_000, "{took_ms} ms, {:?}", net.known());
 }
