--- a/crates/flintwell-shared-limits/src/lib.rs
+++ b/crates/flintwell-shared-limits/src/lib.rs
@@ -1,7 +1,8 @@
-//! One budget that a whole fleet shares, where its members may speak: what an origin takes a second.
+//! A rate limit on fetches from the origin that the members of a fleet share, without I/O.
 //!
-//! Each member owns an even part of it, in units that never change hands but by loans for a short time (`loans`); what
-//! a unit is worth, in fetches a second, the fleet learns together from what the origin took and refused (`share`).
+//! Each member owns an equal part of the limit, in units. Units move between members only as short loans ([`loans`]). How
+//! many fetches per second a unit is worth is learned by the whole fleet from what the origin accepted and refused
+//! ([`share`]).
 
 pub mod loans;
 pub mod share;
--- a/crates/flintwell-shared-limits/src/loans.rs
+++ b/crates/flintwell-shared-limits/src/loans.rs
@@ -1,133 +1,152 @@
-//! Units that members lend one another. What is lent is not used by its owner for longer than by its borrower, on any
-//! clocks that run alike to some hundredths; so at every instant the units in use are at most those that there are,
-//! whatever words are lost, doubled or late, and whoever stands still, ends or begins anew. Nobody has to agree on
-//! anything, and who hears nobody has its own.
+//! Loans of units between members.
+//!
+//! An owner withholds lent units for longer than their borrower uses them, on any clocks whose rates differ by at most
+//! [`DRIFT`]. So the units in use never exceed those that exist, whichever messages are lost, duplicated or delayed and
+//! whichever members pause, stop or restart. No agreement between members is needed, and an isolated member keeps the
+//! use of its own units.
 
 use std::collections::BTreeMap;
 
-pub const EACH: u32 = 1_024; // units that a member owns; a loan of a hundredth of them is worth its words
-pub const KEPT: u32 = EACH / 2; // units never lent; also what one that begins anew uses while its loans may run
-pub const SPAN: u64 = 2_000; // ms of a loan as its borrower counts: a fleet's need moves within some seconds
-pub const DRIFT: f64 = 0.02; // of a span, by which two clocks may differ over it; ten times what hardware does
-const WITHHELD: u64 = SPAN + (SPAN as f64 * 2.0 * DRIFT) as u64 + 1; // ms, as its owner counts
-const LOANS_MOST: usize = 4_096; // given at once, and asked for; some from each of a thousand proxies
-
+/// Units that each member owns; fine enough that a loan of a hundredth of them is still worth its messages.
+pub const EACH: u32 = 1_024;
+/// Units that a member never lends, and that a restarted member may use while loans of its earlier process may still run.
+pub const KEPT: u32 = EACH / 2;
+/// Duration of a loan on the borrower's clock; the demand of a fleet shifts within seconds.
+pub const SPAN: u64 = 2_000;
+/// Fraction by which the rates of two clocks may differ; ten times the drift of real hardware.
+pub const DRIFT: f64 = 0.02;
+const WITHHOLD_MS: u64 = SPAN + (SPAN as f64 * 2.0 * DRIFT) as u64 + 1; // duration of a loan on the owner's clock
+const MAX_LOANS: usize = 4_096; // loans granted and requests pending at once; some for each of a thousand proxies
+
+/// A loan that this member granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Lent {
+struct GrantedLoan {
     units: u32,
-    until: u64,
+    expires_at: u64,
 }
 
+/// A loan that this member received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Borrowed {
+struct ReceivedLoan {
     units: u32,
-    until: u64,
+    expires_at: u64,
 }
 
-/// One member's; times in ms on its own clock, which never goes back.
+/// Units and loans of one member. Times are in ms on its own monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Loans {
-    started: u64,
-    next: u64,
-    /// By borrower and number of the loan.
-    lent: BTreeMap<(u32, u64), Lent>,
-    /// By number, with its owner.
-    borrowed: BTreeMap<u64, (u32, Borrowed)>,
-    /// Of whom, and when. Danger: a borrower's time counts from its asking, not from the grant, which may come late.
-    asked: BTreeMap<u64, (u32, u64)>,
+    started_at: u64,
+    next_loan: u64,
+    /// Loans granted, by borrower and loan number.
+    lent: BTreeMap<(u32, u64), GrantedLoan>,
+    /// Loans received, by loan number, with their owner.
+    borrowed: BTreeMap<u64, (u32, ReceivedLoan)>,
+    /// Pending requests by loan number, with the owner asked and the time of the request.
+    ///
+    /// Danger: a grant may arrive late, when its owner already uses the units again. A loan therefore starts at the time
+    /// of its request, not at the arrival of its grant.
+    requests: BTreeMap<u64, (u32, u64)>,
 }
 
 impl Loans {
-    /// `life` is higher than at any earlier start under our number, so that no loan's number comes twice.
+    /// Creates the state of a member that starts at `now`. `life` must be higher than at any earlier start under this
+    /// member's number, so that loan numbers are never reused.
     pub fn start(now: u64, life: u64) -> Self {
-        let next = life << 20;
-        Loans { started: now, next, lent: BTreeMap::new(), borrowed: BTreeMap::new(), asked: BTreeMap::new() }
+        let next_loan = life << 20;
+        Loans { started_at: now, next_loan, lent: BTreeMap::new(), borrowed: BTreeMap::new(), requests: BTreeMap::new() }
     }
 
-    /// Units that may be used now.
+    /// Units that this member may use now, its own and borrowed ones.
     pub fn has(&self, now: u64) -> u32 {
-        self.own(now) + self.borrowed_until(now)
+        self.unlent_units(now) + self.borrowed_until(now)
     }
 
-    /// Of what was borrowed, as much as will still be there then.
+    /// Borrowed units whose loans still run at `then`.
     pub fn borrowed_until(&self, then: u64) -> u32 {
-        self.borrowed.values().filter(|one| then < one.1.until).map(|one| one.1.units).sum()
+        self.borrowed.values().filter(|entry| then < entry.1.expires_at).map(|entry| entry.1.units).sum()
     }
 
-    fn own(&self, now: u64) -> u32 {
-        let lent: u32 = self.lent.values().filter(|one| now < one.until).map(|one| one.units).sum();
+    /// Own units that are not lent.
+    fn unlent_units(&self, now: u64) -> u32 {
+        let lent: u32 = self.lent.values().filter(|entry| now < entry.expires_at).map(|entry| entry.units).sum();
         self.even(now).saturating_sub(lent)
     }
 
-    /// What is ours before any loan. Danger: one that begins anew knows nothing of what it lent before.
+    /// Own units before any loan.
+    ///
+    /// Danger: a restarted member does not know which units its earlier process lent. Until those loans have ended it
+    /// uses only the units that are never lent.
     pub fn even(&self, now: u64) -> u32 {
-        if now < self.started + WITHHELD { KEPT } else { EACH }
+        if now < self.started_at + WITHHOLD_MS { KEPT } else { EACH }
     }
 
-    /// What could be lent now.
+    /// Units that could be lent now.
     pub fn spare(&self, now: u64) -> u32 {
-        self.own(now).saturating_sub(KEPT)
+        self.unlent_units(now).saturating_sub(KEPT)
     }
 
-    /// A number under which to ask this member; none with too many asked for.
+    /// Records a loan request to `owner` and returns its loan number, or `None` if too many requests are pending.
     pub fn asks(&mut self, now: u64, owner: u32) -> Option<u64> {
-        self.forgets(now);
-        if self.asked.len() >= LOANS_MOST {
+        self.remove_expired(now);
+        if self.requests.len() >= MAX_LOANS {
             return None;
         }
-        self.next += 1;
-        self.asked.insert(self.next, (owner, now));
-        Some(self.next)
+        self.next_loan += 1;
+        self.requests.insert(self.next_loan, (owner, now));
+        Some(self.next_loan)
     }
 
-    /// What is lent to one who asks, at most so much; the same again where the asking comes twice.
+    /// Grants a loan of at most `most` units and returns its size; 0 if none can be granted. A repeated request gets the
+    /// same answer.
     pub fn lends(&mut self, now: u64, borrower: u32, loan: u64, most: u32) -> u32 {
-        self.forgets(now);
+        self.remove_expired(now);
         if let Some(lent) = self.lent.get(&(borrower, loan)) {
             return lent.units;
         }
         let units = most.min(self.spare(now));
-        if units == 0 || self.lent.len() >= LOANS_MOST {
+        if units == 0 || self.lent.len() >= MAX_LOANS {
             return 0;
         }
-        self.lent.insert((borrower, loan), Lent { units, until: now + WITHHELD });
+        self.lent.insert((borrower, loan), GrantedLoan { units, expires_at: now + WITHHOLD_MS });
         units
     }
 
-    /// Takes what was granted; it counts once, and only while its time from our asking lasts.
+    /// Records a granted loan. A grant counts once, and only within the loan's duration from its request.
     pub fn takes(&mut self, now: u64, owner: u32, loan: u64, units: u32) {
-        self.forgets(now);
-        if self.asked.get(&loan).is_some_and(|asked| asked.0 == owner)
-            && let Some((_, at)) = self.asked.remove(&loan)
+        self.remove_expired(now);
+        if self.requests.get(&loan).is_some_and(|request| request.0 == owner)
+            && let Some((_, at)) = self.requests.remove(&loan)
         {
             let units = units.min(EACH - KEPT);
-            self.borrowed.insert(loan, (owner, Borrowed { units, until: at + SPAN }));
+            self.borrowed.insert(loan, (owner, ReceivedLoan { units, expires_at: at + SPAN }));
         }
     }
 
-    /// Gives back loans while at least so many borrowed units stay; whom to tell of which.
+    /// Returns loans early as long as at least `stay` borrowed units remain; yields the owners to notify and the loan
+    /// numbers.
     pub fn gives_back(&mut self, now: u64, stay: u32) -> Vec<(u32, u64)> {
-        self.forgets(now);
-        let (mut left, mut back) = (self.borrowed_until(now), Vec::new());
+        self.remove_expired(now);
+        let (mut remaining, mut returned_loans) = (self.borrowed_until(now), Vec::new());
         for (&loan, (owner, borrowed)) in &self.borrowed {
-            if left >= stay + borrowed.units {
-                left -= borrowed.units;
-                back.push((*owner, loan));
+            if remaining >= stay + borrowed.units {
+                remaining -= borrowed.units;
+                returned_loans.push((*owner, loan));
             }
         }
-        self.borrowed.retain(|loan, _| back.iter().all(|told| told.1 != *loan));
-        back
+        self.borrowed.retain(|loan, _| returned_loans.iter().all(|returned| returned.1 != *loan));
+        returned_loans
     }
 
-    /// A borrower has given back.
+    /// Ends a loan that its borrower has returned.
     pub fn returned(&mut self, borrower: u32, loan: u64) {
         self.lent.remove(&(borrower, loan));
     }
 
-    fn forgets(&mut self, now: u64) {
-        self.lent.retain(|_, one| now < one.until);
-        self.borrowed.retain(|_, one| now < one.1.until);
-        self.asked.retain(|_, one| now < one.1 + SPAN);
+    /// Removes expired loans and requests.
+    fn remove_expired(&mut self, now: u64) {
+        self.lent.retain(|_, entry| now < entry.expires_at);
+        self.borrowed.retain(|_, entry| now < entry.1.expires_at);
+        self.requests.retain(|_, entry| now < entry.1 + SPAN);
     }
 }
 
--- a/crates/flintwell-shared-limits/src/share.rs
+++ b/crates/flintwell-shared-limits/src/share.rs
@@ -1,9 +1,10 @@
-//! What a unit is worth, who asks whom for units, and what follows for one proxy: fetches a second.
+//! The fetch limit of one proxy: the worth of a unit times the units that it may use.
 //!
-//! The worth is learned by the fleet as one. Each tells some others what it sent, what was taken and what was refused;
-//! each moves its means towards what it hears, so that they come to the fleet's within some rounds (averaging by gossip:
-//! D. Kempe, A. Dobra and J. Gehrke, "Gossip-based computation of aggregate information", FOCS 2003). While more than
-//! some are refused, what is taken is what there is; while hardly any are, there may be more.
+//! The fleet learns the worth together. Each round, each member gossips its mean rates of fetches that the origin accepted
+//! and refused, and moves them towards those it receives, so that they converge to the fleet's means within a few rounds
+//! (D. Kempe, A. Dobra and J. Gehrke, "Gossip-based computation of aggregate information", FOCS 2003). While a large share
+//! is refused, the accepted rate is taken as the origin's capacity and the worth falls to it; while few are refused, the
+//! worth rises. Units are borrowed from members that have some to spare.
 
 use crate::loans::{EACH, KEPT, Loans};
 use rand::seq::IndexedRandom;
@@ -12,115 +13,131 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-pub const ROUND: u64 = 250; // ms; a second has some rounds, and a datagram or two each are nothing
-const TOLD: usize = 2; // members a round; each hears as many on the mean, whatever the fleet's size
-const OWN: f64 = 0.25; // weight of our own last round in our means; some rounds and some others make the rest
-const WANTED: f64 = 0.3; // weight of a round in what we want; loans for one round's chance would only cost words
-const SHORT: f64 = 0.5; // share refused; above it what is taken is all there is
-const AMPLE: f64 = 0.4; // share refused; under it there may be more
-const LIFT: f64 = 1.6; // times what is taken that may be sent: arrivals by chance meet a full origin, and fewer leave it idle
-const LASTS: u64 = 750; // ms that refusals have to last: a burst is no sign, and a rate needs some rounds
-const SEEN: u64 = 1_000; // ms after a fall, in which what it changed is heard of; falls in between would add up
-const FALL: f64 = 0.3; // factor on the worth at one fall at most, so that one bad second is not believed wholly
-const RISE: f64 = 1.25; // factor on the worth, a round; twice and a half as much a second
-const CLEAR: f64 = 0.05; // share refused; under it nothing holds us back but the limit
-const RISE_CLEAR: f64 = 2.0; // factor on the worth, a round, then; ten times what it was takes a second and a half
-const USED: f64 = 0.6; // of what may be sent; less asked for, there is nothing to share
-const BOUND: f64 = 1.3; // the most by which one told worth moves ours; one that lies moves it no further
-const LEAST: f64 = 2.0; // fetches and refusals a second of the whole fleet; under it there is nothing to share
-const FREE: u64 = 5_000; // ms with hardly anything refused and little asked; then there is no limit any more
-const HEARD: u64 = 2_000; // ms for which what another told counts
-const HEADROOM: f64 = 1.3; // times our need that we ask for, since need moves
-const ASKED: usize = 2; // members asked for units a round
-const AHEAD: u64 = 750; // ms before a loan's end at which another is asked for in its place
-const GRANTED: u32 = 8; // units; a smaller loan is not worth its words
+/// Length of a gossip round; a few rounds a second, with one or two datagrams each, cost next to nothing.
+pub const ROUND: u64 = 250;
+const GOSSIP_FANOUT: usize = 2; // peers per round; each also receives as many reports on average, whatever the fleet's size
+const OWN_WEIGHT: f64 = 0.25; // weight of the last own round in the means; the rest are earlier rounds and peers' reports
+const DEMAND_WEIGHT: f64 = 0.3; // weight of a round in the mean demand; loans for the chance of a single round would only cost messages
+const OVERLOAD_REFUSED_SHARE: f64 = 0.5; // above it the accepted rate is the origin's capacity
+const SPARE_REFUSED_SHARE: f64 = 0.4; // below it the origin may have spare capacity
+const ACCEPTED_TO_LIMIT: f64 = 1.6; // limit per accepted rate: some random arrivals meet a full origin, and fewer would leave it idle
+const MIN_OVERLOAD_MS: u64 = 750; // a burst of refusals is no overload, and a rate needs some rounds
+const DECREASE_HOLD_MS: u64 = 1_000; // until the effect of a decrease is seen; decreases before that would compound
+const MIN_DECREASE_FACTOR: f64 = 0.3; // lower bound of one decrease, so that one bad second does not collapse the limit
+const INCREASE_FACTOR: f64 = 1.25; // per round; about 2.4 times per second
+const CLEAR_REFUSED_SHARE: f64 = 0.05; // below it only our own limit holds fetches back
+const CLEAR_INCREASE_FACTOR: f64 = 2.0; // per round below that; tenfold within 1.5 s
+const MIN_UTILIZATION: f64 = 0.6; // share of the limit in demand; below it the limit does not bind
+const MAX_REPORT_FACTOR: f64 = 1.3; // factor by which one report may move the worth, which bounds the effect of a faulty or lying peer
+const MIN_FLEET_RATE: f64 = 2.0; // accepted and refused fetches per second of the whole fleet; below it no limit is needed
+const LIMIT_REMOVAL_MS: u64 = 5_000; // with few refusals and low demand; then the limit is removed
+const REPORT_TTL_MS: u64 = 2_000; // how long a peer's report of spare units counts
+const HEADROOM: f64 = 1.3; // units requested per unit needed, since the need fluctuates
+const LOAN_REQUESTS_PER_ROUND: usize = 2; // peers asked for a loan per round
+const RENEW_AHEAD_MS: u64 = 750; // before a loan's end at which its replacement is requested
+const MIN_LOAN_UNITS: u32 = 8; // a smaller loan is not worth its messages
 
-/// What members say to one another.
+/// Messages between the members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
-    /// Means over the fleet as we know them, a member and second; what a unit is worth; units to spare.
+    /// The sender's estimates of the fleet's means, in fetches per member and second, of the worth of a unit, and the units
+    /// that it can lend.
     Told {
         taken: f32,
         refused: f32,
         worth: Option<f32>,
         spare: u32,
     },
+    /// Requests a loan of units.
     Ask {
         loan: u64,
         units: u32,
     },
+    /// Grants a loan.
     Grant {
         loan: u64,
         units: u32,
     },
+    /// Returns a loan before its end.
     Back {
         loan: u64,
     },
 }
 
 impl Word {
+    /// Serializes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Into a vector it cannot fail.
+        // Serialization into a vector cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
-    /// None where it is no word, or one with numbers that are none.
+
+    /// Parses a message; returns `None` if it is malformed or holds a negative or non-finite number.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let word: Word = postcard::from_bytes(bytes).ok()?;
-        let sound = |number: f32| number.is_finite() && number >= 0.0;
-        match &word {
+        let message: Word = postcard::from_bytes(bytes).ok()?;
+        let is_valid = |number: f32| number.is_finite() && number >= 0.0;
+        match &message {
             Word::Told { taken, refused, worth, .. } => {
-                (sound(*taken) && sound(*refused) && worth.is_none_or(|worth| sound(worth) && worth > 0.0))
-                    .then_some(word)
+                (is_valid(*taken) && is_valid(*refused) && worth.is_none_or(|worth| is_valid(worth) && worth > 0.0))
+                    .then_some(message)
             }
-            _ => Some(word),
+            _ => Some(message),
         }
     }
 }
 
-/// What this proxy counted since its start.
+/// Fetches that this proxy counted since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counted {
+    /// Fetches that its requests needed.
     pub wanted: u64,
+    /// Fetches that the origin accepted.
     pub taken: u64,
+    /// Fetches that the origin refused.
     pub refused: u64,
 }
 
-/// Where it stands, for the staff.
+/// The limit of one proxy, as the status endpoint shows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Standing {
-    /// Units in use here, of which borrowed; a member owns 1,024.
+    /// Units that this proxy may use; a member owns 1,024.
     pub units: u32,
+    /// Borrowed units among them.
     pub borrowed: u32,
-    /// Fetches a second that this proxy may send; none: no limit is known.
+    /// Fetches per second that this proxy may send; `None` if no limit is known.
     pub rate: Option<f64>,
-    /// Means over the fleet, a member and second.
+    /// Accepted fetches per member and second, as a mean over the fleet.
     pub taken: f64,
+    /// Refused fetches per member and second, as a mean over the fleet.
     pub refused: f64,
 }
 
+/// The shared fetch limit of one proxy. Times are in ms on its own monotonic clock.
 pub struct Share {
     rng: ChaCha8Rng,
     loans: Loans,
-    /// At the end of the last round.
+    /// Counts at the end of the last round.
     last: Counted,
     rounds: u32,
-    /// Our own, a second.
+    /// Mean demand of this proxy, in fetches per second.
     wanted: f64,
     mean_taken: f64,
     mean_refused: f64,
-    /// Fetches a second that a unit stands for.
+    /// Fetches per second that a unit is worth; `None` while no limit is known.
     worth: Option<f64>,
-    /// Since when more, or hardly any, are refused.
-    short_since: Option<u64>,
-    ample_since: u64,
-    held_until: u64,
-    /// Units that others told they could spare, and when.
+    /// Since when the refused share has been above [`OVERLOAD_REFUSED_SHARE`].
+    overloaded_since: Option<u64>,
+    /// Since when the refused share has not been above [`SPARE_REFUSED_SHARE`].
+    low_refusals_since: u64,
+    /// Until when the worth is not decreased again.
+    no_decrease_until: u64,
+    /// Units that peers reported as spare, and when.
     spare: BTreeMap<u32, (u32, u64)>,
+    /// Size of the fleet.
     fleet: f64,
 }
 
 impl Share {
-    /// `fleet` members own units, whether or not they are there.
+    /// Creates the limit of a member that starts at `now`. `fleet` members own units, whether or not they are alive.
     pub fn start(now: u64, life: u64, fleet: u32, seed: u64) -> Self {
         Share {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -131,24 +148,25 @@
             mean_taken: 0.0,
             mean_refused: 0.0,
             worth: None,
-            short_since: None,
-            ample_since: now,
-            held_until: now,
+            overloaded_since: None,
+            low_refusals_since: now,
+            no_decrease_until: now,
             spare: BTreeMap::new(),
             fleet: f64::from(fleet),
         }
     }
 
-    /// Fetches a second that we may send now.
+    /// Fetches per second that this proxy may send now; `None` if no limit is known.
     pub fn rate(&self, now: u64) -> Option<f64> {
         self.worth.map(|worth| worth * f64::from(self.loans.has(now)))
     }
 
-    /// Units in use.
+    /// Units that this proxy may use now.
     pub fn units(&self, now: u64) -> u32 {
         self.loans.has(now)
     }
 
+    /// The limit as the status endpoint shows it.
     pub fn standing(&self, now: u64) -> Standing {
         Standing {
             units: self.loans.has(now),
@@ -159,84 +177,88 @@
         }
     }
 
-    /// Once a round, with what we counted and who is there; what to say to whom.
+    /// Runs one gossip round with the counts so far and the members alive; returns the messages to send.
     pub fn round(&mut self, now: u64, counted: Counted, others: &[u32]) -> Vec<(u32, Word)> {
-        let a_second = 1_000.0 / ROUND as f64;
-        let of = |now: u64, last: u64| now.saturating_sub(last) as f64 * a_second;
+        let rounds_per_second = 1_000.0 / ROUND as f64;
+        let per_second = |now: u64, last: u64| now.saturating_sub(last) as f64 * rounds_per_second;
         let last = std::mem::replace(&mut self.last, counted);
-        self.wanted += WANTED * (of(counted.wanted, last.wanted) - self.wanted);
-        // Danger: means that begin at nothing make the first limit a fraction of what is taken.
-        let weight = OWN.max(1.0 / f64::from(self.rounds + 1));
+        self.wanted += DEMAND_WEIGHT * (per_second(counted.wanted, last.wanted) - self.wanted);
+        // Danger: means that start from zero and move slowly would make the first limit a fraction of the accepted rate.
+        // The first rounds therefore weigh equally.
+        let weight = OWN_WEIGHT.max(1.0 / f64::from(self.rounds + 1));
         self.rounds = self.rounds.saturating_add(1);
-        self.mean_taken += weight * (of(counted.taken, last.taken) - self.mean_taken);
-        self.mean_refused += weight * (of(counted.refused, last.refused) - self.mean_refused);
-        self.spare.retain(|number, told| now < told.1 + HEARD && others.contains(number));
-        self.learns(now);
-        let mut words = self.borrows(now, others);
-        let told = Word::Told {
+        self.mean_taken += weight * (per_second(counted.taken, last.taken) - self.mean_taken);
+        self.mean_refused += weight * (per_second(counted.refused, last.refused) - self.mean_refused);
+        self.spare.retain(|number, report| now < report.1 + REPORT_TTL_MS && others.contains(number));
+        self.update_worth(now);
+        let mut messages = self.update_loans(now, others);
+        let report = Word::Told {
             taken: self.mean_taken as f32,
             refused: self.mean_refused as f32,
             worth: self.worth.map(|worth| worth as f32),
-            spare: self.to_spare(now),
+            spare: self.spare_units(now),
         };
-        words.extend(others.choose_multiple(&mut self.rng, TOLD).map(|&other| (other, told.clone())));
-        words
+        messages.extend(others.choose_multiple(&mut self.rng, GOSSIP_FANOUT).map(|&other| (other, report.clone())));
+        messages
     }
 
-    fn learns(&mut self, now: u64) {
+    /// Adjusts the worth of a unit by the share of fetches that was refused.
+    fn update_worth(&mut self, now: u64) {
         let (taken, refused) = (self.mean_taken, self.mean_refused);
         let share = refused / (taken + refused).max(1e-9);
-        let short = share > SHORT && (taken + refused) * self.fleet > LEAST;
-        self.short_since = short.then(|| self.short_since.unwrap_or(now));
-        if share > AMPLE {
-            self.ample_since = now;
+        let overloaded = share > OVERLOAD_REFUSED_SHARE && (taken + refused) * self.fleet > MIN_FLEET_RATE;
+        self.overloaded_since = overloaded.then(|| self.overloaded_since.unwrap_or(now));
+        if share > SPARE_REFUSED_SHARE {
+            self.low_refusals_since = now;
         }
-        if self.short_since.is_some_and(|since| now >= since + LASTS) && now >= self.held_until {
-            // Danger: with nothing taken at all a limit of nothing would never be left again.
-            let there = (taken * LIFT).max(LEAST / self.fleet) / f64::from(self.loans.even(now));
-            self.worth = Some(self.worth.map_or(there, |worth| there.clamp(worth * FALL, worth)));
-            self.held_until = now + SEEN;
-            // Danger: what was refused before this fall would be held against the limit that follows, and with hardly
-            // anything sent any more it would be for ever.
-            self.mean_refused = taken * AMPLE;
-        } else if let Some(worth) = self.worth.filter(|_| share < AMPLE) {
-            let rise = if share < CLEAR { RISE_CLEAR } else { RISE };
-            let asked = self.need() as f64 / f64::from(EACH);
-            let freed = now >= self.ample_since + FREE && asked < USED;
-            self.worth = if freed { None } else { Some(if asked > USED { worth * rise } else { worth }) };
+        if self.overloaded_since.is_some_and(|since| now >= since + MIN_OVERLOAD_MS) && now >= self.no_decrease_until {
+            // Danger: if nothing was accepted, the limit would fall to zero and nothing would be sent that could raise it.
+            let capacity = (taken * ACCEPTED_TO_LIMIT).max(MIN_FLEET_RATE / self.fleet) / f64::from(self.loans.even(now));
+            self.worth = Some(self.worth.map_or(capacity, |worth| capacity.clamp(worth * MIN_DECREASE_FACTOR, worth)));
+            self.no_decrease_until = now + DECREASE_HOLD_MS;
+            // Danger: refusals from before this decrease would count against the new limit. While hardly anything is sent
+            // they would never be averaged out, and the limit would keep falling.
+            self.mean_refused = taken * SPARE_REFUSED_SHARE;
+        } else if let Some(worth) = self.worth.filter(|_| share < SPARE_REFUSED_SHARE) {
+            let factor = if share < CLEAR_REFUSED_SHARE { CLEAR_INCREASE_FACTOR } else { INCREASE_FACTOR };
+            let utilization = self.need() as f64 / f64::from(EACH);
+            let removable = now >= self.low_refusals_since + LIMIT_REMOVAL_MS && utilization < MIN_UTILIZATION;
+            self.worth = if removable { None } else { Some(if utilization > MIN_UTILIZATION { worth * factor } else { worth }) };
         }
     }
 
-    /// Units that our own need takes.
+    /// Units that the demand of this proxy needs.
     fn need(&self) -> u32 {
         let Some(worth) = self.worth else { return 0 };
         (self.wanted * HEADROOM / worth).clamp(0.0, f64::from(u32::MAX / 2)) as u32
     }
 
-    fn to_spare(&self, now: u64) -> u32 {
-        // What we borrow is no one else's to have of us; so our need is met by it first.
+    /// Units that this proxy can lend.
+    fn spare_units(&self, now: u64) -> u32 {
+        // Borrowed units cannot be lent on, so they meet our own need first.
         let need = self.need().saturating_sub(self.loans.borrowed_until(now)).max(KEPT);
-        let own = self.loans.has(now) - self.loans.borrowed_until(now);
-        own.saturating_sub(need).min(self.loans.spare(now))
+        let own_units = self.loans.has(now) - self.loans.borrowed_until(now);
+        own_units.saturating_sub(need).min(self.loans.spare(now))
     }
 
-    fn borrows(&mut self, now: u64, others: &[u32]) -> Vec<(u32, Word)> {
-        let mut words = Vec::new();
+    /// Returns loans that are no longer needed and requests those that are.
+    fn update_loans(&mut self, now: u64, others: &[u32]) -> Vec<(u32, Word)> {
+        let mut messages = Vec::new();
         let need = self.need();
-        let own = self.loans.has(now) - self.loans.borrowed_until(now);
-        let stay = need.saturating_sub(own);
-        let back = self.loans.gives_back(now, stay);
-        words.extend(back.into_iter().map(|(owner, loan)| (owner, Word::Back { loan })));
-        let short = need.saturating_sub(own + self.loans.borrowed_until(now + AHEAD));
-        if self.worth.is_none() || short < GRANTED {
-            return words;
+        let own_units = self.loans.has(now) - self.loans.borrowed_until(now);
+        let keep = need.saturating_sub(own_units);
+        let returned = self.loans.gives_back(now, keep);
+        messages.extend(returned.into_iter().map(|(owner, loan)| (owner, Word::Back { loan })));
+        let missing = need.saturating_sub(own_units + self.loans.borrowed_until(now + RENEW_AHEAD_MS));
+        if self.worth.is_none() || missing < MIN_LOAN_UNITS {
+            return messages;
         }
-        // Those with most first, as far as they told; else any, by lot.
-        let mut known: Vec<(u32, u32)> = self.spare.iter().map(|(&number, told)| (told.0, number)).collect();
-        known.sort_unstable_by(|a, b| b.cmp(a));
+        // Asks the peers that reported most spare units, then a random one.
+        let mut by_spare: Vec<(u32, u32)> = self.spare.iter().map(|(&number, report)| (report.0, number)).collect();
+        by_spare.sort_unstable_by(|a, b| b.cmp(a));
         let mut chosen: Vec<u32> =
-            known.iter().filter(|one| one.0 >= GRANTED).take(ASKED).map(|one| one.1).collect();
-        if chosen.len() < ASKED {
+            by_spare.iter().filter(|one| one.0 >= MIN_LOAN_UNITS).take(LOAN_REQUESTS_PER_ROUND).map(|one| one.1).collect();
+        if chosen.len() < LOAN_REQUESTS_PER_ROUND {
             chosen.extend(
                 others
                     .choose(&mut self.rng)
@@ -248,33 +270,33 @@
         }
         for owner in chosen {
             if let Some(loan) = self.loans.asks(now, owner) {
-                words.push((owner, Word::Ask { loan, units: short.min(EACH) }));
+                messages.push((owner, Word::Ask { loan, units: missing.min(EACH) }));
             }
-            // Asked for by others too: not counted on a second time.
+            // Other members ask for these units too, so the report is not used twice.
             self.spare.remove(&owner);
         }
-        words
+        messages
     }
 
-    /// What to answer.
-    pub fn hears(&mut self, now: u64, from: u32, word: Word) -> Option<Word> {
-        match word {
+    /// Processes a message of a peer; returns the reply, if any.
+    pub fn hears(&mut self, now: u64, from: u32, message: Word) -> Option<Word> {
+        match message {
             Word::Told { taken, refused, worth, spare } => {
-                let near = |ours: f64, told: f32| f64::from(told).min(ours * 2.0 + LEAST);
-                self.mean_taken = (self.mean_taken + near(self.mean_taken, taken)) / 2.0;
-                self.mean_refused = (self.mean_refused + near(self.mean_refused, refused)) / 2.0;
-                if let Some(told) = worth.map(f64::from) {
+                let bounded = |own: f64, reported: f32| f64::from(reported).min(own * 2.0 + MIN_FLEET_RATE);
+                self.mean_taken = (self.mean_taken + bounded(self.mean_taken, taken)) / 2.0;
+                self.mean_refused = (self.mean_refused + bounded(self.mean_refused, refused)) / 2.0;
+                if let Some(reported) = worth.map(f64::from) {
                     self.worth = Some(match self.worth {
-                        Some(ours) => (ours * told).sqrt().clamp(ours / BOUND, ours * BOUND),
-                        // Who has seen nothing refused goes by who has, as long as refusals are told.
-                        None if self.mean_refused > AMPLE * (self.mean_taken + self.mean_refused) => told,
-                        None => return self.notes(now, from, spare),
+                        Some(own) => (own * reported).sqrt().clamp(own / MAX_REPORT_FACTOR, own * MAX_REPORT_FACTOR),
+                        // A member that has seen no refusals itself adopts a peer's worth while peers report refusals.
+                        None if self.mean_refused > SPARE_REFUSED_SHARE * (self.mean_taken + self.mean_refused) => reported,
+                        None => return self.record_spare(now, from, spare),
                     });
                 }
-                self.notes(now, from, spare)
+                self.record_spare(now, from, spare)
             }
             Word::Ask { loan, units } => {
-                let units = self.loans.lends(now, from, loan, units.min(self.to_spare(now)));
+                let units = self.loans.lends(now, from, loan, units.min(self.spare_units(now)));
                 (units > 0).then_some(Word::Grant { loan, units })
             }
             Word::Grant { loan, units } => {
@@ -288,12 +310,13 @@
         }
     }
 
-    fn notes(&mut self, now: u64, from: u32, spare: u32) -> Option<Word> {
+    /// Records the spare units that a peer reported.
+    fn record_spare(&mut self, now: u64, from: u32, spare: u32) -> Option<Word> {
         self.spare.insert(from, (spare, now));
         None
     }
 
-    /// A moment within a round, so that a fleet's rounds don't fall together.
+    /// Random delay of the first round in ms, so that the members' rounds do not coincide.
     pub fn first_round(&mut self) -> u64 {
         self.rng.random_range(0..ROUND)
     }
--- a/crates/flintwell-shared-limits/tests/orders.rs
+++ b/crates/flintwell-shared-limits/tests/orders.rs
@@ -1,130 +1,130 @@
-//! Every order of askings, grants, returns, starts and time between two members; a word may come at any later time, any
-//! number of times or never, and a member's clock may run fast by what it is allowed.
+//! Model check of loans between two members over every order of requests, grants, returns, restarts and time. A message
+//! may arrive at any later time, any number of times or never, and the members' clocks differ as much as is allowed.
 
 use flintwell_shared_limits::loans::{DRIFT, EACH, Loans, SPAN};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-const TURN: u64 = SPAN / 2; // ms; a loan lasts two of them
-const TURNS: u64 = 5;
-const ASKS: u64 = 2; // of both together
+const STEP_MS: u64 = SPAN / 2; // a loan lasts two of them
+const STEPS: u64 = 5;
+const MAX_REQUESTS: u64 = 2; // by both members together
 const UNITS: u32 = 700;
-const LATER: u64 = 10_000; // ms; long after both began
+const START_MS: u64 = 10_000; // long after both members started
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Word {
-    Ask(u64),
+enum Message {
+    Request(u64),
     Grant(u64, u32),
-    Back(u64),
+    Return(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    turn: u64,
-    asked: u64,
-    lives: [u64; 2],
+    step: u64,
+    requests: u64,
+    incarnations: [u64; 2],
     members: [Loans; 2],
-    /// Whom to, and what; never taken out, so that it may come again.
-    words: BTreeSet<(usize, Word)>,
+    /// Recipient and message; never removed, so that a message may arrive again.
+    messages: BTreeSet<(usize, Message)>,
     restarts: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Happens {
-    Ask(usize),
-    Comes(usize, Word),
-    Back(usize),
+enum Event {
+    Request(usize),
+    Receive(usize, Message),
+    Return(usize),
     Restart(usize),
-    Time,
+    Advance,
 }
 
-struct Two;
+struct TwoMembers;
 
-/// The first member's clock runs fast, the other's slow, as far as they may.
-fn clock(n: usize, turn: u64) -> u64 {
+/// The first member's clock runs fast and the other's slow, as far as is allowed.
+fn clock(n: usize, step: u64) -> u64 {
     let rate = if n == 0 { 1.0 + DRIFT / 2.0 } else { 1.0 - DRIFT / 2.0 };
-    LATER + (turn as f64 * TURN as f64 * rate) as u64
+    START_MS + (step as f64 * STEP_MS as f64 * rate) as u64
 }
 
-impl Model for Two {
+impl Model for TwoMembers {
     type State = State;
-    type Action = Happens;
+    type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
         let members = [Loans::start(0, 1), Loans::start(0, 1)];
-        vec![State { turn: 0, asked: 0, lives: [1, 1], members, words: BTreeSet::new(), restarts: 0 }]
+        vec![State { step: 0, requests: 0, incarnations: [1, 1], members, messages: BTreeSet::new(), restarts: 0 }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Happens>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Event>) {
         for n in 0..2 {
-            if state.asked < ASKS {
-                actions.push(Happens::Ask(n));
+            if state.requests < MAX_REQUESTS {
+                actions.push(Event::Request(n));
             }
             if state.restarts < 1 {
-                actions.push(Happens::Restart(n));
+                actions.push(Event::Restart(n));
             }
-            actions.push(Happens::Back(n));
+            actions.push(Event::Return(n));
         }
-        actions.extend(state.words.iter().map(|(to, word)| Happens::Comes(*to, word.clone())));
-        if state.turn < TURNS {
-            actions.push(Happens::Time);
+        actions.extend(state.messages.iter().map(|(to, message)| Event::Receive(*to, message.clone())));
+        if state.step < STEPS {
+            actions.push(Event::Advance);
         }
     }
 
-    fn next_state(&self, state: &State, happens: Happens) -> Option<State> {
+    fn next_state(&self, state: &State, event: Event) -> Option<State> {
         let mut next = state.clone();
-        let at = |n: usize| clock(n, state.turn);
-        match happens {
-            Happens::Ask(n) => {
+        let at = |n: usize| clock(n, state.step);
+        match event {
+            Event::Request(n) => {
                 let loan = next.members[n].asks(at(n), 1 - n as u32)?;
-                next.words.insert((1 - n, Word::Ask(loan)));
-                next.asked += 1;
+                next.messages.insert((1 - n, Message::Request(loan)));
+                next.requests += 1;
             }
-            Happens::Comes(n, word) => {
+            Event::Receive(n, message) => {
                 let other = 1 - n as u32;
-                match word {
-                    Word::Ask(loan) => {
+                match message {
+                    Message::Request(loan) => {
                         let units = next.members[n].lends(at(n), other, loan, UNITS);
                         if units > 0 {
-                            next.words.insert((1 - n, Word::Grant(loan, units)));
+                            next.messages.insert((1 - n, Message::Grant(loan, units)));
                         }
                     }
-                    Word::Grant(loan, units) => next.members[n].takes(at(n), other, loan, units),
-                    Word::Back(loan) => next.members[n].returned(other, loan),
+                    Message::Grant(loan, units) => next.members[n].takes(at(n), other, loan, units),
+                    Message::Return(loan) => next.members[n].returned(other, loan),
                 }
             }
-            Happens::Back(n) => {
+            Event::Return(n) => {
                 for (owner, loan) in next.members[n].gives_back(at(n), 0) {
-                    next.words.insert((owner as usize, Word::Back(loan)));
+                    next.messages.insert((owner as usize, Message::Return(loan)));
                 }
             }
-            Happens::Restart(n) => {
-                next.lives[n] += 1;
-                next.members[n] = Loans::start(at(n), next.lives[n]);
+            Event::Restart(n) => {
+                next.incarnations[n] += 1;
+                next.members[n] = Loans::start(at(n), next.incarnations[n]);
                 next.restarts += 1;
             }
-            Happens::Time => next.turn += 1,
+            Event::Advance => next.step += 1,
         }
         (next != *state).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no more in use than there is", |_, state| {
+            Property::<Self>::always("units in use never exceed those that exist", |_, state| {
                 in_use(state, 0) + in_use(state, 1) <= 2 * EACH
             }),
-            Property::<Self>::sometimes("loans are made", |_, state| in_use(state, 0) > EACH),
+            Property::<Self>::sometimes("loans are granted", |_, state| in_use(state, 0) > EACH),
         ]
     }
 }
 
 fn in_use(state: &State, n: usize) -> u32 {
-    state.members[n].has(clock(n, state.turn))
+    state.members[n].has(clock(n, state.step))
 }
 
 #[test]
-fn in_no_order_of_words_starts_and_time_is_more_in_use_than_there_is() {
-    let checked = Two.checker().threads(2).spawn_bfs().join();
+fn units_in_use_never_exceed_those_that_exist_in_any_order_of_events() {
+    let checked = TwoMembers.checker().threads(2).spawn_bfs().join();
     checked.assert_properties();
     println!("{} states", checked.unique_state_count());
 }
