--- a/crates/flintwell-shared-probes/src/lib.rs
+++ b/crates/flintwell-shared-probes/src/lib.rs
@@ -1,8 +1,10 @@
-//! A few of a fleet try a node that fell silent, and tell the others, so that the tries of all do not grow with the fleet.
+//! Coordinates probes of cache nodes that do not answer: a few members of the fleet go on probing such a node and tell the
+//! others, so that the number of probes does not grow with the fleet.
 //!
-//! A hint weighs, it is no fact: only first-hand words are told on, a node is held silent by the fleet when some others
-//! found it so by themselves, and who has not found it silent itself acts on no hint at all. So one that lies, or is cut
-//! off itself, empties no node that is well; and word that a node is back brings one request of each, not its traffic.
+//! Reports from peers are hints, not facts. Members report only their own observations, a node counts as silent for the
+//! fleet only after several members found it silent independently, and a member acts on hints only about nodes that are
+//! silent to itself. So a member that lies or is partitioned takes no traffic from a healthy node, and a report that a node
+//! has recovered brings one request from each member rather than its full traffic.
 
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
@@ -11,170 +13,184 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-pub const MARK: u8 = 0x50; // first byte of a word, which tells it from those of other subsystems
-const TOLD: usize = 2; // members a round; each hears as many on the mean, whatever the fleet's size
-const NODES: usize = 12; // in a word, in turns where there are more; it stays under a datagram's length
-const WITNESSES: usize = 3; // others that found a node silent by themselves; one or two may be cut off themselves
-const HEARD: u64 = 3_000; // ms for which a witness counts; some rounds of each
-const PROBERS: usize = 3; // members that go on trying; one or two of them may be gone or cut off
-const LEFT: u64 = 1_500; // ms for which the others leave it alone at a time; some rounds without a word and they try
-const BACK: u64 = 3_000; // ms for which one's being back is told on
-const BACK_APART: u64 = 1_000; // ms between tries that such words bring about, whoever tells them and however often
-
-/// A node's name, short.
-pub type Mark = u64;
-
+/// First byte of a message, which distinguishes it from those of other subsystems.
+pub const MESSAGE_TAG: u8 = 0x50;
+const GOSSIP_FANOUT: usize = 2; // peers per round; each also receives as many messages on average, whatever the fleet's size
+const MAX_NODES_PER_MESSAGE: usize = 12; // fits into a datagram; more nodes take turns
+const WITNESS_QUORUM: usize = 3; // peers that found a node silent themselves; one or two may be partitioned
+const WITNESS_TTL_MS: u64 = 3_000; // several rounds of each member
+const PROBERS: usize = 3; // members that go on probing; one or two may be down or partitioned
+const SKIP_MS: u64 = 1_500; // how long a hint suppresses probes; after several rounds without reports the others probe again
+const RECOVERY_REPORT_MS: u64 = 3_000; // how long a recovery is reported
+const MIN_PROBE_INTERVAL_MS: u64 = 1_000; // between probes caused by recovery reports, however many arrive
+
+/// Hash of a node's name.
+pub type NodeHash = u64;
+
+/// One member's report to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Word {
-    /// Silent to the one who tells, by its own tries.
-    silent: Vec<Mark>,
-    /// Was silent, and answered it lately.
-    back: Vec<Mark>,
+    /// Nodes that are silent to the sender by its own probes.
+    silent: Vec<NodeHash>,
+    /// Nodes that were silent and have answered the sender recently.
+    back: Vec<NodeHash>,
 }
 
 impl Word {
+    /// Serializes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Into a vector it cannot fail.
-        let mut bytes = vec![MARK];
+        // Serialization into a vector cannot fail.
+        let mut bytes = vec![MESSAGE_TAG];
         bytes.extend(postcard::to_stdvec(self).unwrap_or_default());
         bytes
     }
-    /// None where it is none of ours.
+
+    /// Parses a message; returns `None` if it is malformed or belongs to another subsystem.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (&mark, rest) = bytes.split_first()?;
-        let word: Word = (mark == MARK).then(|| postcard::from_bytes(rest).ok()).flatten()?;
-        (word.silent.len() <= NODES && word.back.len() <= NODES).then_some(word)
+        let (&tag, rest) = bytes.split_first()?;
+        let message: Word = (tag == MESSAGE_TAG).then(|| postcard::from_bytes(rest).ok()).flatten()?;
+        (message.silent.len() <= MAX_NODES_PER_MESSAGE && message.back.len() <= MAX_NODES_PER_MESSAGE).then_some(message)
     }
 }
 
-fn short(text: &[&[u8]]) -> Mark {
+/// First 64 bits of the SHA-256 hash of the concatenated parts.
+fn hash_parts(text: &[&[u8]]) -> NodeHash {
     let hash = text.iter().fold(Sha256::new(), |hash, part| hash.chain_update(part)).finalize();
     hash.iter().take(8).fold(0, |sum, &byte| sum << 8 | u64::from(byte))
 }
 
-/// Whether this member is among the few who try a node: the highest by a draw alike at all who know the same members.
-fn probes(number: u32, mark: Mark, others: &[u32]) -> bool {
-    let draw = |number: u32| short(&[&mark.to_be_bytes(), &number.to_be_bytes()]);
-    let ours = draw(number);
-    others.iter().filter(|&&other| draw(other) > ours).count() < PROBERS
+/// Whether this member is among those that probe a node. Members are ranked by rendezvous hashing, so all that know the
+/// same members agree.
+fn is_prober(number: u32, hash: NodeHash, others: &[u32]) -> bool {
+    let rank = |number: u32| hash_parts(&[&hash.to_be_bytes(), &number.to_be_bytes()]);
+    let own_rank = rank(number);
+    others.iter().filter(|&&other| rank(other) > own_rank).count() < PROBERS
 }
 
+/// What is known about one node.
 #[derive(Default)]
 struct Node {
-    /// To us.
+    /// Whether it is silent to this member.
     silent: bool,
-    /// When each other last said that it is silent to it.
+    /// When each peer last reported it silent.
     witnesses: BTreeMap<u32, u64>,
-    /// Until when its being back is told, by who had an answer.
-    back_until: u64,
-    /// Someone had an answer: not acted on yet.
-    told_back: bool,
-    tried_at: u64,
+    /// Until when this member reports that the node has recovered.
+    report_recovery_until: u64,
+    /// A peer reported a recovery that was not acted on yet.
+    reported_recovered: bool,
+    probed_at: u64,
 }
 
-/// What is to be done about a node that is silent to us.
+/// Advice on a node that is silent to this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hint {
-    /// Left alone for so many ms: others try it.
+    /// Do not probe it for this many ms; other members do.
     Leave(u64),
-    /// Tried by the next request: it answered another.
+    /// Probe it with the next request; it has answered another member.
     Try,
 }
 
-/// What a round brings: of which of the silent ones to think what, and what to tell whom.
+/// Result of a round: hints by index into the silent nodes, and messages with their recipients.
 pub type Round = (Vec<(usize, Hint)>, Vec<(u32, Word)>);
 
-/// Where it stands, for the staff.
+/// A node that is silent to this member, as the status endpoint shows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Standing {
+    /// Name of the node.
     pub node: String,
-    /// Others that found it silent lately.
+    /// Peers that recently found it silent.
     pub witnesses: usize,
-    /// Whether we are among those who try it.
+    /// Whether this member is among those that probe it.
     pub prober: bool,
 }
 
+/// Coordinates the probes of one member with its peers.
 pub struct Probes {
     number: u32,
     rng: ChaCha8Rng,
-    nodes: BTreeMap<Mark, Node>,
+    nodes: BTreeMap<NodeHash, Node>,
     turn: usize,
 }
 
 impl Probes {
+    /// Creates the state of the member `number`; `seed` is that of the random number generator.
     pub fn new(number: u32, seed: u64) -> Self {
         Probes { number, rng: ChaCha8Rng::seed_from_u64(seed), nodes: BTreeMap::new(), turn: 0 }
     }
 
-    /// Once a round: what is silent to us now, and who is there. What to do about which node, and what to tell whom.
+    /// Runs one gossip round at `now` (in ms), given the nodes that are silent to this member and the peers that are alive.
     pub fn round(&mut self, now: u64, silent: &[&str], others: &[u32]) -> Round {
-        let marks: Vec<Mark> = silent.iter().map(|name| short(&[name.as_bytes()])).collect();
-        for (mark, node) in &mut self.nodes {
-            // Heard by ourselves again: that is worth telling.
-            if std::mem::replace(&mut node.silent, marks.contains(mark)) && !node.silent {
-                node.back_until = now + BACK;
+        let hashes: Vec<NodeHash> = silent.iter().map(|name| hash_parts(&[name.as_bytes()])).collect();
+        for (hash, node) in &mut self.nodes {
+            // The node answered this member again, which is reported to peers.
+            if std::mem::replace(&mut node.silent, hashes.contains(hash)) && !node.silent {
+                node.report_recovery_until = now + RECOVERY_REPORT_MS;
             }
-            node.witnesses.retain(|number, at| now < *at + HEARD && others.contains(number));
+            node.witnesses.retain(|number, at| now < *at + WITNESS_TTL_MS && others.contains(number));
         }
         let mut hints = Vec::new();
-        for (n, &mark) in marks.iter().enumerate() {
-            let node = self.nodes.entry(mark).or_default();
-            (node.silent, node.back_until) = (true, 0);
-            if std::mem::take(&mut node.told_back) && now >= node.tried_at + BACK_APART {
-                node.tried_at = now;
+        for (n, &hash) in hashes.iter().enumerate() {
+            let node = self.nodes.entry(hash).or_default();
+            (node.silent, node.report_recovery_until) = (true, 0);
+            if std::mem::take(&mut node.reported_recovered) && now >= node.probed_at + MIN_PROBE_INTERVAL_MS {
+                node.probed_at = now;
                 hints.push((n, Hint::Try));
-            } else if node.witnesses.len() >= WITNESSES
-                && now >= node.tried_at + BACK_APART
-                && !probes(self.number, mark, others)
+            } else if node.witnesses.len() >= WITNESS_QUORUM
+                && now >= node.probed_at + MIN_PROBE_INTERVAL_MS
+                && !is_prober(self.number, hash, others)
             {
-                hints.push((n, Hint::Leave(LEFT)));
+                hints.push((n, Hint::Leave(SKIP_MS)));
             }
         }
-        self.nodes.retain(|_, node| node.silent || now < node.back_until || !node.witnesses.is_empty());
-        let word = self.word(now);
-        let to = others.choose_multiple(&mut self.rng, TOLD).copied();
-        let words = if word.silent.is_empty() && word.back.is_empty() {
+        self.nodes.retain(|_, node| node.silent || now < node.report_recovery_until || !node.witnesses.is_empty());
+        let message = self.next_message(now);
+        let to = others.choose_multiple(&mut self.rng, GOSSIP_FANOUT).copied();
+        let messages = if message.silent.is_empty() && message.back.is_empty() {
             Vec::new()
         } else {
-            to.map(|other| (other, word.clone())).collect()
+            to.map(|other| (other, message.clone())).collect()
         };
-        (hints, words)
+        (hints, messages)
     }
 
-    fn word(&mut self, now: u64) -> Word {
-        let of = |which: &dyn Fn(&Node) -> bool, turn: usize| -> Vec<Mark> {
-            let marks: Vec<Mark> = self.nodes.iter().filter(|one| which(one.1)).map(|one| *one.0).collect();
-            let all = marks.len();
-            marks.into_iter().cycle().skip(turn % all.max(1)).take(all.min(NODES)).collect()
+    /// The message to send in this round.
+    fn next_message(&mut self, now: u64) -> Word {
+        // Up to the maximum, starting at the turn so that every node is reported in some round.
+        let of = |filter: &dyn Fn(&Node) -> bool, turn: usize| -> Vec<NodeHash> {
+            let hashes: Vec<NodeHash> = self.nodes.iter().filter(|one| filter(one.1)).map(|one| *one.0).collect();
+            let count = hashes.len();
+            hashes.into_iter().cycle().skip(turn % count.max(1)).take(count.min(MAX_NODES_PER_MESSAGE)).collect()
         };
-        let word = Word {
+        let message = Word {
             silent: of(&|node| node.silent, self.turn),
-            back: of(&|node| now < node.back_until, self.turn),
+            back: of(&|node| now < node.report_recovery_until, self.turn),
         };
-        self.turn = self.turn.wrapping_add(NODES);
-        word
+        self.turn = self.turn.wrapping_add(MAX_NODES_PER_MESSAGE);
+        message
     }
 
-    pub fn hears(&mut self, now: u64, from: u32, word: &Word) {
-        for mark in &word.silent {
-            // Bounded: of nodes that are not silent to us only few are remembered.
-            if self.nodes.len() < 1_024 || self.nodes.contains_key(mark) {
-                self.nodes.entry(*mark).or_default().witnesses.insert(from, now);
+    /// Processes a message of a peer.
+    pub fn hears(&mut self, now: u64, from: u32, message: &Word) {
+        for hash in &message.silent {
+            // Bounds the memory that reports on unknown nodes can take.
+            if self.nodes.len() < 1_024 || self.nodes.contains_key(hash) {
+                self.nodes.entry(*hash).or_default().witnesses.insert(from, now);
             }
         }
-        for mark in &word.back {
-            if let Some(node) = self.nodes.get_mut(mark) {
+        for hash in &message.back {
+            if let Some(node) = self.nodes.get_mut(hash) {
                 node.witnesses.remove(&from);
-                node.told_back |= node.silent;
+                node.reported_recovered |= node.silent;
             }
         }
     }
 
+    /// Status of each node that is silent to this member.
     pub fn standing(&self, silent: &[&str], others: &[u32]) -> Vec<Standing> {
         let of = |name: &&str| {
-            let mark = short(&[name.as_bytes()]);
-            let witnesses = self.nodes.get(&mark).map_or(0, |node| node.witnesses.len());
-            Standing { node: (*name).to_owned(), witnesses, prober: probes(self.number, mark, others) }
+            let hash = hash_parts(&[name.as_bytes()]);
+            let witnesses = self.nodes.get(&hash).map_or(0, |node| node.witnesses.len());
+            Standing { node: (*name).to_owned(), witnesses, prober: is_prober(self.number, hash, others) }
         };
         silent.iter().map(of).collect()
     }
