--- a/crates/flintwell-list-watch/src/backoff.rs
+++ b/crates/flintwell-list-watch/src/backoff.rs
@@ -1,133 +1,141 @@
-//! When to call discovery again, one proxy of many.
+//! Backoff for calls of discovery by one proxy of many.
 //!
-//! Discovery works through calls in turn, and nobody is told how many it can take. A fleet that calls more often than that
-//! keeps it busy with calls that fail, for ever (a metastable failure). So:
-//! - Calls that many proxies may have to make at the same time get a slot each in a *frame*: the proxy's number among the
-//!   fleet is its place in it, so the calls of a fleet come evenly with no word between the proxies.
-//! - The first failures are taken for faults of one call and made good while the lease lasts. From the third on the frame
-//!   grows with the time for which calls have failed, whatever became of the lease: a shorter frame would tell nobody sooner.
-//! - A refusal that came only after a while stood in a queue, and cost discovery work; then the frame grows faster.
+//! Discovery processes calls in turn, and its capacity is not known to the proxies. A fleet that calls more often than it
+//! can answer keeps it busy for ever with calls that fail (a metastable failure). Therefore:
+//! - Calls that many proxies may have to make at the same time are spread over a *frame*, in which each proxy has a slot at
+//!   its index in the fleet. So the calls of a fleet are evenly spaced without communication between the proxies.
+//! - The first two failures are treated as faults of single calls and retried while the lease is valid. From the third on
+//!   the frame grows with the time for which calls have failed, even if the lease expires meanwhile: with a shorter frame
+//!   no proxy would get its answer sooner.
+//! - A refusal that came only after a while has waited in a queue and cost discovery work, so the frame grows faster.
 
 use crate::Micros;
 
-const EACH: Micros = 90_000; // us a proxy of a first frame; only a start, since frames grow with failures
-const FRAME_FIRST: Micros = 2_900_000; // us; the longest first frame: with a lost call beside it fits into a lease
-const FRAME_LEAST: Micros = 200_000; // us; after an end that may have met all, however few they are
-const FRAME_MOST: Micros = 60_000_000; // us; a discovery that serves the fleet once in 30 s is then half idle
-const SHARE: Micros = 6; // a frame is at most this part of the time for which calls have failed
-const SHARE_QUEUED: Micros = 2; // the same after a refusal that stood in a queue
-const SHARE_PUSHED: Micros = 8; // the same where lists are pushed, and what discovery has counts at once
-const LONG: Micros = 24_000_000; // us; calls that fail for longer are no short outage; frames grow with the square from then on
-const AGE_MOST: Micros = 86_400_000_000; // us; a day; frames have long been at their most by then
-const QUEUED: Micros = 100_000; // us; a refusal that took longer has waited for its turn
-const DOUBTFUL: Micros = 500_000; // us; a refusal that took longer may come from what stands before a discovery that is down
-const DIALS: Micros = 3; // times that a connection took to come up; the way of an answer that waited for nothing
-const EARLY: u32 = 2; // failures in a row that are taken for faults of single calls
-
-/// Why a call has failed. Each asks for another answer.
+const FIRST_FRAME_US_PER_PROXY: Micros = 90_000; // only an initial value, since frames grow with failures
+const MAX_FIRST_FRAME_US: Micros = 2_900_000; // together with a lost call it fits into a lease
+const MIN_FRAME_US: Micros = 200_000; // after a failure that may have hit the whole fleet, however small it is
+const MAX_FRAME_US: Micros = 60_000_000; // a discovery that takes 30 s to serve the fleet once is then half idle
+const FRAME_AGE_DIVISOR: Micros = 6; // a frame is at most the time for which calls have failed divided by this
+const QUEUED_FRAME_AGE_DIVISOR: Micros = 2; // the same after a refusal that waited in a queue
+const PUSHED_PAUSE_AGE_DIVISOR: Micros = 8; // the same for pauses where lists are pushed, since changes at discovery then take effect at once
+const LONG_OUTAGE_US: Micros = 24_000_000; // beyond this, frames grow with the square of the time for which calls have failed
+const MAX_AGE_US: Micros = 86_400_000_000; // a day; frames have reached their maximum long before
+const QUEUED_REFUSAL_US: Micros = 100_000; // a refusal that took longer has waited in a queue
+const DOUBTFUL_REFUSAL_US: Micros = 500_000; // a refusal that took longer may come from a load balancer whose discovery is down
+const DIALS_PER_ANSWER: Micros = 3; // an immediate answer takes at most this many times the connection's dial time
+const MAX_EARLY_FAILURES: u32 = 2; // consecutive failures that are treated as faults of single calls
+
+/// Why a call failed; each cause has its own retry policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came up: discovery is down, or there is no way to it. Trying again costs it nothing.
+    /// No connection could be established: discovery or the path to it is down. Retries cost discovery nothing.
     Unreachable,
-    /// Our own system had no socket, address or memory for it. Discovery knows nothing of it.
+    /// This host had no socket, address or memory for the call, so it never left the host.
     Local,
-    /// It answered that it would not, as one does that has too many callers, or that is down behind a balancer.
+    /// The answer was a refusal, as from an overloaded discovery or from a load balancer whose discovery is down.
     Refused,
-    /// The connection ended, or what came makes no sense.
+    /// The connection was closed, or the answer was malformed.
     Broken,
-    /// No answer in time.
+    /// No answer within the time limit.
     Silent,
 }
 
-/// This proxy's place among those that call the same discovery.
+/// Position of this proxy among those that call the same discovery.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct FleetPosition {
+    /// Index of this proxy, from 0.
     pub index: u32,
+    /// Number of proxies.
     pub fleet: u32,
 }
 
-impl Place {
-    /// The first moment from `from` on that is this proxy's in frames of this length.
+impl FleetPosition {
+    /// Start of this proxy's first slot at or after `from`, in frames of this length.
     pub fn slot(self, from: Micros, frame: Micros) -> Micros {
         let fleet = Micros::from(self.fleet.max(1));
-        let own = frame * (Micros::from(self.index) % fleet) / fleet;
-        from + (own - from).rem_euclid(frame.max(1))
+        let offset = frame * (Micros::from(self.index) % fleet) / fleet;
+        from + (offset - from).rem_euclid(frame.max(1))
     }
 
-    /// The first frame of a fleet: as long as its calls may take a discovery of which nothing is known.
+    /// Initial frame of a fleet, used while discovery's capacity is unknown.
     pub fn first_frame(self) -> Micros {
-        (EACH * Micros::from(self.fleet.saturating_sub(1))).min(FRAME_FIRST)
+        (FIRST_FRAME_US_PER_PROXY * Micros::from(self.fleet.saturating_sub(1))).min(MAX_FIRST_FRAME_US)
     }
 }
 
-/// What is known of calls that fail in a row.
+/// State of a run of consecutive failed calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Failures {
-    /// How many, not counting those that never left our own machine.
+    /// Number of failures, without those of [`Failure::Local`].
     pub count: u32,
-    /// The first one's time.
+    /// Time of the first failure.
     since: Option<Micros>,
 }
 
 impl Failures {
-    /// One more, at `now`.
+    /// Adds a failure at `now`.
     pub fn add(&mut self, now: Micros) {
         self.count = self.count.saturating_add(1);
         self.since.get_or_insert(now);
     }
 
-    /// For how long calls have failed, and more than that after a long time.
+    /// Time for which calls have failed; grows with its square beyond [`LONG_OUTAGE_US`].
     pub fn age(&self, now: Micros) -> Micros {
-        let age = self.since.map_or(0, |since| (now - since).clamp(0, AGE_MOST));
-        if age <= LONG { age } else { age / 1_000 * (age / 1_000) / (LONG / 1_000) * 1_000 }
+        let age = self.since.map_or(0, |since| (now - since).clamp(0, MAX_AGE_US));
+        if age <= LONG_OUTAGE_US { age } else { age / 1_000 * (age / 1_000) / (LONG_OUTAGE_US / 1_000) * 1_000 }
     }
 
-    /// An answer has come, or discovery could not be reached meanwhile: what failed before tells nothing any more.
-    pub fn forget(&mut self) {
+    /// Resets the state, when an answer has arrived or discovery was unreachable: earlier failures then say nothing about
+    /// discovery's load.
+    pub fn reset(&mut self) {
         *self = Failures::default();
     }
 
-    /// Whether they may be faults of single calls, which say nothing of how much discovery has to do.
-    pub fn early(&self) -> bool {
-        self.count <= EARLY
+    /// Whether the failures may be faults of single calls, which say nothing about discovery's load.
+    pub fn are_early(&self) -> bool {
+        self.count <= MAX_EARLY_FAILURES
     }
 
-    /// The frame within which each proxy of a fleet calls once, where calls have failed for this long.
-    pub fn frame(&self, place: Place, now: Micros, queued: bool) -> Micros {
-        let share = if queued { SHARE_QUEUED } else { SHARE };
-        let bearable = (self.age(now) / share).min(FRAME_MOST);
-        let mut frame = place.first_frame().max(FRAME_LEAST);
-        // Doubled, so that proxies whose calls have failed for some different time have frames that fit into each other.
-        while frame * 2 <= bearable {
+    /// Frame within which each proxy of the fleet calls once, given the time for which calls have failed.
+    pub fn frame(&self, position: FleetPosition, now: Micros, was_queued: bool) -> Micros {
+        let divisor = if was_queued { QUEUED_FRAME_AGE_DIVISOR } else { FRAME_AGE_DIVISOR };
+        let max_frame = (self.age(now) / divisor).min(MAX_FRAME_US);
+        let mut frame = position.first_frame().max(MIN_FRAME_US);
+        // Powers of two keep the frames of proxies aligned whose calls began to fail at different times.
+        while frame * 2 <= max_frame {
             frame *= 2;
         }
         frame
     }
 
-    /// The least pause where lists are pushed, which grows as frames do.
-    pub fn pause_pushed(&self, now: Micros) -> Micros {
-        (self.age(now) / SHARE_PUSHED).min(FRAME_MOST)
+    /// Minimum pause between calls where lists are pushed; it grows like the frame.
+    pub fn min_pushed_pause(&self, now: Micros) -> Micros {
+        (self.age(now) / PUSHED_PAUSE_AGE_DIVISOR).min(MAX_FRAME_US)
     }
 }
 
-/// Whether a call refused after `took` has waited for something, where a connection came up in `dial`.
-pub fn queued(took: Micros, dial: Micros) -> bool {
-    took_over(QUEUED, took, dial)
+/// Whether a call that was refused after `took` has waited in a queue; `dial` is the time that the connection took to
+/// establish.
+pub fn was_queued(took: Micros, dial: Micros) -> bool {
+    took_longer(QUEUED_REFUSAL_US, took, dial)
 }
 
-/// A frame that fits into what is left of a lease, with time for one more call behind it; a first frame where that is too late.
-pub fn frame_within(place: Place, left: Micros) -> Micros {
-    let first = place.first_frame().max(FRAME_LEAST);
-    if left / 2 < FRAME_LEAST { first } else { first.min(left / 2) }
+/// A frame that fits into the remaining time of a lease and leaves time for one more call; the initial frame if too little
+/// time remains.
+pub fn frame_within(position: FleetPosition, remaining: Micros) -> Micros {
+    let first = position.first_frame().max(MIN_FRAME_US);
+    if remaining / 2 < MIN_FRAME_US { first } else { first.min(remaining / 2) }
 }
 
-/// Whether a call refused after `took` leaves in doubt that discovery was reached. Danger: a slow way makes each answer late, so
-/// this takes far longer than what shows that a call has waited.
-pub fn doubtful(took: Micros, dial: Micros) -> bool {
-    took_over(DOUBTFUL, took, dial)
+/// Whether it is in doubt that a call which was refused after `took` has reached discovery.
+///
+/// Danger: a slow path delays every answer, so an overloaded discovery could be taken for an unreachable one. The threshold
+/// is therefore far higher than that for having waited in a queue.
+pub fn may_be_unreachable(took: Micros, dial: Micros) -> bool {
+    took_longer(DOUBTFUL_REFUSAL_US, took, dial)
 }
 
-/// Whether an answer took longer than `least` beyond its way there and back.
-fn took_over(least: Micros, took: Micros, dial: Micros) -> bool {
-    took > least + DIALS * dial
+/// Whether an answer took longer than `least` beyond its round trip.
+fn took_longer(min_us: Micros, took: Micros, dial: Micros) -> bool {
+    took > min_us + DIALS_PER_ANSWER * dial
 }
--- a/crates/flintwell-list-watch/src/lease.rs
+++ b/crates/flintwell-list-watch/src/lease.rs
@@ -1,51 +1,56 @@
-//! Until when a list may be acted on.
+//! Until when a list may be used.
 //!
-//! A list is a lease. What discovery has and could tell counts as told [`TOLD`] later, whether or not it arrived. So whoever
-//! vouches for a list does so for that long, from the moment at which it was surely not older than discovery's own state. That
-//! moment is never when the list was received, read from a file, or when the process began.
+//! A list is held under a lease. A change at discovery takes effect [`MAX_PROPAGATION_US`] after discovery has it and can be reached,
+//! whether or not the proxy has received it. So a list may be used for that long from the last moment at which it was
+//! certainly as recent as discovery's own state. That moment is never when the list was received or read from a file, or
+//! when the process started.
 
 use crate::Micros;
 
-/// From when discovery has a change and can be reached until it counts as told. Source: the operators' terms.
-pub const TOLD: Micros = 6_000_000;
+/// Time from when discovery has a change and can be reached until the change takes effect for every proxy. Specified by the
+/// operators.
+pub const MAX_PROPAGATION_US: Micros = 6_000_000;
 
-/// On whose word the list in hand may be acted on.
+/// Why the current list may be used. The variants' names appear in the list status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// Nobody's: its age is not known.
+    /// It may not: its age is unknown.
     Unconfirmed,
-    /// An earlier process of this proxy had it confirmed, and left it with its age.
+    /// An earlier process of this proxy had it confirmed and stored it with its age.
     Kept,
-    /// Discovery has answered.
+    /// Discovery answered.
     Answer,
-    /// No connection to discovery came up, so nothing that it has counts.
+    /// No connection to discovery could be established, so changes there do not take effect yet.
     Unreachable,
-    /// Discovery refused after some time, as one that is down behind a balancer does.
+    /// A call was refused after a while, as by a load balancer whose discovery is down.
     LateRefusal,
 }
 
-/// The lease on the list in hand. What discovery changes after `renewed_at` may be unknown to us, and counts from the lease's
-/// end on; the grace of a drain comes on top and is left for what is under way then.
+/// The lease on the current list. Changes at discovery after `renewed_at` may be unknown to this proxy and take effect from
+/// the lease's end on; the grace of a drain comes on top and is left to requests in flight.
 ///
-/// A refusal after some time is in doubt: a discovery that is down behind a balancer says so, and so does one that has too many
-/// callers. It puts off the lease's end by [`TOLD`] at most, however many there are, so a short outage stops nothing.
+/// A refusal after a while is ambiguous: it may come from a load balancer whose discovery is down, or from an overloaded
+/// discovery. Such refusals extend the lease by at most [`MAX_PROPAGATION_US`] in total, so that a short outage does not stop traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// When discovery's state was known, or it could surely not be reached; none for a list of unknown age.
+    /// When the list was last known to be as recent as discovery's state, or discovery was certainly unreachable; `None` for
+    /// a list of unknown age.
     confirmed_at: Option<Micros>,
-    /// None: the list was never in force.
+    /// Start of the current lease; `None` if the list was never valid.
     renewed_at: Option<Micros>,
     basis: Basis,
 }
 
 impl Lease {
-    /// Of a process that begins with a list of unknown age. Danger: it is as old as the process was dead at least, and
-    /// what has changed meanwhile may count from its first moment on.
+    /// Lease of a process that starts with a list of unknown age.
+    ///
+    /// Danger: the list is at least as old as the process was down, and changes made meanwhile may already be in effect when
+    /// it starts. Such a list is therefore not valid before discovery confirms it.
     pub fn unconfirmed() -> Self {
         Lease { confirmed_at: None, renewed_at: None, basis: Basis::Unconfirmed }
     }
 
-    /// Of a process that begins at `now` with a list that was confirmed at `confirmed_at`, before it began.
+    /// Lease of a process that starts at `now` with a list that an earlier process had confirmed at `confirmed_at`.
     pub fn kept(now: Micros, confirmed_at: Micros) -> Self {
         if confirmed_at > now {
             return Lease::unconfirmed();
@@ -54,17 +59,17 @@
         Lease { confirmed_at, renewed_at: confirmed_at, basis: Basis::Kept }
     }
 
-    /// Discovery's state as of `at` is known, or discovery could not be reached at `at`.
+    /// Renews the lease from `at`, when discovery's state was known or discovery was certainly unreachable.
     pub fn renew(&mut self, at: Micros, basis: Basis) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
         self.renew_from(at, basis);
     }
 
-    /// Discovery may not have been reached at `at`.
-    pub fn renew_in_doubt(&mut self, at: Micros) {
-        // Danger: nobody knows how old a list is that was never confirmed.
+    /// Renews the lease from `at`, when discovery may have been unreachable.
+    pub fn renew_if_unreachable(&mut self, at: Micros) {
+        // Danger: the age of a list that was never confirmed is unknown, so an ambiguous refusal must not make it valid.
         if let Some(confirmed_at) = self.confirmed_at {
-            self.renew_from(at.min(confirmed_at + TOLD), Basis::LateRefusal);
+            self.renew_from(at.min(confirmed_at + MAX_PROPAGATION_US), Basis::LateRefusal);
         }
     }
 
@@ -74,27 +79,27 @@
         }
     }
 
-    /// On whose word it was renewed last.
+    /// Why the lease was last renewed.
     pub fn basis(self) -> Basis {
         self.basis
     }
 
-    /// When the list was surely not older than discovery's own state; none if that is not known.
+    /// When the list was last certainly as recent as discovery's state; `None` if unknown.
     pub fn confirmed_at(self) -> Option<Micros> {
         self.confirmed_at
     }
 
-    /// From when on nothing may be sent by this list; none if nothing ever might.
+    /// When the lease expires; `None` if the list was never valid.
     pub fn ends_at(self) -> Option<Micros> {
-        self.renewed_at.map(|renewed_at| renewed_at + TOLD)
+        self.renewed_at.map(|renewed_at| renewed_at + MAX_PROPAGATION_US)
     }
 
-    /// How much is left of it at `now`; not positive once it is over, or where it never held.
+    /// Time until the lease expires; zero or negative once it has expired or if the list was never valid.
     pub fn left(self, now: Micros) -> Micros {
         self.ends_at().map_or(0, |ends_at| ends_at - now)
     }
 
-    /// Whether a request may be sent by this list now.
+    /// Whether requests may be sent by this list now.
     pub fn holds(self, now: Micros) -> bool {
         self.left(now) > 0
     }
--- a/crates/flintwell-list-watch/src/lib.rs
+++ b/crates/flintwell-list-watch/src/lib.rs
@@ -1,10 +1,10 @@
-//! The watch of the server list as one proxy of many keeps it: when discovery is called, how long an answer is waited for, and
-//! for how long a list may be acted on. No I/O and no clock; times are whole microseconds of whoever drives it.
+//! One proxy's watch of the server list: when to call discovery, how long to wait for an answer, and how long a list may be
+//! used. No I/O and no clock; times are whole microseconds on the caller's clock.
 //!
-//! - [`lease`]: until when a list may be acted on.
-//! - [`backoff`]: when to call again, so that a fleet of any size settles below what discovery can do.
-//! - [`starts`]: when each server started, by our own clock.
-//! - [`watch`]: one proxy's calls, which put both together.
+//! - [`lease`]: until when a list may be used.
+//! - [`backoff`]: when to call again, so that the call rate of a fleet of any size settles below discovery's capacity.
+//! - [`starts`]: when each server started, by this process's clock.
+//! - [`watch`]: the calls of one proxy, which combine the lease and the backoff.
 
 pub mod backoff;
 pub mod lease;
@@ -12,9 +12,9 @@
 pub mod watch;
 
 pub use backoff::Failure;
-pub use lease::{Basis, Lease, TOLD};
+pub use lease::{Basis, Lease, MAX_PROPAGATION_US};
 pub use starts::Starts;
 pub use watch::{Call, Figures, Watch};
 
-/// Whole microseconds: an instant, or a span.
+/// Whole microseconds: an instant or a duration.
 pub type Micros = i64;
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -1,53 +1,54 @@
 //! One proxy's calls for the list.
 //!
-//! No two answers may lie further apart than a lease lasts while discovery can be reached: the wait of a watch, the doubt past
-//! it and the calls that make good for it fit into it together.
+//! While discovery can be reached, consecutive answers must not lie further apart than a lease lasts. So the wait of a watch,
+//! the margin after it and the calls that replace a lost one fit together into a lease.
 
 use crate::Micros;
-use crate::backoff::{Failure, Failures, Place, doubtful, frame_within, queued};
+use crate::backoff::{Failure, Failures, FleetPosition, may_be_unreachable, frame_within, was_queued};
 use crate::lease::{Basis, Lease};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const WAIT: Micros = 2_200_000; // us; the least wait; a call that goes on with a watch costs discovery next to nothing
-const WAIT_MOST: Micros = 3_200_000; // us; the most: with doubt and two calls more it fits into what is allowed
-const LATE: Micros = 300_000; // us; past its wait an answer counts as lost. Ends of waits come within milliseconds
-const CATCH_UP: Micros = 1_000; // us; the wait of a call after a failure: its answer tells that we miss nothing
-const PATIENCE: Micros = 2_000_000; // us; for an answer that waits for nothing
-const PATIENCE_LEAST: Micros = 800_000; // us; the same just after a watch fell silent, whose answer may be lost as well
-const PATIENCE_MOST: Micros = 32_000_000; // us; more than a discovery takes that serves the fleet once in 30 s
-const PATIENCE_SHARE: Micros = 10; // patience is at least this part of the time for which calls have failed
-const FIRST_CALL_FRAME: Micros = 1_000_000; // us; the most over which processes that start as one call first
-const AGAIN: Micros = 50_000; // us; the least pause after a connection that did not come up, or a second silence
-const AGAIN_MOST: Micros = 400_000; // us; the longest: a discovery that returns is noticed so soon
-const UNREACHABLE: Micros = 800_000; // us; tries that fail for so long are no fault of a moment
-const LOCAL: Micros = 20_000; // us; the least pause after a fault of our own system
-const LOCAL_MOST: Micros = 100_000; // us; the longest
-const PUSHED_LEAST: Micros = 20_000; // us; where lists are pushed: between calls, however short the grace
-const PUSHED_MOST: Micros = 250_000; // us; the same at most, of the first calls
-
-/// What the settings tell of discovery.
+const MIN_WAIT_US: Micros = 2_200_000; // a call that continues a watch costs discovery next to nothing
+const MAX_WAIT_US: Micros = 3_200_000; // with the margin and two more calls it fits into a lease
+const WAIT_MARGIN_US: Micros = 300_000; // past its wait an answer counts as lost; the answers that end a wait arrive within milliseconds
+const CATCH_UP_WAIT_US: Micros = 1_000; // wait of a call after a failure; an immediate answer shows that no change was missed
+const CALL_TIMEOUT_US: Micros = 2_000_000; // for an answer that is due at once
+const MIN_CALL_TIMEOUT_US: Micros = 800_000; // right after an unanswered watch, since this answer may be lost as well
+const MAX_CALL_TIMEOUT_US: Micros = 32_000_000; // more than a discovery takes that needs 30 s to serve the fleet once
+const TIMEOUT_AGE_DIVISOR: Micros = 10; // the time limit is at least the time for which calls have failed divided by this
+const MAX_FIRST_CALL_FRAME_US: Micros = 1_000_000; // over which the first calls of processes that start together are spread
+const MIN_RETRY_PAUSE_US: Micros = 50_000; // after a failed connection attempt or a second unanswered call
+const MAX_RETRY_PAUSE_US: Micros = 400_000; // bounds the time until the return of discovery is noticed
+const UNREACHABLE_AFTER_US: Micros = 800_000; // attempts that fail for this long are no momentary fault
+const MIN_LOCAL_RETRY_PAUSE_US: Micros = 20_000; // after a fault of this host
+const MAX_LOCAL_RETRY_PAUSE_US: Micros = 100_000;
+const MIN_PUSHED_PAUSE_US: Micros = 20_000; // between calls where lists are pushed, however short the drain grace
+const MAX_PUSHED_PAUSE_US: Micros = 250_000; // the same, for the first calls after a failure
+
+/// Settings of the list watch.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// Lists come by themselves: what discovery has counts as told whether or not a watch is open.
+    /// Whether discovery pushes lists: then changes take effect whether or not a watch is open.
     pub pushed: bool,
-    /// How many proxies call the same discovery, and which of them we are, from 0.
+    /// Number of proxies that call the same discovery.
     pub fleet: u32,
+    /// Index of this proxy among them, from 0.
     pub index: u32,
-    /// From when a drain counts as told until nothing new may go there.
+    /// Time from when a drain takes effect until no new request may be sent to the node.
     pub grace: Micros,
 }
 
-/// A call of discovery.
+/// Parameters of a call of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// How long discovery may wait for something new.
+    /// How long discovery may hold the call until there is a change.
     pub wait: Micros,
-    /// From now on, within which an answer has to come.
+    /// Time limit for the answer, from the start of the call.
     pub within: Micros,
 }
 
-/// The watch of the list.
+/// The list watch of one proxy. Its methods report events; those that return a time tell when to act next.
 pub struct Watch {
     figures: Figures,
     rng: ChaCha8Rng,
@@ -55,17 +56,17 @@
     failures: Failures,
     last_failure: Option<Failure>,
     called_at: Micros,
-    tried_at: Micros,
-    /// How long the last connection took to come up.
+    connecting_since: Micros,
+    /// How long the last connection took to establish.
     dial: Micros,
-    /// Something may have been missed since the last answer.
-    doubt: bool,
-    /// Since when no connection has come up.
+    /// Whether a change may have been missed since the last answer.
+    may_have_missed_change: bool,
+    /// Since when no connection could be established.
     unreachable_since: Option<Micros>,
 }
 
 impl Watch {
-    /// Of a process that begins at `now` with a list under this lease.
+    /// Creates the watch of a process that starts at `now` with a list under this lease.
     pub fn new(now: Micros, figures: Figures, lease: Lease, seed: u64) -> Self {
         Watch {
             figures,
@@ -74,165 +75,175 @@
             failures: Failures::default(),
             last_failure: None,
             called_at: now,
-            tried_at: now,
+            connecting_since: now,
             dial: 0,
-            doubt: false,
+            may_have_missed_change: false,
             unreachable_since: None,
         }
     }
 
-    /// The settings have this grace from now on.
+    /// Sets the drain grace after a change of the settings.
     pub fn grants(&mut self, grace: Micros) {
         self.figures.grace = grace;
     }
 
-    /// For how long the list in hand may be acted on.
+    /// Lease on the current list.
     pub fn lease(&self) -> Lease {
         self.lease
     }
 
-    /// When the first call is due, of a process that begins now. Danger: a process may restart alone, and waits for this call;
-    /// where a whole fleet starts as one, discovery refuses what it has no room for, and frames grow by that.
+    /// When the first call of a process that starts at `now` is due.
+    ///
+    /// Danger: a process that restarts alone cannot serve before this call, so the call must not be delayed by the size of
+    /// the fleet. If a whole fleet starts together, discovery refuses what exceeds its capacity, and the frames grow.
     pub fn first(&self, now: Micros) -> Micros {
-        let frame = self.place().first_frame().min(FIRST_CALL_FRAME);
-        if self.figures.pushed || frame == 0 { now } else { self.place().slot(now, frame) }
+        let frame = self.position().first_frame().min(MAX_FIRST_CALL_FRAME_US);
+        if self.figures.pushed || frame == 0 { now } else { self.position().slot(now, frame) }
     }
 
-    /// When a call is due that all proxies may have to make now: at a new place, or after an outage.
+    /// When a call is due that all proxies may have to make now, after a change of address or an outage.
     pub fn slot(&self, now: Micros) -> Micros {
-        // Danger: a fleet that starts as one, or that sees discovery return, would call as one.
-        let first = self.place().first_frame();
-        if self.figures.pushed || first == 0 { now } else { self.slot_within(now).min(now + first) }
+        // Danger: the proxies of a fleet that start together, or see discovery return, would all call at the same time.
+        let first = self.position().first_frame();
+        if self.figures.pushed || first == 0 { now } else { self.slot_within_lease(now).min(now + first) }
     }
 
-    /// A connection to discovery is tried from now on.
+    /// An attempt to connect to discovery begins.
     pub fn connects(&mut self, now: Micros) {
-        self.tried_at = now;
+        self.connecting_since = now;
     }
 
-    /// That connection is up; when the call may be written to it.
+    /// The connection is established. Returns when the call may be sent on it.
     pub fn connected(&mut self, now: Micros) -> Micros {
-        self.dial = (now - self.tried_at).max(0);
+        self.dial = (now - self.connecting_since).max(0);
         if self.unreachable_since.take().is_some() { self.slot(now) } else { now }
     }
 
-    /// Discovery is called now. `whole`: for the whole list, which waits for nothing.
+    /// A call begins. `whole` asks for the whole list, which is answered at once.
     pub fn call(&mut self, now: Micros, whole: bool) -> Call {
         self.called_at = now;
-        // Danger: after a standstill of ours an answer vouches for a time long past, and a watch would outlast the lease.
-        let outlasts = self.lease.left(now) <= WAIT_MOST + LATE;
-        if !self.doubt && !whole && !outlasts {
-            // Danger: what a watch misses that falls silent is not known before its wait is over, and counts meanwhile; and
-            // waits of one length end as one where they began as one, after a change or a start.
-            let wait = self.rng.random_range(WAIT..=WAIT_MOST);
-            return Call { wait, within: wait + LATE };
+        // Danger: after a pause of this process, the last answer renewed the lease only from a time long past, and a watch
+        // would outlast it.
+        let would_outlast_lease = self.lease.left(now) <= MAX_WAIT_US + WAIT_MARGIN_US;
+        if !self.may_have_missed_change && !whole && !would_outlast_lease {
+            // Danger: if a watch loses its answer, this is not noticed before the wait is over, while changes take effect. And
+            // waits of equal length that begin together, after a change or a start, would also end together.
+            let wait = self.rng.random_range(MIN_WAIT_US..=MAX_WAIT_US);
+            return Call { wait, within: wait + WAIT_MARGIN_US };
         }
         let within = match (self.failures.count, self.last_failure) {
-            // This one may be lost as well, so there has to be time for another.
-            (1, Some(Failure::Silent)) => (self.lease.left(now) / 2).clamp(PATIENCE_LEAST, PATIENCE),
-            // Danger: whoever leaves a busy discovery's queue before its turn has cost it a call and has nothing. Patience that
-            // shrank as the list grew older ended below the wait of a full queue, and a whole fleet was never told again.
-            _ => (self.failures.age(now) / PATIENCE_SHARE).clamp(PATIENCE, PATIENCE_MOST),
+            // This call may be lost as well, so the lease must leave time for another.
+            (1, Some(Failure::Silent)) => (self.lease.left(now) / 2).clamp(MIN_CALL_TIMEOUT_US, CALL_TIMEOUT_US),
+            // Danger: a caller that leaves the queue of a busy discovery early has cost it a call and got nothing. A time limit
+            // that shrank with the age of the list fell below the wait in a full queue, and no proxy was ever answered again.
+            _ => (self.failures.age(now) / TIMEOUT_AGE_DIVISOR).clamp(CALL_TIMEOUT_US, MAX_CALL_TIMEOUT_US),
         };
-        Call { wait: CATCH_UP, within }
+        Call { wait: CATCH_UP_WAIT_US, within }
     }
 
-    /// An answer has come and told all that discovery had at `as_of`, which is no earlier than its call.
+    /// The call was answered with discovery's state as of `as_of` or, if that is later, as of the start of the call.
     pub fn answered(&mut self, as_of: Micros) {
         self.lease.renew(as_of.max(self.called_at), Basis::Answer);
-        self.well();
+        self.reset_failures();
     }
 
-    /// The same of a call whose time was up before; nothing is known of when it was made.
+    /// A call past its time limit was answered. Its start is no longer known, so only `as_of` counts.
     pub fn answered_late(&mut self, as_of: Micros) {
         self.lease.renew(as_of, Basis::Answer);
-        self.well();
+        self.reset_failures();
     }
 
-    /// The call has failed at `now`; when to call next.
+    /// The call failed at `now`. Returns when to call next.
     pub fn failed(&mut self, now: Micros, failure: Failure) -> Micros {
         if failure == Failure::Local {
-            return now + self.rng.random_range(LOCAL..=LOCAL_MOST);
+            return now + self.rng.random_range(MIN_LOCAL_RETRY_PAUSE_US..=MAX_LOCAL_RETRY_PAUSE_US);
         }
-        self.doubt = true;
+        self.may_have_missed_change = true;
         if failure == Failure::Unreachable {
             return self.unreachable(now);
         }
         let (refused, took) = (failure == Failure::Refused, now - self.called_at);
-        let waited = refused && queued(took, self.dial);
-        if refused && doubtful(took, self.dial) {
-            self.lease.renew_in_doubt(self.called_at);
+        let waited = refused && was_queued(took, self.dial);
+        if refused && may_be_unreachable(took, self.dial) {
+            self.lease.renew_if_unreachable(self.called_at);
         }
         self.failures.add(now);
         self.last_failure = Some(failure);
         if self.figures.pushed {
-            return now + self.pause_pushed(now);
+            return now + self.pushed_pause(now);
         }
         match (self.failures.count, failure) {
-            // A watch that fell silent: waits were drawn, so the fleet's do not end as one.
+            // An unanswered watch: waits are random, so those of a fleet do not end together.
             (1, Failure::Silent) => now,
-            // And the call that made good for it, of which the same holds.
-            (2, Failure::Silent) => now + self.rng.random_range(AGAIN..=AGAIN_MOST),
-            // Danger: what ended this call may have ended those of a whole fleet, which then would call as one.
-            _ if self.failures.early() => self.slot_within(now),
-            // Danger: a discovery that refuses for having too many callers spends itself on those that come again at once.
+            // The call that replaced it, for which the same holds.
+            (2, Failure::Silent) => now + self.rng.random_range(MIN_RETRY_PAUSE_US..=MAX_RETRY_PAUSE_US),
+            // Danger: the fault that ended this call may have ended those of the whole fleet, which would all call again at
+            // the same time.
+            _ if self.failures.are_early() => self.slot_within_lease(now),
+            // Danger: an overloaded discovery would spend its capacity on refusing calls that are retried at once.
             _ => {
-                let frame = self.failures.frame(self.place(), now, waited);
-                self.place().slot(now.max(self.called_at + frame / 2), frame)
+                let frame = self.failures.frame(self.position(), now, waited);
+                self.position().slot(now.max(self.called_at + frame / 2), frame)
             }
         }
     }
 
-    /// Discovery is elsewhere from now on, and nothing has failed there yet. Danger: the move tells nothing of the list, which
-    /// stays as old as it is.
+    /// Discovery has a new address, where no call has failed yet.
+    ///
+    /// Danger: the new address says nothing about the age of the list, so the lease must not be renewed.
     pub fn moved(&mut self) {
         self.unreachable_since = None;
-        self.well();
+        self.reset_failures();
     }
 
-    /// No connection came up by `now`; when to try again.
+    /// A connection attempt failed at `now`. Returns when to try again.
     fn unreachable(&mut self, now: Micros) -> Micros {
-        let since = *self.unreachable_since.get_or_insert(self.tried_at);
-        // Danger: a connection may fail for a moment while discovery is there, and what it has counts meanwhile.
-        if now - since >= UNREACHABLE {
-            // Discovery could not be reached when this try began, so nothing that it had by then counts yet.
-            self.lease.renew(self.tried_at, Basis::Unreachable);
+        let since = *self.unreachable_since.get_or_insert(self.connecting_since);
+        // Danger: an attempt may fail because of a momentary fault while discovery is reachable and its changes take effect.
+        // So the lease is renewed only after attempts have failed for some time.
+        if now - since >= UNREACHABLE_AFTER_US {
+            // Discovery was unreachable when this attempt began, so its changes until then have not taken effect.
+            self.lease.renew(self.connecting_since, Basis::Unreachable);
         }
-        self.failures.forget();
+        self.failures.reset();
         self.last_failure = None;
-        now + self.pause_unreachable()
+        now + self.unreachable_pause()
     }
 
-    fn well(&mut self) {
-        self.failures.forget();
+    /// Resets the failure state.
+    fn reset_failures(&mut self) {
+        self.failures.reset();
         self.last_failure = None;
-        self.doubt = false;
+        self.may_have_missed_change = false;
     }
 
-    fn place(&self) -> Place {
-        Place { index: self.figures.index, fleet: self.figures.fleet }
+    fn position(&self) -> FleetPosition {
+        FleetPosition { index: self.figures.index, fleet: self.figures.fleet }
     }
 
-    /// Our slot within what is left of the lease.
-    fn slot_within(&self, now: Micros) -> Micros {
-        self.place().slot(now, frame_within(self.place(), self.lease.left(now)))
+    /// The next slot of this proxy, in a frame that fits into the remaining time of the lease.
+    fn slot_within_lease(&self, now: Micros) -> Micros {
+        self.position().slot(now, frame_within(self.position(), self.lease.left(now)))
     }
 
-    fn pause_unreachable(&mut self) -> Micros {
-        let most = if self.figures.pushed { self.pushed_most() } else { AGAIN_MOST };
-        self.rng.random_range(AGAIN.min(most / 2)..=most)
+    fn unreachable_pause(&mut self) -> Micros {
+        let max_pause = if self.figures.pushed { self.max_initial_pushed_pause() } else { MAX_RETRY_PAUSE_US };
+        self.rng.random_range(MIN_RETRY_PAUSE_US.min(max_pause / 2)..=max_pause)
     }
 
-    fn pushed_most(&self) -> Micros {
-        (self.figures.grace / 2).clamp(PUSHED_LEAST, PUSHED_MOST)
+    fn max_initial_pushed_pause(&self) -> Micros {
+        (self.figures.grace / 2).clamp(MIN_PUSHED_PAUSE_US, MAX_PUSHED_PAUSE_US)
     }
 
-    /// Danger: where lists are pushed, what discovery gets at its return counts at once, with nobody watching.
-    fn pause_pushed(&mut self, now: Micros) -> Micros {
+    /// Pause before the next call where lists are pushed; the first retry is immediate.
+    ///
+    /// Danger: changes that a returning discovery receives take effect at once, although no watch is open, so pauses are
+    /// bounded by the drain grace at first.
+    fn pushed_pause(&mut self, now: Micros) -> Micros {
         if self.failures.count == 1 {
             return 0;
         }
-        let most = self.pushed_most().max(self.failures.pause_pushed(now));
-        self.rng.random_range(most / 2..=most)
+        let max_pause = self.max_initial_pushed_pause().max(self.failures.min_pushed_pause(now));
+        self.rng.random_range(max_pause / 2..=max_pause)
     }
 }
--- a/crates/flintwell-list-watch/tests/fleet.rs
+++ b/crates/flintwell-list-watch/tests/fleet.rs
@@ -1,26 +1,27 @@
-//! A fleet in virtual time whose watches all fall silent at once, before a discovery that takes calls in turn.
+//! A fleet in virtual time whose open watches all lose their answers at once, before a discovery that processes calls in turn.
 
-use flintwell_list_watch::{Failure, Figures, Lease, Micros, TOLD, Watch};
+use flintwell_list_watch::{Failure, Figures, Lease, Micros, MAX_PROPAGATION_US, Watch};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-const S: Micros = 1_000_000; // us in a second
-const GRACE: Micros = 300_000; // us; of a drain
-const SILENT: Micros = 8 * S; // all watches that are open then say nothing more
-const CHANGE: Micros = SILENT + 1; // what they miss; the earlier it comes, the sooner it counts
-const GOES_ON: Micros = 20; // calls that go on with a watch cost discovery what one new call does; at least as many on the bench
+const S: Micros = 1_000_000; // microseconds in a second
+const GRACE: Micros = 300_000; // of a drain
+const LOSS_AT: Micros = 8 * S; // all watches that are open then stay unanswered
+const CHANGE_AT: Micros = LOSS_AT + 1; // the change that they miss; the earlier it comes, the sooner it takes effect
+const CONTINUED_CALLS_PER_NEW_CALL: Micros = 20; // at the same cost for discovery; at least as many on the benchmark
 
+/// Faults after the watches were lost.
 #[derive(Clone, Copy)]
-struct Trouble {
-    /// The next calls after a silence are silent as well, this many each.
+struct Faults {
+    /// Number of each proxy's next calls that stay unanswered as well.
     silent: u32,
-    /// Discovery refuses all within so long of the first call after the silence.
+    /// How long discovery refuses all calls from the first call after the loss on.
     down: Micros,
 }
 
-/// How often each proxy called a minute, and how many had the change later than it counts as told.
-fn plays(pushed: bool, fleet: u32, each: Micros, trouble: Trouble, seed: u64) -> (f64, usize) {
+/// Runs the fleet; returns the calls per proxy and minute, and how many proxies got the change after it had taken effect.
+fn simulate(pushed: bool, fleet: u32, time_per_new_call: Micros, faults_after: Faults, seed: u64) -> (f64, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (mut busy_until, mut calls, mut late, mut down_from) = (0, 0, 0, Micros::MAX);
     let mut watches: Vec<Watch> = (0..fleet)
@@ -33,81 +34,82 @@
             )
         })
         .collect();
-    // When each calls next, by time, and whether it goes on with a watch; which calls are lost; until when it may not know.
+    // Next call of each proxy, by time, and whether it continues a watch; number of its lost calls; whether it knows the
+    // change, if its watch was lost.
     let mut due: BTreeSet<(Micros, usize, bool)> =
         (0..watches.len()).map(|n| (rng.random_range(0..3 * S), n, false)).collect();
     let mut lost = vec![0; watches.len()];
-    let mut knows = vec![None; watches.len()];
-    while let Some((now, n, goes_on)) = due.pop_first() {
-        if now > SILENT + 40 * S {
+    let mut knows_change = vec![None; watches.len()];
+    while let Some((now, n, continues_watch)) = due.pop_first() {
+        if now > LOSS_AT + 40 * S {
             break;
         }
         calls += 1;
         let watch = &mut watches[n];
         let call = watch.call(now, false);
-        if knows[n].is_none() && now < SILENT && now + call.wait > SILENT {
-            knows[n] = Some(false);
+        if knows_change[n].is_none() && now < LOSS_AT && now + call.wait > LOSS_AT {
+            knows_change[n] = Some(false);
             let ends = now + call.within;
-            assert_eq!(watch.failed(ends, Failure::Silent), ends, "at once");
+            assert_eq!(watch.failed(ends, Failure::Silent), ends, "retried at once");
             due.insert((ends, n, false));
             continue;
         }
-        if lost[n] < trouble.silent && knows[n] == Some(false) {
+        if lost[n] < faults_after.silent && knows_change[n] == Some(false) {
             lost[n] += 1;
             due.insert((watch.failed(now + call.within, Failure::Silent).max(now + 1), n, false));
             continue;
         }
-        down_from = down_from.min(if knows[n].is_some() { now } else { Micros::MAX });
-        if now >= down_from && now < down_from + trouble.down {
+        down_from = down_from.min(if knows_change[n].is_some() { now } else { Micros::MAX });
+        if now >= down_from && now < down_from + faults_after.down {
             due.insert((watch.failed(now, Failure::Refused).max(now + 1_000), n, false));
             continue;
         }
-        // Its turn.
-        busy_until = now.max(busy_until) + if goes_on { each / GOES_ON } else { each };
+        // Discovery processes the call when its turn comes.
+        busy_until = now.max(busy_until) + if continues_watch { time_per_new_call / CONTINUED_CALLS_PER_NEW_CALL } else { time_per_new_call };
         if busy_until - now > call.within {
             due.insert((watch.failed(now + call.within, Failure::Silent).max(now + 1), n, false));
             continue;
         }
-        let news = knows[n] == Some(false) && busy_until > CHANGE;
-        let answered = if news { busy_until } else { busy_until.max(now + call.wait) };
+        let tells_change = knows_change[n] == Some(false) && busy_until > CHANGE_AT;
+        let answered = if tells_change { busy_until } else { busy_until.max(now + call.wait) };
         watch.answered(answered);
-        if news {
-            late += usize::from(answered > CHANGE + TOLD + GRACE);
-            knows[n] = Some(true);
+        if tells_change {
+            late += usize::from(answered > CHANGE_AT + MAX_PROPAGATION_US + GRACE);
+            knows_change[n] = Some(true);
         }
         due.insert((answered, n, true));
     }
-    late += knows.iter().filter(|knows| **knows == Some(false)).count();
-    (calls as f64 / f64::from(fleet) / (SILENT + 40 * S) as f64 * 60.0 * S as f64, late)
+    late += knows_change.iter().filter(|knows_change| **knows_change == Some(false)).count();
+    (calls as f64 / f64::from(fleet) / (LOSS_AT + 40 * S) as f64 * 60.0 * S as f64, late)
 }
 
-/// A discovery that can take one new call from each proxy within so long.
-fn all(fleet: u32, within: Micros) -> Micros {
+/// Processing time per call of a discovery that can answer one new call of each proxy within this time.
+fn time_per_call(fleet: u32, within: Micros) -> Micros {
     within / Micros::from(fleet)
 }
 
 #[test]
-fn all_watches_silent_at_once_are_made_good_before_what_they_missed_counts() {
-    let calm = Trouble { silent: 0, down: 0 };
+fn watches_that_are_all_lost_at_once_are_replaced_before_the_missed_change_takes_effect() {
+    let no_faults = Faults { silent: 0, down: 0 };
     for pushed in [false, true] {
         for fleet in [1, 2, 6, 60, 350, 1_024] {
             for seed in 0..20 {
-                let (calls, late) = plays(pushed, fleet, all(fleet, 4 * S).min(130_000), calm, seed);
+                let (calls, late) = simulate(pushed, fleet, time_per_call(fleet, 4 * S).min(130_000), no_faults, seed);
                 assert_eq!(late, 0, "{fleet} proxies, pushed {pushed}, seed {seed}");
-                assert!(calls < 27.0, "{calls} calls a proxy and minute, {fleet} proxies");
+                assert!(calls < 27.0, "{calls} calls per proxy and minute, {fleet} proxies");
             }
         }
     }
 }
 
 #[test]
-fn a_second_watch_that_falls_silent_and_a_discovery_that_is_down_then_still_leave_time() {
-    for trouble in [Trouble { silent: 1, down: 0 }, Trouble { silent: 0, down: S / 2 }] {
+fn a_second_lost_call_or_a_short_outage_still_leaves_time_for_an_answer() {
+    for faults_after in [Faults { silent: 1, down: 0 }, Faults { silent: 0, down: S / 2 }] {
         for pushed in [false, true] {
             for fleet in [1, 6, 60, 350] {
                 for seed in 0..20 {
-                    let each = all(fleet, 2 * S).min(50_000);
-                    let (_, late) = plays(pushed, fleet, each, trouble, seed);
+                    let time_per_new_call = time_per_call(fleet, 2 * S).min(50_000);
+                    let (_, late) = simulate(pushed, fleet, time_per_new_call, faults_after, seed);
                     assert_eq!(late, 0, "{fleet} proxies, pushed {pushed}, seed {seed}");
                 }
             }
@@ -116,39 +118,39 @@
 }
 
 #[test]
-fn where_lists_are_pushed_a_proxy_asks_within_the_grace_and_else_a_fleet_spreads_its_calls() {
+fn retries_come_within_the_drain_grace_if_lists_are_pushed_and_are_spread_over_the_fleet_otherwise() {
     let watch = |pushed, fleet, grace, seed: u64| {
         Watch::new(0, Figures { pushed, fleet, index: seed as u32, grace }, Lease::kept(0, 0), seed)
     };
-    // A reset that meets all at once: as many calls in each tenth of the round, and the last one soon enough.
+    // A reset that hits all at once: the calls are evenly spread, and the last one comes soon enough.
     let ends: Vec<Micros> = (0..350)
         .map(|n| {
-            let mut asked = watch(false, 350, GRACE, n);
-            asked.call(0, false);
-            asked.failed(S, Failure::Broken) - S
+            let mut watch = watch(false, 350, GRACE, n);
+            watch.call(0, false);
+            watch.failed(S, Failure::Broken) - S
         })
         .collect();
-    let most = ends.iter().max().expect("some");
-    assert!((2 * S..3 * S).contains(most), "{most} us");
+    let max_us = ends.iter().max().expect("some");
+    assert!((2 * S..3 * S).contains(max_us), "{max_us} us");
     for tenth in 0..10 {
-        let part = ends.iter().filter(|&&at| at * 10 / (most + 1) == tenth).count();
+        let part = ends.iter().filter(|&&at| at * 10 / (max_us + 1) == tenth).count();
         assert!((15..60).contains(&part), "{part} in a tenth");
     }
     for grace in [0, GRACE] {
         let mut pushed = watch(true, 350, grace, 1);
         pushed.call(0, false);
-        assert_eq!(pushed.failed(S, Failure::Broken), S, "once at once");
+        assert_eq!(pushed.failed(S, Failure::Broken), S, "the first retry is immediate");
         for n in 1..1_000 {
             pushed.call(S + n, false);
             let at = pushed.failed(S + n, Failure::Broken);
-            let most = (GRACE / 2).min(grace.max(20_000));
-            assert!((10_000..=most).contains(&(at - S - n)), "{} us", at - S - n);
+            let max_us = (GRACE / 2).min(grace.max(20_000));
+            assert!((10_000..=max_us).contains(&(at - S - n)), "{} us", at - S - n);
         }
     }
 }
 
 #[test]
-fn after_a_silence_calls_wait_for_nothing_until_one_is_answered() {
+fn calls_do_not_wait_after_a_lost_one_until_one_is_answered() {
     let mut watch =
         Watch::new(0, Figures { pushed: false, fleet: 350, index: 0, grace: 0 }, Lease::kept(0, 0), 1);
     let first = watch.call(0, false);
@@ -163,19 +165,19 @@
     assert!(watch.call(60 * S, false).wait >= 2 * S);
 }
 
-/// What becomes of one call of a proxy, drawn.
+/// Randomly drawn outcome of one call.
 #[derive(Clone, Copy)]
-enum Fate {
+enum Outcome {
     Answered(Micros),
-    /// Refused, reset, cut or spoilt, after so long.
-    Ends(Micros),
+    /// Refused, reset, cut off or garbled after this time.
+    Fails(Micros),
     Silent,
 }
 
-/// The property: while discovery can be reached, nothing that it has is unknown for longer than is allowed. One call in some
-/// falls silent or ends badly; never three of them in one span of what is allowed, since then it could not be reached.
+/// While discovery can be reached, no change is unknown to a proxy for longer than is allowed. Some calls stay unanswered or
+/// fail, but never three of them within the allowed time, since discovery would then count as unreachable.
 #[test]
-fn no_change_is_unknown_for_longer_than_is_allowed_while_discovery_can_be_reached() {
+fn no_change_is_unknown_for_longer_than_allowed_while_discovery_is_reachable() {
     for pushed in [false, true] {
         for fleet in [1, 6, 30, 350, 1_024] {
             for seed in 0..200 {
@@ -186,46 +188,46 @@
                     Lease::kept(0, 0),
                     seed,
                 );
-                let (mut now, mut sure, mut faults) = (0, 0, Vec::<Micros>::new());
-                // It is down for some time: refuses, or says nothing at all.
+                let (mut now, mut known_at, mut faults) = (0, 0, Vec::<Micros>::new());
+                // Discovery is down for some time: it refuses calls or does not answer.
                 let down = rng.random_range(10 * S..30 * S);
                 let up = down + rng.random_range(0..20 * S);
-                let mute = rng.random();
+                let unanswered = rng.random();
                 while now < 120 * S {
-                    let call = watch.call(now, sure == 0);
-                    faults.retain(|&at| now - at < TOLD + call.within);
-                    let fate = match rng.random_range(0..6) {
+                    let call = watch.call(now, known_at == 0);
+                    faults.retain(|&at| now - at < MAX_PROPAGATION_US + call.within);
+                    let outcome = match rng.random_range(0..6) {
                         _ if (down..up).contains(&now) => {
-                            if mute {
-                                Fate::Silent
+                            if unanswered {
+                                Outcome::Silent
                             } else {
-                                Fate::Ends(rng.random_range(0..10_000))
+                                Outcome::Fails(rng.random_range(0..10_000))
                             }
                         }
-                        0 if faults.is_empty() => Fate::Silent,
-                        1 if faults.len() < 2 => Fate::Ends(rng.random_range(0..200_000)),
-                        _ => Fate::Answered(rng.random_range(1_000..400_000)),
+                        0 if faults.is_empty() => Outcome::Silent,
+                        1 if faults.len() < 2 => Outcome::Fails(rng.random_range(0..200_000)),
+                        _ => Outcome::Answered(rng.random_range(1_000..400_000)),
                     };
                     let answer = |at: Micros| if call.wait > 1_000 { at.min(250_000) } else { at };
-                    match fate {
-                        Fate::Answered(after) => {
+                    match outcome {
+                        Outcome::Answered(after) => {
                             let at = now + rng.random_range(0..=call.wait) + answer(after);
-                            // Since it was last sure, or since discovery can be reached again.
-                            let since = if sure < up && at > up { sure.max(up) } else { sure };
+                            // Since the state was last known, or since discovery could be reached again.
+                            let since = if known_at < up && at > up { known_at.max(up) } else { known_at };
                             let unknown = at - since;
                             assert!(
-                                unknown <= TOLD,
+                                unknown <= MAX_PROPAGATION_US,
                                 "{unknown} us, {fleet} proxies, pushed {pushed}, seed {seed}"
                             );
                             watch.answered(at);
-                            (now, sure) = (at, at);
+                            (now, known_at) = (at, at);
                         }
-                        Fate::Ends(after) => {
+                        Outcome::Fails(after) => {
                             faults.push(now);
                             let failure = if rng.random() { Failure::Refused } else { Failure::Broken };
                             now = watch.failed(now + after, failure).max(now + 1_000);
                         }
-                        Fate::Silent => {
+                        Outcome::Silent => {
                             faults.push(now);
                             now = watch.failed(now + call.within, Failure::Silent).max(now + 1_000);
                         }
--- a/crates/flintwell-list-watch/tests/lease.rs
+++ b/crates/flintwell-list-watch/tests/lease.rs
@@ -1,35 +1,35 @@
-//! Until when a list may be acted on, and which failures say that discovery could not be reached.
+//! How long a list may be used, and which failures show that discovery was unreachable.
 
-use flintwell_list_watch::{Basis, Failure, Figures, Lease, Micros, TOLD, Watch};
+use flintwell_list_watch::{Basis, Failure, Figures, Lease, Micros, MAX_PROPAGATION_US, Watch};
 
-const S: Micros = 1_000_000; // us in a second
+const S: Micros = 1_000_000; // microseconds in a second
 
-/// Of a process that begins with a list confirmed just then.
+/// The watch of a process that starts with a list confirmed at its start.
 fn watch(pushed: bool) -> Watch {
     let lease = Lease::kept(100 * S, 100 * S);
     Watch::new(100 * S, Figures { pushed, fleet: 300, index: 7, grace: S / 3 }, lease, 1)
 }
 
 #[test]
-fn a_list_is_acted_on_for_as_long_as_what_it_may_lack_does_not_count() {
+fn a_list_is_valid_until_changes_it_may_lack_take_effect() {
     for pushed in [false, true] {
         let mut watch = watch(pushed);
-        assert!(watch.lease().holds(100 * S + TOLD - 1) && !watch.lease().holds(100 * S + TOLD));
+        assert!(watch.lease().holds(100 * S + MAX_PROPAGATION_US - 1) && !watch.lease().holds(100 * S + MAX_PROPAGATION_US));
         watch.call(101 * S, false);
         watch.answered(103 * S);
-        assert_eq!(watch.lease().ends_at(), Some(103 * S + TOLD));
-        // Read late, after a standstill: it may have been written when it was asked for.
+        assert_eq!(watch.lease().ends_at(), Some(103 * S + MAX_PROPAGATION_US));
+        // An answer that is read after a pause of this process: it may have been written when the call was made.
         watch.call(104 * S, false);
         watch.answered(90 * S);
-        assert_eq!(watch.lease().ends_at(), Some(104 * S + TOLD));
+        assert_eq!(watch.lease().ends_at(), Some(104 * S + MAX_PROPAGATION_US));
     }
 }
 
 #[test]
-fn after_a_standstill_the_next_call_waits_for_nothing() {
+fn the_first_call_after_a_pause_of_the_process_does_not_wait() {
     let mut watch = watch(false);
     watch.call(101 * S, false);
-    // Stood still from 101.5 to 108 s, and read then what had come meanwhile.
+    // The process is paused from 101.5 to 108 s and then reads the answer that had arrived.
     watch.answered(101 * S + S / 2);
     assert!(watch.call(108 * S, false).wait <= 1_000);
     watch.answered(108 * S);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn only_a_discovery_that_could_not_be_reached_renews_a_lease_by_a_failure() {
+fn only_failures_that_show_discovery_unreachable_renew_the_lease() {
     let mut watch = watch(false);
     let ends = watch.lease().ends_at();
     for failure in [Failure::Local, Failure::Refused, Failure::Broken, Failure::Silent] {
@@ -45,14 +45,14 @@
         watch.failed(102 * S + 50_000, failure);
         assert_eq!(watch.lease().ends_at(), ends, "{failure:?}");
     }
-    // From when the try began: discovery may have come back while it lasted.
+    // The lease counts from the start of the attempt, since discovery may have come back during it.
     watch.connects(102 * S + 1);
     watch.failed(104 * S, Failure::Unreachable);
-    assert_eq!(watch.lease().ends_at(), Some(102 * S + 1 + TOLD));
+    assert_eq!(watch.lease().ends_at(), Some(102 * S + 1 + MAX_PROPAGATION_US));
 }
 
 #[test]
-fn a_connection_that_fails_for_a_moment_does_not_say_that_discovery_can_not_be_reached() {
+fn momentary_connection_failures_do_not_renew_the_lease() {
     let mut watch = watch(false);
     let before = watch.lease();
     let mut now = 102 * S;
@@ -61,58 +61,58 @@
         now = watch.failed(now, Failure::Unreachable).min(now + 100_000);
     }
     assert_eq!(watch.lease(), before);
-    // It comes up, and fails once more later: that is another moment.
+    // After a connection was established, a later failure begins a new run of failures.
     watch.connected(now);
     watch.connects(now + S);
     watch.failed(now + S, Failure::Unreachable);
     assert_eq!(watch.lease(), before);
     watch.connects(now + 2 * S);
     watch.failed(now + 2 * S, Failure::Unreachable);
-    assert_eq!(watch.lease().ends_at(), Some(now + 2 * S + TOLD));
+    assert_eq!(watch.lease().ends_at(), Some(now + 2 * S + MAX_PROPAGATION_US));
 }
 
 #[test]
-fn nobody_vouches_for_a_list_of_unknown_age_until_discovery_has_answered_or_can_not_be_reached() {
+fn a_list_of_unknown_age_is_invalid_until_discovery_has_answered_or_is_unreachable() {
     let figures = Figures { pushed: false, fleet: 300, index: 7, grace: 0 };
-    let starts = || Watch::new(100 * S, figures, Lease::unconfirmed(), 1);
+    let new_watch = || Watch::new(100 * S, figures, Lease::unconfirmed(), 1);
     for failure in [Failure::Local, Failure::Refused, Failure::Broken, Failure::Silent] {
-        let mut watch = starts();
+        let mut watch = new_watch();
         assert!(!watch.lease().holds(100 * S));
         assert!(
             watch.call(100 * S, false).wait <= 1_000,
-            "asks for what there is, and waits for nothing new"
+            "asks for the current state and does not wait for a change"
         );
         watch.failed(100 * S + 1, failure);
         assert!(!watch.lease().holds(100 * S + 2), "{failure:?}");
     }
-    // A refusal in doubt puts off an end, and here is none: the list may be of any age.
-    let mut refused = starts();
+    // An ambiguous refusal only extends a valid lease, and here is none: the list may be of any age.
+    let mut refused = new_watch();
     for second in 0..10 {
         refused.call((100 + second) * S, false);
         refused.failed((101 + second) * S, Failure::Refused);
         assert!(!refused.lease().holds((101 + second) * S));
     }
-    let mut answered = starts();
+    let mut answered = new_watch();
     answered.call(101 * S, false);
     answered.answered(101 * S);
-    assert_eq!((answered.lease().ends_at(), answered.lease().basis()), (Some(101 * S + TOLD), Basis::Answer));
-    let mut unreachable = starts();
+    assert_eq!((answered.lease().ends_at(), answered.lease().basis()), (Some(101 * S + MAX_PROPAGATION_US), Basis::Answer));
+    let mut unreachable = new_watch();
     unreachable.connects(101 * S);
     unreachable.failed(102 * S, Failure::Unreachable);
-    assert_eq!(unreachable.lease().ends_at(), Some(101 * S + TOLD));
+    assert_eq!(unreachable.lease().ends_at(), Some(101 * S + MAX_PROPAGATION_US));
 }
 
 #[test]
-fn a_list_left_with_its_age_holds_for_what_is_left_of_its_time() {
+fn a_stored_list_is_valid_for_the_remaining_time_of_its_lease() {
     let lease = |age| Lease::kept(100 * S, 100 * S - age);
-    assert!(lease(TOLD - 1).holds(100 * S) && !lease(TOLD).holds(100 * S));
+    assert!(lease(MAX_PROPAGATION_US - 1).holds(100 * S) && !lease(MAX_PROPAGATION_US).holds(100 * S));
     assert_eq!(lease(2 * S).ends_at(), Some(104 * S));
-    // A clock that tells of the future tells nothing.
+    // A confirmation time in the future is not trusted.
     assert_eq!(lease(-S), Lease::unconfirmed());
 }
 
 #[test]
-fn a_move_of_discovery_makes_no_list_younger() {
+fn a_change_of_address_does_not_renew_the_lease() {
     let mut watch = watch(false);
     let before = watch.lease();
     watch.moved();
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_process_that_restarts_alone_calls_within_a_second_however_large_its_fleet_is() {
+fn the_first_call_is_due_within_a_second_for_any_fleet_size() {
     for fleet in [1, 2, 32, 300, 1_024] {
         let figures = |index| Figures { pushed: false, fleet, index, grace: 0 };
         let first = |index| Watch::new(0, figures(index), Lease::unconfirmed(), 1).first(123_456) - 123_456;
@@ -129,40 +129,40 @@
 }
 
 #[test]
-fn a_short_outage_behind_a_balancer_stops_nothing_and_a_long_one_or_a_refusal_at_once_does() {
+fn late_refusals_extend_the_lease_once_and_immediate_refusals_do_not() {
     let mut outage = watch(false);
-    let began = outage.lease();
+    let initial = outage.lease();
     for second in 1..100 {
         outage.call((100 + second) * S, false);
         outage.failed((101 + second) * S, Failure::Refused);
     }
-    assert_eq!(outage.lease().ends_at(), began.ends_at().map(|at| at + TOLD), "however often it refused");
-    // One that refuses at once is there, and has too many callers: what it has counts; also where the way to it is slow.
-    for way in [20_000, 300_000] {
+    assert_eq!(outage.lease().ends_at(), initial.ends_at().map(|at| at + MAX_PROPAGATION_US), "after any number of refusals");
+    // A discovery that refuses at once is up but overloaded, so its changes take effect, also behind a slow path.
+    for dial in [20_000, 300_000] {
         let mut overload = watch(false);
         for second in 1..100 {
             overload.call((100 + second) * S, false);
-            overload.failed((100 + second) * S + way, Failure::Refused);
+            overload.failed((100 + second) * S + dial, Failure::Refused);
         }
-        assert_eq!(overload.lease(), began);
+        assert_eq!(overload.lease(), initial);
     }
 }
 
 #[test]
-fn a_fault_of_our_own_system_is_tried_again_soon_and_is_no_sign_of_load() {
+fn a_local_fault_is_retried_soon_and_is_no_sign_of_load() {
     let mut watch = watch(false);
     for n in 0..1_000 {
         let now = 100 * S + n * S / 10;
         let again = watch.failed(now, Failure::Local) - now;
         assert!((10_000..=100_000).contains(&again), "{again} us");
     }
-    // The list is old meanwhile, so the next call waits for nothing; its patience is that of a first one.
+    // The lease has expired meanwhile, so the next call does not wait; its time limit is that of a first call.
     let call = watch.call(201 * S, false);
     assert_eq!((call.wait, call.within), (1_000, 2 * S));
 }
 
 #[test]
-fn an_outage_however_long_is_noticed_soon_and_its_end_does_not_bring_all_at_once() {
+fn the_end_of_a_long_outage_is_noticed_soon_and_spreads_the_calls() {
     let mut ends = Vec::new();
     for index in 0..300 {
         let mut watch = Watch::new(
--- a/crates/flintwell-list-watch/tests/starts.rs
+++ b/crates/flintwell-list-watch/tests/starts.rs
@@ -1,40 +1,40 @@
-//! A server's start is dated by what this process knows, whatever a wall clock tells.
+//! A server's start is dated by this process's clock, whatever the wall clock of the list gives.
 
 use flintwell_list_watch::{Micros, Starts};
 
-const S: Micros = 1_000_000; // us in a second
+const S: Micros = 1_000_000; // microseconds in a second
 const HOUR: Micros = 3_600 * S;
 const NOW: Micros = 100 * HOUR;
 
 #[test]
-fn a_start_that_fits_is_taken_as_told_and_stays_so() {
+fn a_plausible_start_is_accepted_as_listed_and_kept() {
     let mut starts = Starts::default();
     assert_eq!(starts.learn("long ago", 0, None, NOW), 0);
     assert_eq!(starts.learn("first list", NOW - 5 * HOUR, None, NOW), NOW - 5 * HOUR);
     assert_eq!(starts.learn("new", NOW + S, Some(NOW), NOW + 2 * S), NOW + S);
     assert_eq!(starts.learn("listed late", NOW - 20 * S, Some(NOW), NOW + 2 * S), NOW - 20 * S);
-    // Told once more it is no news.
+    // Listed again, it stays the same.
     assert_eq!(starts.learn("first list", NOW - 5 * HOUR, Some(NOW), NOW + HOUR), NOW - 5 * HOUR);
     assert_eq!(starts.started_at("new"), Some(NOW + S));
-    assert_eq!(starts.started_at("never told"), None);
+    assert_eq!(starts.started_at("never listed"), None);
 }
 
 #[test]
-fn a_restart_told_by_a_clock_that_was_set_by_an_hour_counts_as_just_now() {
+fn a_restart_listed_by_a_clock_that_is_an_hour_off_is_dated_now() {
     for step in [-HOUR, HOUR] {
         for before in [0, NOW - 3 * HOUR] {
             let mut starts = Starts::default();
             starts.learn("server", before, None, NOW);
-            let told = NOW + S + step;
-            assert_eq!(starts.learn("server", told, Some(NOW), NOW + 2 * S), NOW + 2 * S, "{step}");
-            // And warms up from then on.
-            assert_eq!(starts.learn("server", told, Some(NOW + 9 * S), NOW + 10 * S), NOW + 2 * S);
+            let listed_at = NOW + S + step;
+            assert_eq!(starts.learn("server", listed_at, Some(NOW), NOW + 2 * S), NOW + 2 * S, "{step}");
+            // Its warm-up continues from then on.
+            assert_eq!(starts.learn("server", listed_at, Some(NOW + 9 * S), NOW + 10 * S), NOW + 2 * S);
         }
     }
 }
 
 #[test]
-fn those_that_are_gone_are_forgotten_once_there_are_many() {
+fn unlisted_servers_are_removed_once_many_are_recorded() {
     let mut starts = Starts::default();
     for server in 0..20_000 {
         starts.learn(&format!("s{server}"), NOW - S, None, NOW);
@@ -43,5 +43,5 @@
     assert_eq!((starts.started_at("s7"), starts.started_at("s8")), (Some(NOW - S), None));
     starts.learn("s8", NOW, Some(NOW), NOW);
     starts.forget(|_| false);
-    assert_eq!(starts.started_at("s8"), Some(NOW), "few are kept");
+    assert_eq!(starts.started_at("s8"), Some(NOW), "few records are all kept");
 }
