--- a/crates/flintwell-call/src/lib.rs
+++ b/crates/flintwell-call/src/lib.rs
@@ -1,4 +1,5 @@
-//! One HTTP/1.1 call on a connection of its own: whoever rolls out to a member, a supervisor to its process.
+//! HTTP/1.1 requests to management endpoints, each on its own connection: from a rollout to its members and from a
+//! supervisor to its process.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -10,37 +11,39 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const ANSWER_MOST: usize = 8 << 20; // bytes; a list of some ten thousand nodes
+const MAX_RESPONSE_BYTES: usize = 8 << 20; // a list of some ten thousand nodes
 
-/// The answer's status and whole body, or why there is none within this time; then it may have been taken, or not.
+/// Sends a request and returns the response's status and whole body, or why none arrived within the time limit. After an
+/// error the request may or may not have been processed.
 pub async fn call(
-    at: SocketAddr,
+    addr: SocketAddr,
     method: Method,
     path: &str,
     body: Bytes,
-    within: Duration,
+    time_limit: Duration,
 ) -> Result<(StatusCode, Bytes), String> {
-    let told = |error: &dyn std::fmt::Display| error.to_string();
+    let text = |error: &dyn std::fmt::Display| error.to_string();
     let exchange = async {
-        let stream = TcpStream::connect(at).await.map_err(|e| told(&e))?;
-        let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| told(&e))?;
+        let stream = TcpStream::connect(addr).await.map_err(|e| text(&e))?;
+        let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| text(&e))?;
         let request = Request::builder().method(method).uri(path).header("host", "staff");
-        let request = request.body(Full::new(body)).map_err(|e| told(&e))?;
-        let talk = async {
-            let response = sender.send_request(request).await.map_err(|e| told(&e))?;
+        let request = request.body(Full::new(body)).map_err(|e| text(&e))?;
+        let response = async {
+            let response = sender.send_request(request).await.map_err(|e| text(&e))?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), ANSWER_MOST).collect().await;
-            Ok((status, body.map_err(|e| told(&e))?.to_bytes()))
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
+            Ok((status, body.map_err(|e| text(&e))?.to_bytes()))
         };
-        // The peer closes after its answer, which may still be on its way to us then.
-        let driven = async {
+        // The peer may close the connection right after its response, before the response has been read; so the end of
+        // the connection alone does not end the exchange.
+        let connection_driver = async {
             let _ = connection.await;
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            said = talk => said,
-            () = driven => Err("the connection ended".into()),
+            result = response => result,
+            () = connection_driver => Err("connection closed before the response".into()),
         }
     };
-    timeout(within, exchange).await.map_err(|_| "no answer".to_owned())?
+    timeout(time_limit, exchange).await.map_err(|_| format!("no response within {time_limit:?}"))?
 }
