--- a/crates/flintwell-call/src/lib.rs
+++ b/crates/flintwell-call/src/lib.rs
@@ -15,7 +15,7 @@
 
 /// Sends a request and returns the response's status and whole body, or why none arrived within the time limit. After an
 /// error the request may or may not have been processed.
-pub async fn call(
+pub async fn send_request(
     addr: SocketAddr,
     method: Method,
     path: &str,
--- a/crates/flintwell-emulator/src/run.rs
+++ b/crates/flintwell-emulator/src/run.rs
@@ -7,10 +7,10 @@
     Sizes, Standing,
 };
 use flintwell_core::policy::Policy;
-use flintwell_membership::member::{self, Id, Mail, Member};
-use flintwell_shared_limits::loans::EACH;
-use flintwell_shared_limits::share::{Counted, ROUND, Share, Word};
-use flintwell_shared_probes::{Hint, Probes, Word as Probed};
+use flintwell_membership::member::{self, MemberId, BufferedTransport, Member};
+use flintwell_shared_limits::loans::UNITS_PER_MEMBER;
+use flintwell_shared_limits::limit::{FetchCounts, ROUND_MS, SharedLimit, LimitMessage};
+use flintwell_shared_probes::{ProbeHint, ProbeCoordinator, ProbeMessage as Probed};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -73,8 +73,8 @@
     paused_until: Micros,
     rate: f64,
     requests: HashMap<RequestId, Request>,
-    counted: Counted,
-    speaks: Option<(Member, Share, Probes)>,
+    counted: FetchCounts,
+    speaks: Option<(Member, SharedLimit, ProbeCoordinator)>,
     lies: bool,
 }
 
@@ -242,17 +242,17 @@
             let settings = member::Settings {
                 cluster: "emulated".into(),
                 key: Vec::new(),
-                id: Id { number: n as u32, addr: addr(n), life },
+                id: MemberId { number: n as u32, addr: addr(n), generation: life },
                 seeds: (0..self.shape.proxies.min(3)).map(addr).collect(),
-                fleet: self.shape.proxies as u32,
-                seed,
+                fleet_size: self.shape.proxies as u32,
+                rng_seed: seed,
             };
-            let share = Share::start(ms, life, self.shape.proxies as u32, seed);
-            (Member::start(ms, settings), share, Probes::new(n as u32, seed))
+            let share = SharedLimit::new(ms, life, self.shape.proxies as u32, seed);
+            (Member::new(ms, settings), share, ProbeCoordinator::new(n as u32, seed))
         });
         if self.shape.words {
             self.at(self.now, Event::Ticks { proxy: n, life });
-            let first = self.rng.random_range(0..ROUND as Micros * 1_000);
+            let first = self.rng.random_range(0..ROUND_MS as Micros * 1_000);
             self.at(self.now + first, Event::Round { proxy: n, life });
         }
         Proxy {
@@ -262,7 +262,7 @@
             paused_until: 0,
             rate: self.shape.rate,
             requests: HashMap::new(),
-            counted: Counted::default(),
+            counted: FetchCounts::default(),
             speaks,
             lies: false,
         }
@@ -320,9 +320,9 @@
             }
             Event::Datagram { to, bytes } => {
                 let ms = (self.now / 1_000) as u64;
-                let mut mail = Mail::default();
+                let mut mail = BufferedTransport::default();
                 if let Some((member, ..)) = &mut self.proxies[to].speaks {
-                    member.receives(ms, &bytes, &mut mail);
+                    member.handle_datagram(ms, &bytes, &mut mail);
                 }
                 self.posts(to, mail);
             }
@@ -331,11 +331,11 @@
                 if self.proxies[proxy].life != life {
                     return;
                 }
-                let mut mail = Mail::default();
+                let mut mail = BufferedTransport::default();
                 let mut due = ms + 1;
                 if let Some((member, ..)) = &mut self.proxies[proxy].speaks {
                     member.tick(ms, &mut mail);
-                    due = member.due().max(ms + 1);
+                    due = member.next_tick_at().max(ms + 1);
                 }
                 self.posts(proxy, mail);
                 // A datagram may set an earlier time; so it is looked at every some ms.
@@ -487,7 +487,7 @@
         let (settled, came) = (request.over, request.came);
         if origin {
             let counted = &mut self.proxies[n].counted;
-            counted.taken += u64::from(ending == Ending::Served);
+            counted.accepted += u64::from(ending == Ending::Served);
             counted.refused += u64::from(ending == Ending::Full);
         }
         if ending == Ending::Served && !before {
@@ -510,67 +510,67 @@
         }
         let ms = (self.now / 1_000) as u64;
         let now = self.now;
-        let mut mail = Mail::default();
+        let mut mail = BufferedTransport::default();
         let proxy = &mut self.proxies[n];
         if let Some((member, share, probes)) = &mut proxy.speaks {
-            proxy.counted.wanted = proxy.policy.granted(now, share.rate(ms));
-            let others = member.others();
+            proxy.counted.demanded = proxy.policy.granted(now, share.rate(ms));
+            let others = member.peers();
             let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
             let silent = proxy.policy.silent();
             let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
-            let (hints, probed) = probes.round(ms, &names, &numbers);
+            let (hints, probed) = probes.run_round(ms, &names, &numbers);
             for (node, hint) in hints {
                 let until = match hint {
-                    Hint::Leave(ms) => now + ms as Micros * 1_000,
-                    Hint::Try => now,
+                    ProbeHint::SkipFor(ms) => now + ms as Micros * 1_000,
+                    ProbeHint::ProbeNow => now,
                 };
                 proxy.policy.tried_by_others(&silent[node], until);
             }
             for (to, word) in probed {
                 if let Some(to) = others.iter().find(|other| other.number == to) {
-                    member.tells(to, &word.encode(), &mut mail);
+                    member.send_message(to, &word.encode(), &mut mail);
                 }
             }
-            for (to, mut word) in share.round(ms, proxy.counted, &numbers) {
-                if let Word::Told { taken, refused, worth, .. } = &mut word
+            for (to, mut word) in share.run_round(ms, proxy.counted, &numbers) {
+                if let LimitMessage::Report { accepted: taken, refused, worth, .. } = &mut word
                     && proxy.lies
                 {
                     (*taken, *refused, *worth) = (0.0, 1e6, Some(1e-6));
                 }
                 if let Some(to) = others.iter().find(|other| other.number == to) {
-                    member.tells(to, &word.encode(), &mut mail);
+                    member.send_message(to, &word.encode(), &mut mail);
                 }
             }
         }
         self.posts(n, mail);
         self.drains(n);
         self.weighs();
-        self.at(now + ROUND as Micros * 1_000, Event::Round { proxy: n, life });
+        self.at(now + ROUND_MS as Micros * 1_000, Event::Round { proxy: n, life });
     }
 
     /// Units in use over the fleet, against those there are.
     fn weighs(&mut self) {
         let ms = (self.now / 1_000) as u64;
-        let in_use = |proxy: &Proxy| proxy.speaks.as_ref().map_or(0, |(_, share, _)| share.units(ms));
+        let in_use = |proxy: &Proxy| proxy.speaks.as_ref().map_or(0, |(_, share, _)| share.usable_units(ms));
         let all: u32 = self.proxies.iter().map(in_use).sum();
-        self.outcome.excess = self.outcome.excess.max(all.saturating_sub(EACH * self.proxies.len() as u32));
+        self.outcome.excess = self.outcome.excess.max(all.saturating_sub(UNITS_PER_MEMBER * self.proxies.len() as u32));
     }
 
     /// Sends what a member says, and lets its share hear what came.
-    fn posts(&mut self, n: usize, mail: Mail) {
+    fn posts(&mut self, n: usize, mail: BufferedTransport) {
         let ms = (self.now / 1_000) as u64;
-        let mut answers = Mail::default();
+        let mut answers = BufferedTransport::default();
         if let Some((member, share, probes)) = &mut self.proxies[n].speaks {
-            for (from, bytes) in mail.heard {
+            for (from, bytes) in mail.delivered {
                 if let Some(word) = Probed::decode(&bytes) {
-                    probes.hears(ms, from.number, &word);
+                    probes.handle_message(ms, from.number, &word);
                     continue;
                 }
-                let answer = Word::decode(&bytes).and_then(|word| share.hears(ms, from.number, word));
-                answer.into_iter().for_each(|word| member.tells(&from, &word.encode(), &mut answers));
+                let answer = LimitMessage::decode(&bytes).and_then(|word| share.handle_message(ms, from.number, word));
+                answer.into_iter().for_each(|word| member.send_message(&from, &word.encode(), &mut answers));
             }
         }
-        for (to, bytes) in mail.sends.into_iter().chain(answers.sends) {
+        for (to, bytes) in mail.outgoing.into_iter().chain(answers.outgoing) {
             let to = number(to);
             let second = self.second(self.now);
             (second.datagrams, second.bytes) = (second.datagrams + 1, second.bytes + bytes.len() as u64);
--- a/crates/flintwell-list-watch/src/lease.rs
+++ b/crates/flintwell-list-watch/src/lease.rs
@@ -51,7 +51,7 @@
     }
 
     /// Lease of a process that starts at `now` with a list that an earlier process had confirmed at `confirmed_at`.
-    pub fn kept(now: Micros, confirmed_at: Micros) -> Self {
+    pub fn restored(now: Micros, confirmed_at: Micros) -> Self {
         if confirmed_at > now {
             return Lease::unconfirmed();
         }
@@ -95,12 +95,12 @@
     }
 
     /// Time until the lease expires; zero or negative once it has expired or if the list was never valid.
-    pub fn left(self, now: Micros) -> Micros {
+    pub fn remaining(self, now: Micros) -> Micros {
         self.ends_at().map_or(0, |ends_at| ends_at - now)
     }
 
     /// Whether requests may be sent by this list now.
-    pub fn holds(self, now: Micros) -> bool {
-        self.left(now) > 0
+    pub fn is_valid(self, now: Micros) -> bool {
+        self.remaining(now) > 0
     }
 }
--- a/crates/flintwell-list-watch/src/lib.rs
+++ b/crates/flintwell-list-watch/src/lib.rs
@@ -13,8 +13,8 @@
 
 pub use backoff::Failure;
 pub use lease::{Basis, Lease, MAX_PROPAGATION_US};
-pub use starts::Starts;
-pub use watch::{Call, Figures, Watch};
+pub use starts::NodeStarts;
+pub use watch::{Call, WatchConfig, Watch};
 
 /// Whole microseconds: an instant or a duration.
 pub type Micros = i64;
--- a/crates/flintwell-list-watch/src/starts.rs
+++ b/crates/flintwell-list-watch/src/starts.rs
@@ -24,14 +24,14 @@
 
 /// Start times of the servers listed so far.
 #[derive(Debug, Default)]
-pub struct Starts {
+pub struct NodeStarts {
     servers: HashMap<String, Start>,
 }
 
-impl Starts {
+impl NodeStarts {
     /// Records that a list received at `now` gives `listed_at` as the start of a server, with 0 for long ago. `since` is when
     /// the list before it was confirmed, if it was. Returns the start by this process's clock.
-    pub fn learn(&mut self, server: &str, listed_at: Micros, since: Option<Micros>, now: Micros) -> Micros {
+    pub fn record(&mut self, server: &str, listed_at: Micros, since: Option<Micros>, now: Micros) -> Micros {
         if let Some(known) = self.servers.get(server).filter(|known| known.listed_at == listed_at) {
             return known.started_at;
         }
@@ -51,7 +51,7 @@
 
     /// Removes servers that are no longer listed once many are recorded. Until then, a server that is listed again keeps its
     /// start.
-    pub fn forget(&mut self, is_listed: impl Fn(&str) -> bool) {
+    pub fn prune(&mut self, is_listed: impl Fn(&str) -> bool) {
         if self.servers.len() >= MAX_SERVERS / 2 {
             self.servers.retain(|server, _| is_listed(server));
         }
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -28,15 +28,15 @@
 
 /// Settings of the list watch.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct WatchConfig {
     /// Whether discovery pushes lists: then changes take effect whether or not a watch is open.
     pub pushed: bool,
     /// Number of proxies that call the same discovery.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Index of this proxy among them, from 0.
     pub index: u32,
     /// Time from when a drain takes effect until no new request may be sent to the node.
-    pub grace: Micros,
+    pub drain_grace: Micros,
 }
 
 /// Parameters of a call of discovery.
@@ -45,12 +45,12 @@
     /// How long discovery may hold the call until there is a change.
     pub wait: Micros,
     /// Time limit for the answer, from the start of the call.
-    pub within: Micros,
+    pub timeout: Micros,
 }
 
 /// The list watch of one proxy. Its methods report events; those that return a time tell when to act next.
 pub struct Watch {
-    figures: Figures,
+    figures: WatchConfig,
     rng: ChaCha8Rng,
     lease: Lease,
     failures: Failures,
@@ -67,7 +67,7 @@
 
 impl Watch {
     /// Creates the watch of a process that starts at `now` with a list under this lease.
-    pub fn new(now: Micros, figures: Figures, lease: Lease, seed: u64) -> Self {
+    pub fn new(now: Micros, figures: WatchConfig, lease: Lease, seed: u64) -> Self {
         Watch {
             figures,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -83,8 +83,8 @@
     }
 
     /// Sets the drain grace after a change of the settings.
-    pub fn grants(&mut self, grace: Micros) {
-        self.figures.grace = grace;
+    pub fn set_drain_grace(&mut self, grace: Micros) {
+        self.figures.drain_grace = grace;
     }
 
     /// Lease on the current list.
@@ -96,65 +96,65 @@
     ///
     /// Danger: a process that restarts alone cannot serve before this call, so the call must not be delayed by the size of
     /// the fleet. If a whole fleet starts together, discovery refuses what exceeds its capacity, and the frames grow.
-    pub fn first(&self, now: Micros) -> Micros {
+    pub fn first_call_at(&self, now: Micros) -> Micros {
         let frame = self.position().first_frame().min(MAX_FIRST_CALL_FRAME_US);
         if self.figures.pushed || frame == 0 { now } else { self.position().slot(now, frame) }
     }
 
     /// When a call is due that all proxies may have to make now, after a change of address or an outage.
-    pub fn slot(&self, now: Micros) -> Micros {
+    pub fn next_slot(&self, now: Micros) -> Micros {
         // Danger: the proxies of a fleet that start together, or see discovery return, would all call at the same time.
         let first = self.position().first_frame();
         if self.figures.pushed || first == 0 { now } else { self.slot_within_lease(now).min(now + first) }
     }
 
     /// An attempt to connect to discovery begins.
-    pub fn connects(&mut self, now: Micros) {
+    pub fn on_connecting(&mut self, now: Micros) {
         self.connecting_since = now;
     }
 
     /// The connection is established. Returns when the call may be sent on it.
-    pub fn connected(&mut self, now: Micros) -> Micros {
+    pub fn on_connected(&mut self, now: Micros) -> Micros {
         self.dial = (now - self.connecting_since).max(0);
-        if self.unreachable_since.take().is_some() { self.slot(now) } else { now }
+        if self.unreachable_since.take().is_some() { self.next_slot(now) } else { now }
     }
 
     /// A call begins. `whole` asks for the whole list, which is answered at once.
-    pub fn call(&mut self, now: Micros, whole: bool) -> Call {
+    pub fn begin_call(&mut self, now: Micros, whole: bool) -> Call {
         self.called_at = now;
         // Danger: after a pause of this process, the last answer renewed the lease only from a time long past, and a watch
         // would outlast it.
-        let would_outlast_lease = self.lease.left(now) <= MAX_WAIT_US + WAIT_MARGIN_US;
+        let would_outlast_lease = self.lease.remaining(now) <= MAX_WAIT_US + WAIT_MARGIN_US;
         if !self.may_have_missed_change && !whole && !would_outlast_lease {
             // Danger: if a watch loses its answer, this is not noticed before the wait is over, while changes take effect. And
             // waits of equal length that begin together, after a change or a start, would also end together.
             let wait = self.rng.random_range(MIN_WAIT_US..=MAX_WAIT_US);
-            return Call { wait, within: wait + WAIT_MARGIN_US };
+            return Call { wait, timeout: wait + WAIT_MARGIN_US };
         }
         let within = match (self.failures.count, self.last_failure) {
             // This call may be lost as well, so the lease must leave time for another.
-            (1, Some(Failure::Silent)) => (self.lease.left(now) / 2).clamp(MIN_CALL_TIMEOUT_US, CALL_TIMEOUT_US),
+            (1, Some(Failure::Silent)) => (self.lease.remaining(now) / 2).clamp(MIN_CALL_TIMEOUT_US, CALL_TIMEOUT_US),
             // Danger: a caller that leaves the queue of a busy discovery early has cost it a call and got nothing. A time limit
             // that shrank with the age of the list fell below the wait in a full queue, and no proxy was ever answered again.
             _ => (self.failures.age(now) / TIMEOUT_AGE_DIVISOR).clamp(CALL_TIMEOUT_US, MAX_CALL_TIMEOUT_US),
         };
-        Call { wait: CATCH_UP_WAIT_US, within }
+        Call { wait: CATCH_UP_WAIT_US, timeout: within }
     }
 
     /// The call was answered with discovery's state as of `as_of` or, if that is later, as of the start of the call.
-    pub fn answered(&mut self, as_of: Micros) {
+    pub fn on_answer(&mut self, as_of: Micros) {
         self.lease.renew(as_of.max(self.called_at), Basis::Answer);
         self.reset_failures();
     }
 
     /// A call past its time limit was answered. Its start is no longer known, so only `as_of` counts.
-    pub fn answered_late(&mut self, as_of: Micros) {
+    pub fn on_late_answer(&mut self, as_of: Micros) {
         self.lease.renew(as_of, Basis::Answer);
         self.reset_failures();
     }
 
     /// The call failed at `now`. Returns when to call next.
-    pub fn failed(&mut self, now: Micros, failure: Failure) -> Micros {
+    pub fn on_failure(&mut self, now: Micros, failure: Failure) -> Micros {
         if failure == Failure::Local {
             return now + self.rng.random_range(MIN_LOCAL_RETRY_PAUSE_US..=MAX_LOCAL_RETRY_PAUSE_US);
         }
@@ -191,7 +191,7 @@
     /// Discovery has a new address, where no call has failed yet.
     ///
     /// Danger: the new address says nothing about the age of the list, so the lease must not be renewed.
-    pub fn moved(&mut self) {
+    pub fn on_address_change(&mut self) {
         self.unreachable_since = None;
         self.reset_failures();
     }
@@ -218,12 +218,12 @@
     }
 
     fn position(&self) -> FleetPosition {
-        FleetPosition { index: self.figures.index, fleet: self.figures.fleet }
+        FleetPosition { index: self.figures.index, fleet: self.figures.fleet_size }
     }
 
     /// The next slot of this proxy, in a frame that fits into the remaining time of the lease.
     fn slot_within_lease(&self, now: Micros) -> Micros {
-        self.position().slot(now, frame_within(self.position(), self.lease.left(now)))
+        self.position().slot(now, frame_within(self.position(), self.lease.remaining(now)))
     }
 
     fn unreachable_pause(&mut self) -> Micros {
@@ -232,7 +232,7 @@
     }
 
     fn max_initial_pushed_pause(&self) -> Micros {
-        (self.figures.grace / 2).clamp(MIN_PUSHED_PAUSE_US, MAX_PUSHED_PAUSE_US)
+        (self.figures.drain_grace / 2).clamp(MIN_PUSHED_PAUSE_US, MAX_PUSHED_PAUSE_US)
     }
 
     /// Pause before the next call where lists are pushed; the first retry is immediate.
--- a/crates/flintwell-list-watch/tests/fleet.rs
+++ b/crates/flintwell-list-watch/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet in virtual time whose open watches all lose their answers at once, before a discovery that processes calls in turn.
 
-use flintwell_list_watch::{Failure, Figures, Lease, Micros, MAX_PROPAGATION_US, Watch};
+use flintwell_list_watch::{Failure, WatchConfig, Lease, Micros, MAX_PROPAGATION_US, Watch};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -28,8 +28,8 @@
         .map(|n| {
             Watch::new(
                 0,
-                Figures { pushed, fleet, index: n, grace: GRACE },
-                Lease::kept(0, 0),
+                WatchConfig { pushed, fleet_size: fleet, index: n, drain_grace: GRACE },
+                Lease::restored(0, 0),
                 seed << 16 | u64::from(n),
             )
         })
@@ -46,33 +46,33 @@
         }
         calls += 1;
         let watch = &mut watches[n];
-        let call = watch.call(now, false);
+        let call = watch.begin_call(now, false);
         if knows_change[n].is_none() && now < LOSS_AT && now + call.wait > LOSS_AT {
             knows_change[n] = Some(false);
-            let ends = now + call.within;
-            assert_eq!(watch.failed(ends, Failure::Silent), ends, "retried at once");
+            let ends = now + call.timeout;
+            assert_eq!(watch.on_failure(ends, Failure::Silent), ends, "retried at once");
             due.insert((ends, n, false));
             continue;
         }
         if lost[n] < faults_after.silent && knows_change[n] == Some(false) {
             lost[n] += 1;
-            due.insert((watch.failed(now + call.within, Failure::Silent).max(now + 1), n, false));
+            due.insert((watch.on_failure(now + call.timeout, Failure::Silent).max(now + 1), n, false));
             continue;
         }
         down_from = down_from.min(if knows_change[n].is_some() { now } else { Micros::MAX });
         if now >= down_from && now < down_from + faults_after.down {
-            due.insert((watch.failed(now, Failure::Refused).max(now + 1_000), n, false));
+            due.insert((watch.on_failure(now, Failure::Refused).max(now + 1_000), n, false));
             continue;
         }
         // Discovery processes the call when its turn comes.
         busy_until = now.max(busy_until) + if continues_watch { time_per_new_call / CONTINUED_CALLS_PER_NEW_CALL } else { time_per_new_call };
-        if busy_until - now > call.within {
-            due.insert((watch.failed(now + call.within, Failure::Silent).max(now + 1), n, false));
+        if busy_until - now > call.timeout {
+            due.insert((watch.on_failure(now + call.timeout, Failure::Silent).max(now + 1), n, false));
             continue;
         }
         let tells_change = knows_change[n] == Some(false) && busy_until > CHANGE_AT;
         let answered = if tells_change { busy_until } else { busy_until.max(now + call.wait) };
-        watch.answered(answered);
+        watch.on_answer(answered);
         if tells_change {
             late += usize::from(answered > CHANGE_AT + MAX_PROPAGATION_US + GRACE);
             knows_change[n] = Some(true);
@@ -120,14 +120,14 @@
 #[test]
 fn retries_come_within_the_drain_grace_if_lists_are_pushed_and_are_spread_over_the_fleet_otherwise() {
     let watch = |pushed, fleet, grace, seed: u64| {
-        Watch::new(0, Figures { pushed, fleet, index: seed as u32, grace }, Lease::kept(0, 0), seed)
+        Watch::new(0, WatchConfig { pushed, fleet_size: fleet, index: seed as u32, drain_grace: grace }, Lease::restored(0, 0), seed)
     };
     // A reset that hits all at once: the calls are evenly spread, and the last one comes soon enough.
     let ends: Vec<Micros> = (0..350)
         .map(|n| {
             let mut watch = watch(false, 350, GRACE, n);
-            watch.call(0, false);
-            watch.failed(S, Failure::Broken) - S
+            watch.begin_call(0, false);
+            watch.on_failure(S, Failure::Broken) - S
         })
         .collect();
     let max_us = ends.iter().max().expect("some");
@@ -138,11 +138,11 @@
     }
     for grace in [0, GRACE] {
         let mut pushed = watch(true, 350, grace, 1);
-        pushed.call(0, false);
-        assert_eq!(pushed.failed(S, Failure::Broken), S, "the first retry is immediate");
+        pushed.begin_call(0, false);
+        assert_eq!(pushed.on_failure(S, Failure::Broken), S, "the first retry is immediate");
         for n in 1..1_000 {
-            pushed.call(S + n, false);
-            let at = pushed.failed(S + n, Failure::Broken);
+            pushed.begin_call(S + n, false);
+            let at = pushed.on_failure(S + n, Failure::Broken);
             let max_us = (GRACE / 2).min(grace.max(20_000));
             assert!((10_000..=max_us).contains(&(at - S - n)), "{} us", at - S - n);
         }
@@ -152,17 +152,17 @@
 #[test]
 fn calls_do_not_wait_after_a_lost_one_until_one_is_answered() {
     let mut watch =
-        Watch::new(0, Figures { pushed: false, fleet: 350, index: 0, grace: 0 }, Lease::kept(0, 0), 1);
-    let first = watch.call(0, false);
-    assert!(first.wait >= 2 * S && first.within < first.wait + S);
-    watch.failed(first.within, Failure::Silent);
+        Watch::new(0, WatchConfig { pushed: false, fleet_size: 350, index: 0, drain_grace: 0 }, Lease::restored(0, 0), 1);
+    let first = watch.begin_call(0, false);
+    assert!(first.wait >= 2 * S && first.timeout < first.wait + S);
+    watch.on_failure(first.timeout, Failure::Silent);
     for n in 0..20 {
-        let call = watch.call(first.within + n * S, false);
-        assert!(call.wait <= 1_000 && call.within <= 2 * S);
-        watch.failed(first.within + n * S, Failure::Refused);
+        let call = watch.begin_call(first.timeout + n * S, false);
+        assert!(call.wait <= 1_000 && call.timeout <= 2 * S);
+        watch.on_failure(first.timeout + n * S, Failure::Refused);
     }
-    watch.answered(59 * S);
-    assert!(watch.call(60 * S, false).wait >= 2 * S);
+    watch.on_answer(59 * S);
+    assert!(watch.begin_call(60 * S, false).wait >= 2 * S);
 }
 
 /// Randomly drawn outcome of one call.
@@ -184,8 +184,8 @@
                 let mut rng = ChaCha8Rng::seed_from_u64(seed);
                 let mut watch = Watch::new(
                     0,
-                    Figures { pushed, fleet, index: seed as u32, grace: 0 },
-                    Lease::kept(0, 0),
+                    WatchConfig { pushed, fleet_size: fleet, index: seed as u32, drain_grace: 0 },
+                    Lease::restored(0, 0),
                     seed,
                 );
                 let (mut now, mut known_at, mut faults) = (0, 0, Vec::<Micros>::new());
@@ -194,8 +194,8 @@
                 let up = down + rng.random_range(0..20 * S);
                 let unanswered = rng.random();
                 while now < 120 * S {
-                    let call = watch.call(now, known_at == 0);
-                    faults.retain(|&at| now - at < MAX_PROPAGATION_US + call.within);
+                    let call = watch.begin_call(now, known_at == 0);
+                    faults.retain(|&at| now - at < MAX_PROPAGATION_US + call.timeout);
                     let outcome = match rng.random_range(0..6) {
                         _ if (down..up).contains(&now) => {
                             if unanswered {
@@ -219,17 +219,17 @@
                                 unknown <= MAX_PROPAGATION_US,
                                 "{unknown} us, {fleet} proxies, pushed {pushed}, seed {seed}"
                             );
-                            watch.answered(at);
+                            watch.on_answer(at);
                             (now, known_at) = (at, at);
                         }
                         Outcome::Fails(after) => {
                             faults.push(now);
                             let failure = if rng.random() { Failure::Refused } else { Failure::Broken };
-                            now = watch.failed(now + after, failure).max(now + 1_000);
+                            now = watch.on_failure(now + after, failure).max(now + 1_000);
                         }
                         Outcome::Silent => {
                             faults.push(now);
-                            now = watch.failed(now + call.within, Failure::Silent).max(now + 1_000);
+                            now = watch.on_failure(now + call.timeout, Failure::Silent).max(now + 1_000);
                         }
                     }
                 }
--- a/crates/flintwell-list-watch/tests/lease.rs
+++ b/crates/flintwell-list-watch/tests/lease.rs
@@ -1,26 +1,26 @@
 //! How long a list may be used, and which failures show that discovery was unreachable.
 
-use flintwell_list_watch::{Basis, Failure, Figures, Lease, Micros, MAX_PROPAGATION_US, Watch};
+use flintwell_list_watch::{Basis, Failure, WatchConfig, Lease, Micros, MAX_PROPAGATION_US, Watch};
 
 const S: Micros = 1_000_000; // microseconds in a second
 
 /// The watch of a process that starts with a list confirmed at its start.
 fn watch(pushed: bool) -> Watch {
-    let lease = Lease::kept(100 * S, 100 * S);
-    Watch::new(100 * S, Figures { pushed, fleet: 300, index: 7, grace: S / 3 }, lease, 1)
+    let lease = Lease::restored(100 * S, 100 * S);
+    Watch::new(100 * S, WatchConfig { pushed, fleet_size: 300, index: 7, drain_grace: S / 3 }, lease, 1)
 }
 
 #[test]
 fn a_list_is_valid_until_changes_it_may_lack_take_effect() {
     for pushed in [false, true] {
         let mut watch = watch(pushed);
-        assert!(watch.lease().holds(100 * S + MAX_PROPAGATION_US - 1) && !watch.lease().holds(100 * S + MAX_PROPAGATION_US));
-        watch.call(101 * S, false);
-        watch.answered(103 * S);
+        assert!(watch.lease().is_valid(100 * S + MAX_PROPAGATION_US - 1) && !watch.lease().is_valid(100 * S + MAX_PROPAGATION_US));
+        watch.begin_call(101 * S, false);
+        watch.on_answer(103 * S);
         assert_eq!(watch.lease().ends_at(), Some(103 * S + MAX_PROPAGATION_US));
         // An answer that is read after a pause of this process: it may have been written when the call was made.
-        watch.call(104 * S, false);
-        watch.answered(90 * S);
+        watch.begin_call(104 * S, false);
+        watch.on_answer(90 * S);
         assert_eq!(watch.lease().ends_at(), Some(104 * S + MAX_PROPAGATION_US));
     }
 }
@@ -28,12 +28,12 @@
 #[test]
 fn the_first_call_after_a_pause_of_the_process_does_not_wait() {
     let mut watch = watch(false);
-    watch.call(101 * S, false);
+    watch.begin_call(101 * S, false);
     // The process is paused from 101.5 to 108 s and then reads the answer that had arrived.
-    watch.answered(101 * S + S / 2);
-    assert!(watch.call(108 * S, false).wait <= 1_000);
-    watch.answered(108 * S);
-    assert!(watch.call(108 * S, false).wait >= 2 * S);
+    watch.on_answer(101 * S + S / 2);
+    assert!(watch.begin_call(108 * S, false).wait <= 1_000);
+    watch.on_answer(108 * S);
+    assert!(watch.begin_call(108 * S, false).wait >= 2 * S);
 }
 
 #[test]
@@ -41,13 +41,13 @@
     let mut watch = watch(false);
     let ends = watch.lease().ends_at();
     for failure in [Failure::Local, Failure::Refused, Failure::Broken, Failure::Silent] {
-        watch.call(102 * S, false);
-        watch.failed(102 * S + 50_000, failure);
+        watch.begin_call(102 * S, false);
+        watch.on_failure(102 * S + 50_000, failure);
         assert_eq!(watch.lease().ends_at(), ends, "{failure:?}");
     }
     // The lease counts from the start of the attempt, since discovery may have come back during it.
-    watch.connects(102 * S + 1);
-    watch.failed(104 * S, Failure::Unreachable);
+    watch.on_connecting(102 * S + 1);
+    watch.on_failure(104 * S, Failure::Unreachable);
     assert_eq!(watch.lease().ends_at(), Some(102 * S + 1 + MAX_PROPAGATION_US));
 }
 
@@ -57,55 +57,55 @@
     let before = watch.lease();
     let mut now = 102 * S;
     while now < 102 * S + 700_000 {
-        watch.connects(now);
-        now = watch.failed(now, Failure::Unreachable).min(now + 100_000);
+        watch.on_connecting(now);
+        now = watch.on_failure(now, Failure::Unreachable).min(now + 100_000);
     }
     assert_eq!(watch.lease(), before);
     // After a connection was established, a later failure begins a new run of failures.
-    watch.connected(now);
-    watch.connects(now + S);
-    watch.failed(now + S, Failure::Unreachable);
+    watch.on_connected(now);
+    watch.on_connecting(now + S);
+    watch.on_failure(now + S, Failure::Unreachable);
     assert_eq!(watch.lease(), before);
-    watch.connects(now + 2 * S);
-    watch.failed(now + 2 * S, Failure::Unreachable);
+    watch.on_connecting(now + 2 * S);
+    watch.on_failure(now + 2 * S, Failure::Unreachable);
     assert_eq!(watch.lease().ends_at(), Some(now + 2 * S + MAX_PROPAGATION_US));
 }
 
 #[test]
 fn a_list_of_unknown_age_is_invalid_until_discovery_has_answered_or_is_unreachable() {
-    let figures = Figures { pushed: false, fleet: 300, index: 7, grace: 0 };
+    let figures = WatchConfig { pushed: false, fleet_size: 300, index: 7, drain_grace: 0 };
     let new_watch = || Watch::new(100 * S, figures, Lease::unconfirmed(), 1);
     for failure in [Failure::Local, Failure::Refused, Failure::Broken, Failure::Silent] {
         let mut watch = new_watch();
-        assert!(!watch.lease().holds(100 * S));
+        assert!(!watch.lease().is_valid(100 * S));
         assert!(
-            watch.call(100 * S, false).wait <= 1_000,
+            watch.begin_call(100 * S, false).wait <= 1_000,
             "asks for the current state and does not wait for a change"
         );
-        watch.failed(100 * S + 1, failure);
-        assert!(!watch.lease().holds(100 * S + 2), "{failure:?}");
+        watch.on_failure(100 * S + 1, failure);
+        assert!(!watch.lease().is_valid(100 * S + 2), "{failure:?}");
     }
     // An ambiguous refusal only extends a valid lease, and here is none: the list may be of any age.
     let mut refused = new_watch();
     for second in 0..10 {
-        refused.call((100 + second) * S, false);
-        refused.failed((101 + second) * S, Failure::Refused);
-        assert!(!refused.lease().holds((101 + second) * S));
+        refused.begin_call((100 + second) * S, false);
+        refused.on_failure((101 + second) * S, Failure::Refused);
+        assert!(!refused.lease().is_valid((101 + second) * S));
     }
     let mut answered = new_watch();
-    answered.call(101 * S, false);
-    answered.answered(101 * S);
+    answered.begin_call(101 * S, false);
+    answered.on_answer(101 * S);
     assert_eq!((answered.lease().ends_at(), answered.lease().basis()), (Some(101 * S + MAX_PROPAGATION_US), Basis::Answer));
     let mut unreachable = new_watch();
-    unreachable.connects(101 * S);
-    unreachable.failed(102 * S, Failure::Unreachable);
+    unreachable.on_connecting(101 * S);
+    unreachable.on_failure(102 * S, Failure::Unreachable);
     assert_eq!(unreachable.lease().ends_at(), Some(101 * S + MAX_PROPAGATION_US));
 }
 
 #[test]
 fn a_stored_list_is_valid_for_the_remaining_time_of_its_lease() {
-    let lease = |age| Lease::kept(100 * S, 100 * S - age);
-    assert!(lease(MAX_PROPAGATION_US - 1).holds(100 * S) && !lease(MAX_PROPAGATION_US).holds(100 * S));
+    let lease = |age| Lease::restored(100 * S, 100 * S - age);
+    assert!(lease(MAX_PROPAGATION_US - 1).is_valid(100 * S) && !lease(MAX_PROPAGATION_US).is_valid(100 * S));
     assert_eq!(lease(2 * S).ends_at(), Some(104 * S));
     // A confirmation time in the future is not trusted.
     assert_eq!(lease(-S), Lease::unconfirmed());
@@ -115,15 +115,15 @@
 fn a_change_of_address_does_not_renew_the_lease() {
     let mut watch = watch(false);
     let before = watch.lease();
-    watch.moved();
+    watch.on_address_change();
     assert_eq!(watch.lease(), before);
 }
 
 #[test]
 fn the_first_call_is_due_within_a_second_for_any_fleet_size() {
     for fleet in [1, 2, 32, 300, 1_024] {
-        let figures = |index| Figures { pushed: false, fleet, index, grace: 0 };
-        let first = |index| Watch::new(0, figures(index), Lease::unconfirmed(), 1).first(123_456) - 123_456;
+        let figures = |index| WatchConfig { pushed: false, fleet_size: fleet, index, drain_grace: 0 };
+        let first = |index| Watch::new(0, figures(index), Lease::unconfirmed(), 1).first_call_at(123_456) - 123_456;
         assert!((0..fleet).map(first).all(|wait| (0..S).contains(&wait)), "{fleet} proxies");
     }
 }
@@ -133,16 +133,16 @@
     let mut outage = watch(false);
     let initial = outage.lease();
     for second in 1..100 {
-        outage.call((100 + second) * S, false);
-        outage.failed((101 + second) * S, Failure::Refused);
+        outage.begin_call((100 + second) * S, false);
+        outage.on_failure((101 + second) * S, Failure::Refused);
     }
     assert_eq!(outage.lease().ends_at(), initial.ends_at().map(|at| at + MAX_PROPAGATION_US), "after any number of refusals");
     // A discovery that refuses at once is up but overloaded, so its changes take effect, also behind a slow path.
     for dial in [20_000, 300_000] {
         let mut overload = watch(false);
         for second in 1..100 {
-            overload.call((100 + second) * S, false);
-            overload.failed((100 + second) * S + dial, Failure::Refused);
+            overload.begin_call((100 + second) * S, false);
+            overload.on_failure((100 + second) * S + dial, Failure::Refused);
         }
         assert_eq!(overload.lease(), initial);
     }
@@ -153,12 +153,12 @@
     let mut watch = watch(false);
     for n in 0..1_000 {
         let now = 100 * S + n * S / 10;
-        let again = watch.failed(now, Failure::Local) - now;
+        let again = watch.on_failure(now, Failure::Local) - now;
         assert!((10_000..=100_000).contains(&again), "{again} us");
     }
     // The lease has expired meanwhile, so the next call does not wait; its time limit is that of a first call.
-    let call = watch.call(201 * S, false);
-    assert_eq!((call.wait, call.within), (1_000, 2 * S));
+    let call = watch.begin_call(201 * S, false);
+    assert_eq!((call.wait, call.timeout), (1_000, 2 * S));
 }
 
 #[test]
@@ -167,18 +167,18 @@
     for index in 0..300 {
         let mut watch = Watch::new(
             0,
-            Figures { pushed: false, fleet: 300, index, grace: 0 },
-            Lease::kept(0, 0),
+            WatchConfig { pushed: false, fleet_size: 300, index, drain_grace: 0 },
+            Lease::restored(0, 0),
             u64::from(index),
         );
         let mut now = 0;
         while now < 600 * S {
-            watch.connects(now);
-            let again = watch.failed(now, Failure::Unreachable);
+            watch.on_connecting(now);
+            let again = watch.on_failure(now, Failure::Unreachable);
             assert!((1..=400_000).contains(&(again - now)), "{} us", again - now);
             now = again;
         }
-        ends.push(watch.connected(now));
+        ends.push(watch.on_connected(now));
     }
     let first = ends.iter().min().expect("some");
     for second in 0..3 {
--- a/crates/flintwell-list-watch/tests/overload.rs
+++ b/crates/flintwell-list-watch/tests/overload.rs
@@ -1,7 +1,7 @@
 //! Fleets of any size in virtual time, before a discovery that needs 1 to 30 s to answer one call of each proxy. From every
 //! initial state the fleet's call rate must settle below discovery's capacity, and every proxy must get its answer.
 
-use flintwell_list_watch::{Failure, Figures, Lease, Micros, Watch};
+use flintwell_list_watch::{Failure, WatchConfig, Lease, Micros, Watch};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -80,7 +80,7 @@
 fn simulate(pushed: bool, fleet: u32, round: Micros, overload: Overload, start: Start, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let started_at = 1_000 * S + rng.random_range(0..S);
-    let figures = |index| Figures { pushed, fleet, index, grace: 300 * MS };
+    let figures = |index| WatchConfig { pushed, fleet_size: fleet, index, drain_grace: 300 * MS };
     let calling = if start == Start::ThirdRestarted { fleet.div_ceil(3) } else { fleet };
     let reachable_from = match start {
         Start::Refusing(span) | Start::Unreachable(span) => started_at + span,
@@ -92,15 +92,15 @@
         // In a running fleet, each watch was answered within the last wait.
         let fresh = matches!(start, Start::All | Start::ThirdRestarted);
         let since = if fresh { started_at } else { started_at - rng.random_range(0..3_200 * MS) };
-        let lease = if fresh { Lease::unconfirmed() } else { Lease::kept(since, since) };
+        let lease = if fresh { Lease::unconfirmed() } else { Lease::restored(since, since) };
         let mut watch = Watch::new(since, figures(n * (fleet / calling)), lease, seed << 16 | u64::from(n));
         let at = match start {
-            Start::All | Start::ThirdRestarted => watch.first(started_at),
+            Start::All | Start::ThirdRestarted => watch.first_call_at(started_at),
             Start::Moved => {
-                watch.moved();
-                watch.slot(started_at)
+                watch.on_address_change();
+                watch.next_slot(started_at)
             }
-            _ => watch.failed(started_at, Failure::Broken),
+            _ => watch.on_failure(started_at, Failure::Broken),
         };
         watches.push(watch);
         due.insert((at, n as usize, false));
@@ -118,18 +118,18 @@
         }
         let watch = &mut watches[n];
         if !connected {
-            watch.connects(now);
+            watch.on_connecting(now);
         }
         if now < reachable_from && matches!(start, Start::Unreachable(_)) {
-            due.insert((watch.failed(now, Failure::Unreachable).max(now + MS), n, false));
+            due.insert((watch.on_failure(now, Failure::Unreachable).max(now + MS), n, false));
             continue;
         }
         if !connected {
-            due.insert((watch.connected(now), n, true));
+            due.insert((watch.on_connected(now), n, true));
             continue;
         }
         calls += 1;
-        let within = watch.call(now, true).within;
+        let within = watch.begin_call(now, true).timeout;
         let end = if now < reachable_from { End::Refused(now + S) } else { discovery.call(now) };
         let (failed, failure) = match end {
             End::Refused(at) => (at, Failure::Refused),
@@ -139,7 +139,7 @@
             }
         };
         if answered_at[n].is_none_or(|at| at > failed) {
-            due.insert((watch.failed(failed, failure).max(failed + MS), n, false));
+            due.insert((watch.on_failure(failed, failure).max(failed + MS), n, false));
         }
     }
     let all: Option<Vec<Micros>> = answered_at.into_iter().collect();
--- a/crates/flintwell-list-watch/tests/starts.rs
+++ b/crates/flintwell-list-watch/tests/starts.rs
@@ -1,6 +1,6 @@
 //! A server's start is dated by this process's clock, whatever the wall clock of the list gives.
 
-use flintwell_list_watch::{Micros, Starts};
+use flintwell_list_watch::{Micros, NodeStarts};
 
 const S: Micros = 1_000_000; // microseconds in a second
 const HOUR: Micros = 3_600 * S;
@@ -8,13 +8,13 @@
 
 #[test]
 fn a_plausible_start_is_accepted_as_listed_and_kept() {
-    let mut starts = Starts::default();
-    assert_eq!(starts.learn("long ago", 0, None, NOW), 0);
-    assert_eq!(starts.learn("first list", NOW - 5 * HOUR, None, NOW), NOW - 5 * HOUR);
-    assert_eq!(starts.learn("new", NOW + S, Some(NOW), NOW + 2 * S), NOW + S);
-    assert_eq!(starts.learn("listed late", NOW - 20 * S, Some(NOW), NOW + 2 * S), NOW - 20 * S);
+    let mut starts = NodeStarts::default();
+    assert_eq!(starts.record("long ago", 0, None, NOW), 0);
+    assert_eq!(starts.record("first list", NOW - 5 * HOUR, None, NOW), NOW - 5 * HOUR);
+    assert_eq!(starts.record("new", NOW + S, Some(NOW), NOW + 2 * S), NOW + S);
+    assert_eq!(starts.record("listed late", NOW - 20 * S, Some(NOW), NOW + 2 * S), NOW - 20 * S);
     // Listed again, it stays the same.
-    assert_eq!(starts.learn("first list", NOW - 5 * HOUR, Some(NOW), NOW + HOUR), NOW - 5 * HOUR);
+    assert_eq!(starts.record("first list", NOW - 5 * HOUR, Some(NOW), NOW + HOUR), NOW - 5 * HOUR);
     assert_eq!(starts.started_at("new"), Some(NOW + S));
     assert_eq!(starts.started_at("never listed"), None);
 }
@@ -23,25 +23,25 @@
 fn a_restart_listed_by_a_clock_that_is_an_hour_off_is_dated_now() {
     for step in [-HOUR, HOUR] {
         for before in [0, NOW - 3 * HOUR] {
-            let mut starts = Starts::default();
-            starts.learn("server", before, None, NOW);
+            let mut starts = NodeStarts::default();
+            starts.record("server", before, None, NOW);
             let listed_at = NOW + S + step;
-            assert_eq!(starts.learn("server", listed_at, Some(NOW), NOW + 2 * S), NOW + 2 * S, "{step}");
+            assert_eq!(starts.record("server", listed_at, Some(NOW), NOW + 2 * S), NOW + 2 * S, "{step}");
             // Its warm-up continues from then on.
-            assert_eq!(starts.learn("server", listed_at, Some(NOW + 9 * S), NOW + 10 * S), NOW + 2 * S);
+            assert_eq!(starts.record("server", listed_at, Some(NOW + 9 * S), NOW + 10 * S), NOW + 2 * S);
         }
     }
 }
 
 #[test]
 fn unlisted_servers_are_removed_once_many_are_recorded() {
-    let mut starts = Starts::default();
+    let mut starts = NodeStarts::default();
     for server in 0..20_000 {
-        starts.learn(&format!("s{server}"), NOW - S, None, NOW);
+        starts.record(&format!("s{server}"), NOW - S, None, NOW);
     }
-    starts.forget(|server| server == "s7");
+    starts.prune(|server| server == "s7");
     assert_eq!((starts.started_at("s7"), starts.started_at("s8")), (Some(NOW - S), None));
-    starts.learn("s8", NOW, Some(NOW), NOW);
-    starts.forget(|_| false);
+    starts.record("s8", NOW, Some(NOW), NOW);
+    starts.prune(|_| false);
     assert_eq!(starts.started_at("s8"), Some(NOW), "few records are all kept");
 }
--- a/crates/flintwell-membership/src/seal.rs
+++ b/crates/flintwell-membership/src/datagram.rs
@@ -19,16 +19,16 @@
 
 /// What a datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum PayloadKind {
     /// A packet of the membership protocol.
     Membership,
     /// A message of another subsystem.
-    Word,
+    Message,
 }
 
 /// Datagrams that were dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Dropped {
+pub struct DropCounts {
     /// Truncated, oversized or not decodable.
     pub malformed: u64,
     /// Of another version of the frame.
@@ -56,7 +56,7 @@
 }
 
 /// Frames and authenticates outgoing datagrams and checks received ones.
-pub struct Seal {
+pub struct DatagramCodec {
     cluster: [u8; 4],
     key: Option<Hmac<Sha256>>,
     number: u32,
@@ -67,13 +67,13 @@
     fleet: u32,
     senders: BTreeMap<u32, Sender>,
     /// Received datagrams that were dropped, by cause.
-    pub dropped: Dropped,
+    pub dropped: DropCounts,
 }
 
 /// Contents of a received datagram.
 pub struct Opened<'a> {
     /// What the body is.
-    pub kind: Kind,
+    pub kind: PayloadKind,
     /// Number of the sender.
     pub from: u32,
     /// Incarnation of the sender.
@@ -82,13 +82,13 @@
     pub body: &'a [u8],
 }
 
-impl Seal {
+impl DatagramCodec {
     /// Creates a codec for the member `number`. `life` grows with each start of a process under this number. An empty
     /// key disables authentication.
     pub fn new(cluster: &str, key: &[u8], fleet: u32, number: u32, life: u64) -> Self {
         let hash = Sha256::digest(cluster.as_bytes());
         let key = Some(key).filter(|key| !key.is_empty());
-        Seal {
+        DatagramCodec {
             cluster: [hash[0], hash[1], hash[2], hash[3]],
             // HMAC accepts keys of any length.
             key: key.and_then(|key| Hmac::new_from_slice(key).ok()),
@@ -97,12 +97,12 @@
             sequence: 0,
             fleet,
             senders: BTreeMap::new(),
-            dropped: Dropped::default(),
+            dropped: DropCounts::default(),
         }
     }
 
     /// Frames a body; returns `None` if it is too long.
-    pub fn close(&mut self, kind: Kind, body: &[u8]) -> Option<Vec<u8>> {
+    pub fn seal(&mut self, kind: PayloadKind, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > MAX_BODY_BYTES {
             return None;
         }
@@ -110,7 +110,7 @@
         let mut datagram = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         datagram.push(VERSION);
         datagram.extend(self.cluster);
-        datagram.push(u8::from(kind == Kind::Word));
+        datagram.push(u8::from(kind == PayloadKind::Message));
         datagram.extend(self.number.to_be_bytes());
         datagram.extend(self.life.to_be_bytes());
         datagram.extend(self.sequence.to_be_bytes());
@@ -176,7 +176,7 @@
             dropped.flooded += 1;
             return None;
         }
-        let kind = if kind == 1 { Kind::Word } else { Kind::Membership };
+        let kind = if kind == 1 { PayloadKind::Message } else { PayloadKind::Membership };
         Some(Opened { kind, from, life, body })
     }
 }
--- a/crates/flintwell-membership/src/lib.rs
+++ b/crates/flintwell-membership/src/lib.rs
@@ -4,4 +4,4 @@
 //! protection of the other members against a local process pause.
 
 pub mod member;
-pub mod seal;
+pub mod datagram;
--- a/crates/flintwell-membership/src/member.rs
+++ b/crates/flintwell-membership/src/member.rs
@@ -1,6 +1,6 @@
 //! One fleet member: takes received datagrams and the time, sends datagrams and tracks which members are alive.
 
-use crate::seal::{MAX_BODY_BYTES, Dropped, Kind, Seal};
+use crate::datagram::{MAX_BODY_BYTES, DropCounts, PayloadKind, DatagramCodec};
 use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, State, Timer};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -25,49 +25,50 @@
 
 /// Identity of one process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Id {
+pub struct MemberId {
     /// Number of the member within the fleet.
     pub number: u32,
     /// Address at which the member receives datagrams.
     pub addr: SocketAddr,
     /// Grows with each start under this number, and when the member was wrongly declared down.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
 }
 
-impl Identity for Id {
+impl Identity for MemberId {
     type Addr = SocketAddr;
     fn renew(&self) -> Option<Self> {
-        Some(Id { life: self.life + 1, ..self.clone() })
+        Some(MemberId { generation: self.generation + 1, ..self.clone() })
     }
     fn addr(&self) -> SocketAddr {
         self.addr
     }
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        self.life > other.life
+        self.generation > other.generation
     }
 }
 
 /// Sends datagrams and delivers received messages to the host.
-pub trait Wire {
+pub trait Transport {
     /// Sends one datagram; it may be lost.
-    fn sends(&mut self, to: SocketAddr, datagram: &[u8]);
+    fn send(&mut self, to: SocketAddr, datagram: &[u8]);
     /// Delivers a message that a member sent with [`Member::tells`].
-    fn hears(&mut self, from: &Id, message: &[u8]);
+    fn deliver(&mut self, from: &MemberId, message: &[u8]);
 }
 
 /// Transport that buffers outgoing datagrams and delivered messages for a host that processes them after the call.
 #[derive(Default)]
-pub struct Mail {
-    pub sends: Vec<(SocketAddr, Vec<u8>)>,
-    pub heard: Vec<(Id, Vec<u8>)>,
+pub struct BufferedTransport {
+    pub outgoing: Vec<(SocketAddr, Vec<u8>)>,
+    pub delivered: Vec<(MemberId, Vec<u8>)>,
 }
 
-impl Wire for Mail {
-    fn sends(&mut self, to: SocketAddr, datagram: &[u8]) {
-        self.sends.push((to, datagram.to_vec()));
+impl Transport for BufferedTransport {
+    fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
+        self.outgoing.push((to, datagram.to_vec()));
     }
-    fn hears(&mut self, from: &Id, message: &[u8]) {
-        self.heard.push((from.clone(), message.to_vec()));
+    fn deliver(&mut self, from: &MemberId, message: &[u8]) {
+        self.delivered.push((from.clone(), message.to_vec()));
     }
 }
 
@@ -78,33 +79,33 @@
     /// Key of the authentication tag; empty for no authentication.
     pub key: Vec<u8>,
     /// Identity of this process.
-    pub id: Id,
+    pub id: MemberId,
     /// Addresses of members to announce to until they are known to be alive.
     pub seeds: Vec<SocketAddr>,
     /// Size of the fleet; member numbers are below it.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Seed of the random number generator.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
 
-type Protocol = Foca<Id, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>;
+type Protocol = Foca<MemberId, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>;
 
 /// Actions that the protocol requests during one call.
 #[derive(Default)]
 struct ProtocolActions {
-    sends: Vec<(Id, Vec<u8>)>,
-    timers: Vec<(Duration, Timer<Id>)>,
+    sends: Vec<(MemberId, Vec<u8>)>,
+    timers: Vec<(Duration, Timer<MemberId>)>,
     downs: u64,
 }
 
-impl Runtime<Id> for &mut ProtocolActions {
-    fn notify(&mut self, notification: Notification<'_, Id>) {
+impl Runtime<MemberId> for &mut ProtocolActions {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
         self.downs += u64::from(matches!(notification, Notification::MemberDown(_)));
     }
-    fn send_to(&mut self, to: Id, data: &[u8]) {
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
         self.sends.push((to, data.to_vec()));
     }
-    fn submit_after(&mut self, event: Timer<Id>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
         self.timers.push((after, event));
     }
 }
@@ -112,26 +113,26 @@
 /// One member of the fleet; does no I/O and is driven by its host.
 pub struct Member {
     protocol: Protocol,
-    seal: Seal,
+    seal: DatagramCodec,
     seeds: Vec<SocketAddr>,
     next_seed: usize,
     next_seed_announce_at: u64,
     /// Pending timers by time on the protocol's clock and by id.
-    timers: BTreeMap<(u64, u64), Timer<Id>>,
+    timers: BTreeMap<(u64, u64), Timer<MemberId>>,
     last_timer_id: u64,
     /// Sum of the pauses of this process; the protocol's clock excludes them.
     paused_ms: u64,
     /// Members declared down since the start.
-    pub downs: u64,
+    pub declared_down: u64,
     /// Datagrams sent since the start.
-    pub sent: u64,
+    pub datagrams_sent: u64,
     /// Bytes of datagrams sent since the start.
-    pub sent_bytes: u64,
+    pub bytes_sent: u64,
 }
 
 /// State of one known member, as the status endpoint shows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Standing {
+pub struct MemberStatus {
     /// Number of the member within the fleet.
     pub number: u32,
     /// Address at which the member receives datagrams.
@@ -160,9 +161,9 @@
 
 impl Member {
     /// Creates a member. `now` is in ms, like all times here, on a monotonic clock with any origin.
-    pub fn start(now: u64, settings: Settings) -> Self {
-        let Settings { cluster, key, id, seeds, fleet, seed } = settings;
-        let seal = Seal::new(&cluster, &key, fleet, id.number, id.life);
+    pub fn new(now: u64, settings: Settings) -> Self {
+        let Settings { cluster, key, id, seeds, fleet_size: fleet, rng_seed: seed } = settings;
+        let seal = DatagramCodec::new(&cluster, &key, fleet, id.number, id.generation);
         let seeds = seeds.into_iter().filter(|seed| *seed != id.addr).collect();
         let protocol = Foca::new(id, config(fleet), ChaCha8Rng::seed_from_u64(seed), PostcardCodec);
         Member {
@@ -174,23 +175,23 @@
             timers: BTreeMap::new(),
             last_timer_id: 0,
             paused_ms: 0,
-            downs: 0,
-            sent: 0,
-            sent_bytes: 0,
+            declared_down: 0,
+            datagrams_sent: 0,
+            bytes_sent: 0,
         }
     }
 
     /// Time at which [`Member::tick`] must be called next.
-    pub fn due(&self) -> u64 {
+    pub fn next_tick_at(&self) -> u64 {
         let timer = self.timers.first_key_value().map_or(u64::MAX, |(key, _)| key.0 + self.paused_ms);
         timer.min(self.next_seed_announce_at)
     }
 
     /// Runs the timers that have expired and announces this member to a seed that is not known to be alive.
-    pub fn tick(&mut self, now: u64, transport: &mut impl Wire) {
+    pub fn tick(&mut self, now: u64, transport: &mut impl Transport) {
         // Danger: after a pause of this process, all pending probes would time out at once, and it would gossip that all
         // other members are suspect. The pause is therefore excluded from the protocol's clock.
-        let late = now.saturating_sub(self.due());
+        let late = now.saturating_sub(self.next_tick_at());
         if late > PAUSE_THRESHOLD_MS {
             self.paused_ms += late;
         }
@@ -215,21 +216,21 @@
                 self.next_seed = (self.next_seed + 1) % unknown.len();
                 let addr = unknown[self.next_seed];
                 // The seed's number and incarnation are unknown; an announcement needs only its address.
-                let seed = Id { number: u32::MAX, addr, life: 0 };
+                let seed = MemberId { number: u32::MAX, addr, generation: 0 };
                 self.run_protocol(now, transport, |protocol, actions| drop(protocol.announce(seed, actions)));
             }
         }
     }
 
     /// Processes one received datagram.
-    pub fn receives(&mut self, now: u64, datagram: &[u8], transport: &mut impl Wire) {
+    pub fn handle_datagram(&mut self, now: u64, datagram: &[u8], transport: &mut impl Transport) {
         let Some(opened) = self.seal.open(now, datagram) else { return };
         match opened.kind {
-            Kind::Word => match self.protocol.iter_members().find(|one| one.id().number == opened.from) {
-                Some(from) => transport.hears(&from.id().clone(), opened.body),
+            PayloadKind::Message => match self.protocol.iter_members().find(|one| one.id().number == opened.from) {
+                Some(from) => transport.deliver(&from.id().clone(), opened.body),
                 None => self.seal.dropped.unknown += 1,
             },
-            Kind::Membership => {
+            PayloadKind::Membership => {
                 let mut is_malformed = false;
                 self.run_protocol(now, transport, |protocol, actions| {
                     is_malformed = matches!(
@@ -243,49 +244,49 @@
     }
 
     /// Sends a message of another subsystem to one member. Delivery is best effort: it may be lost, duplicated or late.
-    pub fn tells(&mut self, to: &Id, message: &[u8], transport: &mut impl Wire) {
-        self.send_datagram(to.addr, Kind::Word, message, transport);
+    pub fn send_message(&mut self, to: &MemberId, message: &[u8], transport: &mut impl Transport) {
+        self.send_datagram(to.addr, PayloadKind::Message, message, transport);
     }
 
-    fn send_datagram(&mut self, to: SocketAddr, kind: Kind, body: &[u8], transport: &mut impl Wire) {
-        if let Some(datagram) = self.seal.close(kind, body) {
-            (self.sent, self.sent_bytes) = (self.sent + 1, self.sent_bytes + datagram.len() as u64);
-            transport.sends(to, &datagram);
+    fn send_datagram(&mut self, to: SocketAddr, kind: PayloadKind, body: &[u8], transport: &mut impl Transport) {
+        if let Some(datagram) = self.seal.seal(kind, body) {
+            (self.datagrams_sent, self.bytes_sent) = (self.datagrams_sent + 1, self.bytes_sent + datagram.len() as u64);
+            transport.send(to, &datagram);
         }
     }
 
     /// Announces to the other members that this one leaves.
-    pub fn leaves(&mut self, now: u64, transport: &mut impl Wire) {
+    pub fn leave(&mut self, now: u64, transport: &mut impl Transport) {
         self.run_protocol(now, transport, |protocol, actions| drop(protocol.leave_cluster(actions)));
     }
 
     /// Identity of this member.
-    pub fn id(&self) -> &Id {
+    pub fn id(&self) -> &MemberId {
         self.protocol.identity()
     }
 
     /// The other members that are alive or suspect, by number.
-    pub fn others(&self) -> Vec<Id> {
-        let mut others: Vec<Id> = self.protocol.iter_members().map(|one| one.id().clone()).collect();
+    pub fn peers(&self) -> Vec<MemberId> {
+        let mut others: Vec<MemberId> = self.protocol.iter_members().map(|one| one.id().clone()).collect();
         others.sort_by_key(|id| id.number);
         others
     }
 
     /// Received datagrams that were dropped, by cause.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DropCounts {
         self.seal.dropped
     }
 
     /// State of each known member, by number.
-    pub fn standings(&self) -> Vec<Standing> {
+    pub fn member_statuses(&self) -> Vec<MemberStatus> {
         let state = |state: State| match state {
             State::Alive => "alive",
             State::Suspect => "suspect",
             State::Down => "gone",
         };
         let members = self.protocol.iter_membership_state();
-        let mut all: Vec<Standing> = members
-            .map(|one| Standing {
+        let mut all: Vec<MemberStatus> = members
+            .map(|one| MemberStatus {
                 number: one.id().number,
                 addr: one.id().addr.to_string(),
                 state: state(one.state()).into(),
@@ -296,17 +297,17 @@
     }
 
     /// Calls the protocol, then sends what it asked to send and sets the timers it asked for.
-    fn run_protocol(&mut self, now: u64, transport: &mut impl Wire, call: impl FnOnce(&mut Protocol, &mut ProtocolActions)) {
+    fn run_protocol(&mut self, now: u64, transport: &mut impl Transport, call: impl FnOnce(&mut Protocol, &mut ProtocolActions)) {
         let mut actions = ProtocolActions::default();
         call(&mut self.protocol, &mut actions);
-        self.downs += actions.downs;
+        self.declared_down += actions.downs;
         for (after, timer) in actions.timers {
             self.last_timer_id += 1;
             let at = now.saturating_sub(self.paused_ms) + after.as_millis() as u64;
             self.timers.insert((at, self.last_timer_id), timer);
         }
         for (to, body) in actions.sends {
-            self.send_datagram(to.addr, Kind::Membership, &body, transport);
+            self.send_datagram(to.addr, PayloadKind::Membership, &body, transport);
         }
     }
 }
--- a/crates/flintwell-membership/tests/fleet.rs
+++ b/crates/flintwell-membership/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Fleets in virtual time over a simulated network that loses, duplicates and delays datagrams and can be partitioned.
 
-use flintwell_membership::member::{Id, Member, Settings, Wire};
+use flintwell_membership::member::{MemberId, Member, Settings, Transport};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,12 +15,12 @@
     heard: &'a mut usize,
 }
 
-impl Wire for MemberTransport<'_> {
-    fn sends(&mut self, to: SocketAddr, datagram: &[u8]) {
+impl Transport for MemberTransport<'_> {
+    fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
         assert!(datagram.len() <= 256, "{} bytes", datagram.len());
         self.flights.push((self.from, to, datagram.to_vec()));
     }
-    fn hears(&mut self, _: &Id, _: &[u8]) {
+    fn deliver(&mut self, _: &MemberId, _: &[u8]) {
         *self.heard += 1;
     }
 }
@@ -78,12 +78,12 @@
         let settings = Settings {
             cluster: "c".into(),
             key: b"key".to_vec(),
-            id: Id { number: n as u32, addr: addr(n), life },
+            id: MemberId { number: n as u32, addr: addr(n), generation: life },
             seeds: (0..3).map(addr).collect(),
-            fleet: self.size,
-            seed: self.rng.random(),
+            fleet_size: self.size,
+            rng_seed: self.rng.random(),
         };
-        self.members[n] = Some(Member::start(self.now, settings));
+        self.members[n] = Some(Member::new(self.now, settings));
     }
 
     /// Runs the network in steps of 20 ms.
@@ -97,7 +97,7 @@
                 let paused = self.paused.get(&n).is_some_and(|&until| self.now < until);
                 let mut out = MemberTransport { from: n, flights: &mut flights, heard: &mut self.heard };
                 if let Some(member) =
-                    self.members[n].as_mut().filter(|member| !paused && member.due() <= self.now)
+                    self.members[n].as_mut().filter(|member| !paused && member.next_tick_at() <= self.now)
                 {
                     member.tick(self.now, &mut out);
                 }
@@ -113,7 +113,7 @@
                 }
                 let mut out = MemberTransport { from: n, flights: &mut flights, heard: &mut self.heard };
                 if let Some(member) = self.members.get_mut(n).and_then(Option::as_mut) {
-                    member.receives(self.now, &datagram, &mut out);
+                    member.handle_datagram(self.now, &datagram, &mut out);
                 }
             }
             for (from, to, datagram) in flights {
@@ -132,14 +132,14 @@
 
     /// For each running member, how many others it knows.
     fn known(&self) -> Vec<usize> {
-        self.members.iter().flatten().map(|member| member.others().len()).collect()
+        self.members.iter().flatten().map(|member| member.peers().len()).collect()
     }
     fn is_converged(&self) -> bool {
         let there = self.members.iter().flatten().count();
         self.known().iter().all(|&known| known == there - 1)
     }
     fn downs(&self) -> u64 {
-        self.members.iter().flatten().map(|member| member.downs).sum()
+        self.members.iter().flatten().map(|member| member.declared_down).sum()
     }
     /// Runs until every running member knows all others; returns the time taken.
     fn run_until_converged(&mut self, max_ms: u64) -> u64 {
@@ -167,9 +167,9 @@
     let (now, mut flights) = (net.now, Vec::new());
     let mut out = MemberTransport { from: 7, flights: &mut flights, heard: &mut net.heard };
     let seven = net.members[7].as_mut().expect("there");
-    let to = seven.others()[0].clone();
-    seven.tells(&to, b"message", &mut out);
-    seven.leaves(now, &mut out);
+    let to = seven.peers()[0].clone();
+    seven.send_message(&to, b"message", &mut out);
+    seven.leave(now, &mut out);
     net.members[7] = None;
     for flight in flights {
         net.count += 1;
@@ -190,7 +190,7 @@
     net.is_cut = Box::new(|_, _| false);
     net.paused.insert(3, net.now + 6_000);
     net.run(6_500);
-    let declared_down = net.members[3].as_ref().map(|member| member.downs);
+    let declared_down = net.members[3].as_ref().map(|member| member.declared_down);
     assert_eq!(declared_down, Some(0), "it declared others down when it resumed");
     net.run_until_converged(40_000);
     assert!(net.is_converged(), "{:?}", net.known());
@@ -219,7 +219,7 @@
         println!("{count}: converged after {took_ms} ms");
         assert!(net.is_converged(), "{count}: {:?}", net.known());
         let sum = |net: &Net| {
-            net.members.iter().flatten().fold((0, 0), |sum, one| (sum.0 + one.sent, sum.1 + one.sent_bytes))
+            net.members.iter().flatten().fold((0, 0), |sum, one| (sum.0 + one.datagrams_sent, sum.1 + one.bytes_sent))
         };
         let before = sum(&net);
         net.run(10_000);
--- a/crates/flintwell-rig/src/rollouts.rs
+++ b/crates/flintwell-rig/src/rollouts.rs
@@ -298,7 +298,7 @@
 /// Where a member says it stands.
 async fn status(at: std::net::SocketAddr) -> Option<Value> {
     let path = "/api/rollout/status";
-    let called = flintwell_call::call(at, Method::GET, path, Default::default(), ANSWERS).await;
+    let called = flintwell_call::send_request(at, Method::GET, path, Default::default(), ANSWERS).await;
     serde_json::from_slice(&called.ok()?.1).ok()
 }
 
--- a/crates/flintwell-shared-limits/src/lib.rs
+++ b/crates/flintwell-shared-limits/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each member owns an equal part of the limit, in units. Units move between members only as short loans ([`loans`]). How
 //! many fetches per second a unit is worth is learned by the whole fleet from what the origin accepted and refused
-//! ([`share`]).
+//! ([`limit`]).
 
 pub mod loans;
-pub mod share;
+pub mod limit;
--- a/crates/flintwell-shared-limits/src/share.rs
+++ b/crates/flintwell-shared-limits/src/limit.rs
@@ -6,7 +6,7 @@
 //! is refused, the accepted rate is taken as the origin's capacity and the worth falls to it; while few are refused, the
 //! worth rises. Units are borrowed from members that have some to spare.
 
-use crate::loans::{EACH, KEPT, Loans};
+use crate::loans::{UNITS_PER_MEMBER, KEPT, Loans};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 /// Length of a gossip round; a few rounds a second, with one or two datagrams each, cost next to nothing.
-pub const ROUND: u64 = 250;
+pub const ROUND_MS: u64 = 250;
 const GOSSIP_FANOUT: usize = 2; // peers per round; each also receives as many reports on average, whatever the fleet's size
 const OWN_WEIGHT: f64 = 0.25; // weight of the last own round in the means; the rest are earlier rounds and peers' reports
 const DEMAND_WEIGHT: f64 = 0.3; // weight of a round in the mean demand; loans for the chance of a single round would only cost messages
@@ -39,32 +39,38 @@
 
 /// Messages between the members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum LimitMessage {
     /// The sender's estimates of the fleet's means, in fetches per member and second, of the worth of a unit, and the units
     /// that it can lend.
-    Told {
-        taken: f32,
+    #[serde(rename = "Told")]
+    Report {
+        #[serde(rename = "taken")]
+        accepted: f32,
         refused: f32,
         worth: Option<f32>,
-        spare: u32,
+        #[serde(rename = "spare")]
+        spare_units: u32,
     },
     /// Requests a loan of units.
-    Ask {
+    #[serde(rename = "Ask")]
+    LoanRequest {
         loan: u64,
         units: u32,
     },
     /// Grants a loan.
-    Grant {
+    #[serde(rename = "Grant")]
+    LoanGrant {
         loan: u64,
         units: u32,
     },
     /// Returns a loan before its end.
-    Back {
+    #[serde(rename = "Back")]
+    LoanReturn {
         loan: u64,
     },
 }
 
-impl Word {
+impl LimitMessage {
     /// Serializes the message.
     pub fn encode(&self) -> Vec<u8> {
         // Serialization into a vector cannot fail.
@@ -73,10 +79,10 @@
 
     /// Parses a message; returns `None` if it is malformed or holds a negative or non-finite number.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let message: Word = postcard::from_bytes(bytes).ok()?;
+        let message: LimitMessage = postcard::from_bytes(bytes).ok()?;
         let is_valid = |number: f32| number.is_finite() && number >= 0.0;
         match &message {
-            Word::Told { taken, refused, worth, .. } => {
+            LimitMessage::Report { accepted: taken, refused, worth, .. } => {
                 (is_valid(*taken) && is_valid(*refused) && worth.is_none_or(|worth| is_valid(worth) && worth > 0.0))
                     .then_some(message)
             }
@@ -87,18 +93,18 @@
 
 /// Fetches that this proxy counted since its start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counted {
+pub struct FetchCounts {
     /// Fetches that its requests needed.
-    pub wanted: u64,
+    pub demanded: u64,
     /// Fetches that the origin accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Fetches that the origin refused.
     pub refused: u64,
 }
 
 /// The limit of one proxy, as the status endpoint shows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Standing {
+pub struct LimitStatus {
     /// Units that this proxy may use; a member owns 1,024.
     pub units: u32,
     /// Borrowed units among them.
@@ -106,17 +112,18 @@
     /// Fetches per second that this proxy may send; `None` if no limit is known.
     pub rate: Option<f64>,
     /// Accepted fetches per member and second, as a mean over the fleet.
-    pub taken: f64,
+    #[serde(rename = "taken")]
+    pub accepted: f64,
     /// Refused fetches per member and second, as a mean over the fleet.
     pub refused: f64,
 }
 
 /// The shared fetch limit of one proxy. Times are in ms on its own monotonic clock.
-pub struct Share {
+pub struct SharedLimit {
     rng: ChaCha8Rng,
     loans: Loans,
     /// Counts at the end of the last round.
-    last: Counted,
+    last: FetchCounts,
     rounds: u32,
     /// Mean demand of this proxy, in fetches per second.
     wanted: f64,
@@ -136,13 +143,13 @@
     fleet: f64,
 }
 
-impl Share {
+impl SharedLimit {
     /// Creates the limit of a member that starts at `now`. `fleet` members own units, whether or not they are alive.
-    pub fn start(now: u64, life: u64, fleet: u32, seed: u64) -> Self {
-        Share {
+    pub fn new(now: u64, life: u64, fleet: u32, seed: u64) -> Self {
+        SharedLimit {
             rng: ChaCha8Rng::seed_from_u64(seed),
             loans: Loans::start(now, life),
-            last: Counted::default(),
+            last: FetchCounts::default(),
             rounds: 0,
             wanted: 0.0,
             mean_taken: 0.0,
@@ -162,41 +169,41 @@
     }
 
     /// Units that this proxy may use now.
-    pub fn units(&self, now: u64) -> u32 {
+    pub fn usable_units(&self, now: u64) -> u32 {
         self.loans.has(now)
     }
 
     /// The limit as the status endpoint shows it.
-    pub fn standing(&self, now: u64) -> Standing {
-        Standing {
+    pub fn status(&self, now: u64) -> LimitStatus {
+        LimitStatus {
             units: self.loans.has(now),
             borrowed: self.loans.borrowed_until(now),
             rate: self.rate(now),
-            taken: self.mean_taken,
+            accepted: self.mean_taken,
             refused: self.mean_refused,
         }
     }
 
     /// Runs one gossip round with the counts so far and the members alive; returns the messages to send.
-    pub fn round(&mut self, now: u64, counted: Counted, others: &[u32]) -> Vec<(u32, Word)> {
-        let rounds_per_second = 1_000.0 / ROUND as f64;
+    pub fn run_round(&mut self, now: u64, counted: FetchCounts, others: &[u32]) -> Vec<(u32, LimitMessage)> {
+        let rounds_per_second = 1_000.0 / ROUND_MS as f64;
         let per_second = |now: u64, last: u64| now.saturating_sub(last) as f64 * rounds_per_second;
         let last = std::mem::replace(&mut self.last, counted);
-        self.wanted += DEMAND_WEIGHT * (per_second(counted.wanted, last.wanted) - self.wanted);
+        self.wanted += DEMAND_WEIGHT * (per_second(counted.demanded, last.demanded) - self.wanted);
         // Danger: means that start from zero and move slowly would make the first limit a fraction of the accepted rate.
         // The first rounds therefore weigh equally.
         let weight = OWN_WEIGHT.max(1.0 / f64::from(self.rounds + 1));
         self.rounds = self.rounds.saturating_add(1);
-        self.mean_taken += weight * (per_second(counted.taken, last.taken) - self.mean_taken);
+        self.mean_taken += weight * (per_second(counted.accepted, last.accepted) - self.mean_taken);
         self.mean_refused += weight * (per_second(counted.refused, last.refused) - self.mean_refused);
         self.spare.retain(|number, report| now < report.1 + REPORT_TTL_MS && others.contains(number));
         self.update_worth(now);
         let mut messages = self.update_loans(now, others);
-        let report = Word::Told {
-            taken: self.mean_taken as f32,
+        let report = LimitMessage::Report {
+            accepted: self.mean_taken as f32,
             refused: self.mean_refused as f32,
             worth: self.worth.map(|worth| worth as f32),
-            spare: self.spare_units(now),
+            spare_units: self.spare_units(now),
         };
         messages.extend(others.choose_multiple(&mut self.rng, GOSSIP_FANOUT).map(|&other| (other, report.clone())));
         messages
@@ -221,7 +228,7 @@
             self.mean_refused = taken * SPARE_REFUSED_SHARE;
         } else if let Some(worth) = self.worth.filter(|_| share < SPARE_REFUSED_SHARE) {
             let factor = if share < CLEAR_REFUSED_SHARE { CLEAR_INCREASE_FACTOR } else { INCREASE_FACTOR };
-            let utilization = self.need() as f64 / f64::from(EACH);
+            let utilization = self.need() as f64 / f64::from(UNITS_PER_MEMBER);
             let removable = now >= self.low_refusals_since + LIMIT_REMOVAL_MS && utilization < MIN_UTILIZATION;
             self.worth = if removable { None } else { Some(if utilization > MIN_UTILIZATION { worth * factor } else { worth }) };
         }
@@ -242,13 +249,13 @@
     }
 
     /// Returns loans that are no longer needed and requests those that are.
-    fn update_loans(&mut self, now: u64, others: &[u32]) -> Vec<(u32, Word)> {
+    fn update_loans(&mut self, now: u64, others: &[u32]) -> Vec<(u32, LimitMessage)> {
         let mut messages = Vec::new();
         let need = self.need();
         let own_units = self.loans.has(now) - self.loans.borrowed_until(now);
         let keep = need.saturating_sub(own_units);
         let returned = self.loans.gives_back(now, keep);
-        messages.extend(returned.into_iter().map(|(owner, loan)| (owner, Word::Back { loan })));
+        messages.extend(returned.into_iter().map(|(owner, loan)| (owner, LimitMessage::LoanReturn { loan })));
         let missing = need.saturating_sub(own_units + self.loans.borrowed_until(now + RENEW_AHEAD_MS));
         if self.worth.is_none() || missing < MIN_LOAN_UNITS {
             return messages;
@@ -270,7 +277,7 @@
         }
         for owner in chosen {
             if let Some(loan) = self.loans.asks(now, owner) {
-                messages.push((owner, Word::Ask { loan, units: missing.min(EACH) }));
+                messages.push((owner, LimitMessage::LoanRequest { loan, units: missing.min(UNITS_PER_MEMBER) }));
             }
             // Other members ask for these units too, so the report is not used twice.
             self.spare.remove(&owner);
@@ -279,9 +286,9 @@
     }
 
     /// Processes a message of a peer; returns the reply, if any.
-    pub fn hears(&mut self, now: u64, from: u32, message: Word) -> Option<Word> {
+    pub fn handle_message(&mut self, now: u64, from: u32, message: LimitMessage) -> Option<LimitMessage> {
         match message {
-            Word::Told { taken, refused, worth, spare } => {
+            LimitMessage::Report { accepted: taken, refused, worth, spare_units: spare } => {
                 let bounded = |own: f64, reported: f32| f64::from(reported).min(own * 2.0 + MIN_FLEET_RATE);
                 self.mean_taken = (self.mean_taken + bounded(self.mean_taken, taken)) / 2.0;
                 self.mean_refused = (self.mean_refused + bounded(self.mean_refused, refused)) / 2.0;
@@ -295,15 +302,15 @@
                 }
                 self.record_spare(now, from, spare)
             }
-            Word::Ask { loan, units } => {
+            LimitMessage::LoanRequest { loan, units } => {
                 let units = self.loans.lends(now, from, loan, units.min(self.spare_units(now)));
-                (units > 0).then_some(Word::Grant { loan, units })
+                (units > 0).then_some(LimitMessage::LoanGrant { loan, units })
             }
-            Word::Grant { loan, units } => {
+            LimitMessage::LoanGrant { loan, units } => {
                 self.loans.takes(now, from, loan, units);
                 None
             }
-            Word::Back { loan } => {
+            LimitMessage::LoanReturn { loan } => {
                 self.loans.returned(from, loan);
                 None
             }
@@ -311,13 +318,13 @@
     }
 
     /// Records the spare units that a peer reported.
-    fn record_spare(&mut self, now: u64, from: u32, spare: u32) -> Option<Word> {
+    fn record_spare(&mut self, now: u64, from: u32, spare: u32) -> Option<LimitMessage> {
         self.spare.insert(from, (spare, now));
         None
     }
 
     /// Random delay of the first round in ms, so that the members' rounds do not coincide.
-    pub fn first_round(&mut self) -> u64 {
-        self.rng.random_range(0..ROUND)
+    pub fn first_round_delay_ms(&mut self) -> u64 {
+        self.rng.random_range(0..ROUND_MS)
     }
 }
--- a/crates/flintwell-shared-limits/src/loans.rs
+++ b/crates/flintwell-shared-limits/src/loans.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 /// Units that each member owns; fine enough that a loan of a hundredth of them is still worth its messages.
-pub const EACH: u32 = 1_024;
+pub const UNITS_PER_MEMBER: u32 = 1_024;
 /// Units that a member never lends, and that a restarted member may use while loans of its earlier process may still run.
-pub const KEPT: u32 = EACH / 2;
+pub const KEPT: u32 = UNITS_PER_MEMBER / 2;
 /// Duration of a loan on the borrower's clock; the demand of a fleet shifts within seconds.
 pub const SPAN: u64 = 2_000;
 /// Fraction by which the rates of two clocks may differ; ten times the drift of real hardware.
@@ -77,7 +77,7 @@
     /// Danger: a restarted member does not know which units its earlier process lent. Until those loans have ended it
     /// uses only the units that are never lent.
     pub fn even(&self, now: u64) -> u32 {
-        if now < self.started_at + WITHHOLD_MS { KEPT } else { EACH }
+        if now < self.started_at + WITHHOLD_MS { KEPT } else { UNITS_PER_MEMBER }
     }
 
     /// Units that could be lent now.
@@ -117,7 +117,7 @@
         if self.requests.get(&loan).is_some_and(|request| request.0 == owner)
             && let Some((_, at)) = self.requests.remove(&loan)
         {
-            let units = units.min(EACH - KEPT);
+            let units = units.min(UNITS_PER_MEMBER - KEPT);
             self.borrowed.insert(loan, (owner, ReceivedLoan { units, expires_at: at + SPAN }));
         }
     }
--- a/crates/flintwell-shared-limits/src/loans/tests.rs
+++ b/crates/flintwell-shared-limits/src/loans/tests.rs
@@ -5,25 +5,25 @@
 #[test]
 fn a_loan_starts_at_its_request_and_counts_once() {
     let (mut owner, mut borrower) = (Loans::start(0, 1), Loans::start(0, 1));
-    assert_eq!((owner.has(0), owner.spare(0), owner.has(3_000)), (KEPT, 0, EACH));
+    assert_eq!((owner.has(0), owner.spare(0), owner.has(3_000)), (KEPT, 0, UNITS_PER_MEMBER));
     let loan = borrower.asks(3_000, 7).expect("room");
     assert_eq!(owner.lends(3_050, 1, loan, 100), 100);
-    assert_eq!((owner.lends(3_060, 1, loan, 900), owner.has(3_060)), (100, EACH - 100), "a repeated request gets the same answer");
+    assert_eq!((owner.lends(3_060, 1, loan, 900), owner.has(3_060)), (100, UNITS_PER_MEMBER - 100), "a repeated request gets the same answer");
     borrower.takes(3_100, 7, loan, 100);
     borrower.takes(3_100, 7, loan, 100);
     borrower.takes(3_100, 7, loan + 1, 100);
-    assert_eq!((borrower.has(4_999), borrower.has(5_000)), (EACH + 100, EACH));
-    assert_eq!((owner.has(5_100), owner.has(5_131)), (EACH - 100, EACH));
+    assert_eq!((borrower.has(4_999), borrower.has(5_000)), (UNITS_PER_MEMBER + 100, UNITS_PER_MEMBER));
+    assert_eq!((owner.has(5_100), owner.has(5_131)), (UNITS_PER_MEMBER - 100, UNITS_PER_MEMBER));
     let loan = borrower.asks(6_000, 7).expect("room");
-    assert_eq!(owner.lends(6_000, 1, loan, 5_000), EACH - KEPT);
-    borrower.takes(8_001, 7, loan, EACH - KEPT);
-    assert_eq!(borrower.has(8_001), EACH, "a grant after the end of its loan");
+    assert_eq!(owner.lends(6_000, 1, loan, 5_000), UNITS_PER_MEMBER - KEPT);
+    borrower.takes(8_001, 7, loan, UNITS_PER_MEMBER - KEPT);
+    assert_eq!(borrower.has(8_001), UNITS_PER_MEMBER, "a grant after the end of its loan");
     let loan = borrower.asks(9_000, 7).expect("room");
     let units = owner.lends(9_000, 1, loan, 50);
     borrower.takes(9_000, 7, loan, units);
     assert_eq!(borrower.gives_back(9_100, 0), [(7, loan)]);
     owner.returned(1, loan);
-    assert_eq!((borrower.has(9_100), owner.has(9_100)), (EACH, EACH));
+    assert_eq!((borrower.has(9_100), owner.has(9_100)), (UNITS_PER_MEMBER, UNITS_PER_MEMBER));
 }
 
 #[derive(Clone)]
@@ -87,12 +87,12 @@
                 2..=60 => {
                     let owner = (n + rng.random_range(1..FLEET)) % FLEET;
                     if let Some(loan) = members[n].asks(at, owner as u32) {
-                        let most = rng.random_range(1..EACH);
+                        let most = rng.random_range(1..UNITS_PER_MEMBER);
                         send(&mut rng, n, owner, Message::Request(loan, most));
                     }
                 }
                 61..=80 => {
-                    let keep = rng.random_range(0..EACH);
+                    let keep = rng.random_range(0..UNITS_PER_MEMBER);
                     for (owner, loan) in members[n].gives_back(at, keep) {
                         send(&mut rng, n, owner as usize, Message::Return(loan));
                     }
@@ -102,7 +102,7 @@
         }
         // What each member would use if it looked now, including paused ones.
         let all: u32 = members.iter().enumerate().map(|(n, one)| one.has(clock(n, now))).sum();
-        assert!(all <= EACH * FLEET as u32, "seed {seed} at {now}: {all}");
+        assert!(all <= UNITS_PER_MEMBER * FLEET as u32, "seed {seed} at {now}: {all}");
         max_units_in_use =
             max_units_in_use.max(members.iter().enumerate().map(|(n, one)| one.has(clock(n, now))).max().unwrap_or(0));
     }
@@ -112,5 +112,5 @@
 #[test]
 fn units_in_use_stay_bounded_under_message_loss_pauses_clock_drift_and_restarts() {
     let most: Vec<u32> = (0..200).map(max_units_in_use).collect();
-    assert!(most.iter().filter(|&&most| most > 3 * EACH / 2).count() > 100, "loans were granted in most runs");
+    assert!(most.iter().filter(|&&most| most > 3 * UNITS_PER_MEMBER / 2).count() > 100, "loans were granted in most runs");
 }
--- a/crates/flintwell-shared-limits/tests/orders.rs
+++ b/crates/flintwell-shared-limits/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Model check of loans between two members over every order of requests, grants, returns, restarts and time. A message
 //! may arrive at any later time, any number of times or never, and the members' clocks differ as much as is allowed.
 
-use flintwell_shared_limits::loans::{DRIFT, EACH, Loans, SPAN};
+use flintwell_shared_limits::loans::{DRIFT, UNITS_PER_MEMBER, Loans, SPAN};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -111,9 +111,9 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always("units in use never exceed those that exist", |_, state| {
-                in_use(state, 0) + in_use(state, 1) <= 2 * EACH
+                in_use(state, 0) + in_use(state, 1) <= 2 * UNITS_PER_MEMBER
             }),
-            Property::<Self>::sometimes("loans are granted", |_, state| in_use(state, 0) > EACH),
+            Property::<Self>::sometimes("loans are granted", |_, state| in_use(state, 0) > UNITS_PER_MEMBER),
         ]
     }
 }
--- a/crates/flintwell-shared-probes/src/lib.rs
+++ b/crates/flintwell-shared-probes/src/lib.rs
@@ -29,14 +29,14 @@
 
 /// One member's report to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct ProbeMessage {
     /// Nodes that are silent to the sender by its own probes.
     silent: Vec<NodeHash>,
     /// Nodes that were silent and have answered the sender recently.
     back: Vec<NodeHash>,
 }
 
-impl Word {
+impl ProbeMessage {
     /// Serializes the message.
     pub fn encode(&self) -> Vec<u8> {
         // Serialization into a vector cannot fail.
@@ -48,7 +48,7 @@
     /// Parses a message; returns `None` if it is malformed or belongs to another subsystem.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&tag, rest) = bytes.split_first()?;
-        let message: Word = (tag == MESSAGE_TAG).then(|| postcard::from_bytes(rest).ok()).flatten()?;
+        let message: ProbeMessage = (tag == MESSAGE_TAG).then(|| postcard::from_bytes(rest).ok()).flatten()?;
         (message.silent.len() <= MAX_NODES_PER_MESSAGE && message.back.len() <= MAX_NODES_PER_MESSAGE).then_some(message)
     }
 }
@@ -83,43 +83,44 @@
 
 /// Advice on a node that is silent to this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hint {
+pub enum ProbeHint {
     /// Do not probe it for this many ms; other members do.
-    Leave(u64),
+    SkipFor(u64),
     /// Probe it with the next request; it has answered another member.
-    Try,
+    ProbeNow,
 }
 
 /// Result of a round: hints by index into the silent nodes, and messages with their recipients.
-pub type Round = (Vec<(usize, Hint)>, Vec<(u32, Word)>);
+pub type Round = (Vec<(usize, ProbeHint)>, Vec<(u32, ProbeMessage)>);
 
 /// A node that is silent to this member, as the status endpoint shows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Standing {
+pub struct ProbeStatus {
     /// Name of the node.
     pub node: String,
     /// Peers that recently found it silent.
     pub witnesses: usize,
     /// Whether this member is among those that probe it.
-    pub prober: bool,
+    #[serde(rename = "prober")]
+    pub is_prober: bool,
 }
 
 /// Coordinates the probes of one member with its peers.
-pub struct Probes {
+pub struct ProbeCoordinator {
     number: u32,
     rng: ChaCha8Rng,
     nodes: BTreeMap<NodeHash, Node>,
     turn: usize,
 }
 
-impl Probes {
+impl ProbeCoordinator {
     /// Creates the state of the member `number`; `seed` is that of the random number generator.
     pub fn new(number: u32, seed: u64) -> Self {
-        Probes { number, rng: ChaCha8Rng::seed_from_u64(seed), nodes: BTreeMap::new(), turn: 0 }
+        ProbeCoordinator { number, rng: ChaCha8Rng::seed_from_u64(seed), nodes: BTreeMap::new(), turn: 0 }
     }
 
     /// Runs one gossip round at `now` (in ms), given the nodes that are silent to this member and the peers that are alive.
-    pub fn round(&mut self, now: u64, silent: &[&str], others: &[u32]) -> Round {
+    pub fn run_round(&mut self, now: u64, silent: &[&str], others: &[u32]) -> Round {
         let hashes: Vec<NodeHash> = silent.iter().map(|name| hash_parts(&[name.as_bytes()])).collect();
         for (hash, node) in &mut self.nodes {
             // The node answered this member again, which is reported to peers.
@@ -134,12 +135,12 @@
             (node.silent, node.report_recovery_until) = (true, 0);
             if std::mem::take(&mut node.reported_recovered) && now >= node.probed_at + MIN_PROBE_INTERVAL_MS {
                 node.probed_at = now;
-                hints.push((n, Hint::Try));
+                hints.push((n, ProbeHint::ProbeNow));
             } else if node.witnesses.len() >= WITNESS_QUORUM
                 && now >= node.probed_at + MIN_PROBE_INTERVAL_MS
                 && !is_prober(self.number, hash, others)
             {
-                hints.push((n, Hint::Leave(SKIP_MS)));
+                hints.push((n, ProbeHint::SkipFor(SKIP_MS)));
             }
         }
         self.nodes.retain(|_, node| node.silent || now < node.report_recovery_until || !node.witnesses.is_empty());
@@ -154,14 +155,14 @@
     }
 
     /// The message to send in this round.
-    fn next_message(&mut self, now: u64) -> Word {
+    fn next_message(&mut self, now: u64) -> ProbeMessage {
         // Up to the maximum, starting at the turn so that every node is reported in some round.
         let of = |filter: &dyn Fn(&Node) -> bool, turn: usize| -> Vec<NodeHash> {
             let hashes: Vec<NodeHash> = self.nodes.iter().filter(|one| filter(one.1)).map(|one| *one.0).collect();
             let count = hashes.len();
             hashes.into_iter().cycle().skip(turn % count.max(1)).take(count.min(MAX_NODES_PER_MESSAGE)).collect()
         };
-        let message = Word {
+        let message = ProbeMessage {
             silent: of(&|node| node.silent, self.turn),
             back: of(&|node| now < node.report_recovery_until, self.turn),
         };
@@ -170,7 +171,7 @@
     }
 
     /// Processes a message of a peer.
-    pub fn hears(&mut self, now: u64, from: u32, message: &Word) {
+    pub fn handle_message(&mut self, now: u64, from: u32, message: &ProbeMessage) {
         for hash in &message.silent {
             // Bounds the memory that reports on unknown nodes can take.
             if self.nodes.len() < 1_024 || self.nodes.contains_key(hash) {
@@ -186,11 +187,11 @@
     }
 
     /// Status of each node that is silent to this member.
-    pub fn standing(&self, silent: &[&str], others: &[u32]) -> Vec<Standing> {
+    pub fn statuses(&self, silent: &[&str], others: &[u32]) -> Vec<ProbeStatus> {
         let of = |name: &&str| {
             let hash = hash_parts(&[name.as_bytes()]);
             let witnesses = self.nodes.get(&hash).map_or(0, |node| node.witnesses.len());
-            Standing { node: (*name).to_owned(), witnesses, prober: is_prober(self.number, hash, others) }
+            ProbeStatus { node: (*name).to_owned(), witnesses, is_prober: is_prober(self.number, hash, others) }
         };
         silent.iter().map(of).collect()
     }
--- a/crates/flintwell-shared-probes/src/tests.rs
+++ b/crates/flintwell-shared-probes/src/tests.rs
@@ -5,7 +5,7 @@
 /// Simulates a fleet in which node `x` is silent to member `n` in round `r` if `is_silent(n, r)`; returns the members that
 /// probe it in each round.
 fn simulate(is_silent: impl Fn(u32, u64) -> bool, rounds: u64) -> Vec<Vec<u32>> {
-    let mut fleet: Vec<Probes> = (0..FLEET).map(|n| Probes::new(n, u64::from(n))).collect();
+    let mut fleet: Vec<ProbeCoordinator> = (0..FLEET).map(|n| ProbeCoordinator::new(n, u64::from(n))).collect();
     let mut probers = Vec::new();
     let mut skip_until = [0u64; FLEET as usize];
     for round in 0..rounds {
@@ -15,11 +15,11 @@
         for n in 0..FLEET {
             let others: Vec<u32> = (0..FLEET).filter(|&other| other != n).collect();
             let silent: &[&str] = if is_silent(n, round) { &["x"] } else { &[] };
-            let (hints, messages) = fleet[n as usize].round(now, silent, &others);
+            let (hints, messages) = fleet[n as usize].run_round(now, silent, &others);
             for (_, hint) in hints {
                 skip_until[n as usize] = match hint {
-                    Hint::Leave(ms) => now + ms,
-                    Hint::Try => now,
+                    ProbeHint::SkipFor(ms) => now + ms,
+                    ProbeHint::ProbeNow => now,
                 };
             }
             if !silent.is_empty() && now >= skip_until[n as usize] {
@@ -28,8 +28,8 @@
             sent.extend(messages.into_iter().map(|(to, message)| (n, to, message)));
         }
         for (from, to, message) in sent {
-            let message = Word::decode(&message.encode()).expect("valid message");
-            fleet[to as usize].hears(now, from, &message);
+            let message = ProbeMessage::decode(&message.encode()).expect("valid message");
+            fleet[to as usize].handle_message(now, from, &message);
         }
         probers.push(probing);
     }
@@ -60,6 +60,6 @@
     let probers = simulate(|n, _| n < 3, 40);
     assert!(probers.iter().all(|probing| probing.len() == 3), "{probers:?}");
     for wrong in [&b""[..], b"P", b"Pxxxxxxxxxxxxxxxxxxxxx", &[MESSAGE_TAG; 250], b"Q12"] {
-        assert!(Word::decode(wrong).is_none(), "{wrong:?}");
+        assert!(ProbeMessage::decode(wrong).is_none(), "{wrong:?}");
     }
 }
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -89,7 +89,7 @@
         // Started again after a panic, nothing of before is waited for.
         self.calls.give_up();
         self.link = None;
-        let mut phase = Phase::Pausing(self.watch.first(dispatcher.clock.now()));
+        let mut phase = Phase::Pausing(self.watch.first_call_at(dispatcher.clock.now()));
         loop {
             phase = match self.next_event(dispatcher, &mut moves, &phase).await {
                 // Danger: the old discovery would keep us waiting for what only the new one tells.
@@ -101,7 +101,7 @@
     }
 
     fn pauses_for_slot(&self, dispatcher: &Dispatcher) -> Phase {
-        Phase::Pausing(self.watch.slot(dispatcher.clock.now()))
+        Phase::Pausing(self.watch.next_slot(dispatcher.clock.now()))
     }
 
     async fn next_event(
@@ -132,7 +132,7 @@
         self.version = None;
         self.link = None;
         self.calls.give_up();
-        self.watch.moved();
+        self.watch.on_address_change();
         self.pauses_for_slot(dispatcher)
     }
 
@@ -141,7 +141,7 @@
         let now = dispatcher.clock.now();
         match phase {
             Phase::Pausing(_) => {
-                self.watch.connects(now);
+                self.watch.on_connecting(now);
                 let addr = *self.addr.borrow();
                 self.calls.connect(addr, self.link.take());
                 Phase::Connecting
@@ -160,7 +160,7 @@
         match (phase, ended) {
             (Phase::Connecting, Ended::Connected(Ok(link))) => {
                 let now = dispatcher.clock.now();
-                match self.watch.connected(now) {
+                match self.watch.on_connected(now) {
                     at if at > now => Phase::Connected(link, at),
                     _ => self.call(dispatcher, link),
                 }
@@ -179,11 +179,11 @@
 
     fn call(&mut self, dispatcher: &Dispatcher, link: Link) -> Phase {
         let now = dispatcher.clock.now();
-        self.watch.grants(self.registry.grace());
-        let call = self.watch.call(now, self.version.is_none());
+        self.watch.set_drain_grace(self.registry.grace());
+        let call = self.watch.begin_call(now, self.version.is_none());
         self.called_at = now;
         self.status.called(now);
-        Phase::Calling(self.calls.call(link, self.version, call.wait), now + call.within)
+        Phase::Calling(self.calls.call(link, self.version, call.wait), now + call.timeout)
     }
 
     fn answered(
@@ -213,11 +213,11 @@
         // Danger: what stood in our socket while we stood still would vouch for the time of its reading.
         let as_of = begun_at.min(dispatcher.pulse.waited_from());
         if current {
-            self.watch.answered(as_of);
+            self.watch.on_answer(as_of);
         } else {
             // When it was asked for is not kept; it vouches for no more than the bytes do.
             self.calls.give_up();
-            self.watch.answered_late(as_of);
+            self.watch.on_late_answer(as_of);
         }
         self.status.answered(now, listing.version);
         self.shares_lease();
@@ -241,7 +241,7 @@
                 self.failed
             );
         }
-        let at = self.watch.failed(now, error.failure);
+        let at = self.watch.on_failure(now, error.failure);
         self.shares_lease();
         Phase::Pausing(at)
     }
--- a/crates/flintwell/src/fleet/lease.rs
+++ b/crates/flintwell/src/fleet/lease.rs
@@ -34,7 +34,7 @@
             started_at,
             lease: Cell::new(lease),
             renewed: Notify::new(),
-            was_in_force: Cell::new(lease.holds(started_at)),
+            was_in_force: Cell::new(lease.is_valid(started_at)),
             first_in_force: Notify::new(),
             lapses,
         })
@@ -71,7 +71,7 @@
 
     /// Whether a request may be sent by the list now.
     pub fn holds(&self) -> bool {
-        self.lease.get().holds(self.clock.now())
+        self.lease.get().is_valid(self.clock.now())
     }
 
     /// On whose word it was renewed last.
@@ -91,13 +91,13 @@
 
     /// For how long it has been over; not positive while it holds.
     pub fn over_for(&self) -> Micros {
-        -self.lease.get().left(self.clock.now())
+        -self.lease.get().remaining(self.clock.now())
     }
 
     /// Returns when it may have ended, or was changed.
     pub async fn changes(&self) {
         let now = self.clock.now();
-        let left = self.lease.get().left(now);
+        let left = self.lease.get().remaining(now);
         let (ends, holds) = (self.clock.instant(now + left), left > 0);
         tokio::select! {
             () = self.renewed.notified() => {}
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -9,7 +9,7 @@
 use crate::requests::dispatcher::Dispatcher;
 use crate::say;
 use flintwell_core::interface::{ListKind, Micros, NodeId, Standing};
-use flintwell_list_watch::Starts;
+use flintwell_list_watch::NodeStarts;
 use flintwell_settings::Network;
 use flintwell_settings::listing::{Line, Listing};
 use std::cell::{Cell, RefCell};
@@ -28,7 +28,7 @@
     dispatcher: Rc<Dispatcher>,
     store: Store,
     lines: RefCell<BTreeMap<String, Line>>,
-    starts: RefCell<Starts>,
+    starts: RefCell<NodeStarts>,
     /// When the list was last confirmed that was told before.
     confirmed_at: Cell<Option<Micros>>,
     overrides: Overrides,
@@ -100,9 +100,9 @@
         let since = if kind == ListKind::Kept { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
         for line in &listing.servers {
-            starts.learn(&line.id, (line.started_ms * 1e3) as Micros, since, now);
+            starts.record(&line.id, (line.started_ms * 1e3) as Micros, since, now);
         }
-        starts.forget(|server| self.lines.borrow().contains_key(server));
+        starts.prune(|server| self.lines.borrow().contains_key(server));
         self.confirmed_at.set(self.lease.confirmed_at());
     }
 
--- a/crates/flintwell/src/fleet/words.rs
+++ b/crates/flintwell/src/fleet/words.rs
@@ -7,10 +7,10 @@
 use crate::say;
 use crate::staff::counts::Counts;
 use flintwell_core::interface::Micros;
-use flintwell_membership::member::{self, Id, Member, Settings, Wire};
-use flintwell_membership::seal::Dropped;
-use flintwell_shared_limits::share::{self, Counted, ROUND, Share, Word};
-use flintwell_shared_probes::{self as probes, Hint, Probes};
+use flintwell_membership::member::{self, MemberId, Member, Settings, Transport};
+use flintwell_membership::datagram::DropCounts;
+use flintwell_shared_limits::limit::{self, FetchCounts, ROUND_MS, SharedLimit, LimitMessage};
+use flintwell_shared_probes::{self as probes, ProbeHint, ProbeCoordinator};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -31,12 +31,12 @@
     pub name: String,
     pub number: u32,
     /// The others, as far as they were heard of.
-    pub members: Vec<member::Standing>,
-    pub share: share::Standing,
+    pub members: Vec<member::MemberStatus>,
+    pub share: limit::LimitStatus,
     /// Caches silent to us, and who tries them.
     #[serde(default)]
-    pub silent: Vec<probes::Standing>,
-    pub dropped: Dropped,
+    pub silent: Vec<probes::ProbeStatus>,
+    pub dropped: DropCounts,
     /// Members that were taken as gone since our start.
     pub taken_as_gone: u64,
     pub datagrams_sent: u64,
@@ -48,8 +48,8 @@
     addr: SocketAddr,
     clock: Clock,
     member: RefCell<Member>,
-    share: RefCell<Share>,
-    probes: RefCell<Probes>,
+    share: RefCell<SharedLimit>,
+    probes: RefCell<ProbeCoordinator>,
     dispatcher: Rc<Dispatcher>,
     counts: Rc<Counts>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
@@ -60,15 +60,15 @@
 /// The wire of one call.
 struct Sends<'a> {
     socket: &'a UdpSocket,
-    heard: Vec<(Id, Vec<u8>)>,
+    heard: Vec<(MemberId, Vec<u8>)>,
 }
 
-impl Wire for Sends<'_> {
-    fn sends(&mut self, to: SocketAddr, datagram: &[u8]) {
+impl Transport for Sends<'_> {
+    fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
         // A full buffer loses it, as any path may.
         let _ = self.socket.try_send_to(datagram, to);
     }
-    fn hears(&mut self, from: &Id, word: &[u8]) {
+    fn deliver(&mut self, from: &MemberId, word: &[u8]) {
         self.heard.push((from.clone(), word.to_vec()));
     }
 }
@@ -84,18 +84,18 @@
     ) -> Self {
         let clock = dispatcher.clock;
         let now = ms(clock.now());
-        let id = Id { number, addr: config.advertise, life: now };
+        let id = MemberId { number, addr: config.advertise, generation: now };
         let settings =
-            Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet, seed };
-        let mut share = Share::start(now, now, fleet, seed);
+            Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet_size: fleet, rng_seed: seed };
+        let mut share = SharedLimit::new(now, now, fleet, seed);
         Words {
             name,
             addr: config.listen,
             clock,
-            member: RefCell::new(Member::start(now, settings)),
-            next_round: Cell::new(now + share.first_round()),
+            member: RefCell::new(Member::new(now, settings)),
+            next_round: Cell::new(now + share.first_round_delay_ms()),
             share: RefCell::new(share),
-            probes: RefCell::new(Probes::new(number, seed)),
+            probes: RefCell::new(ProbeCoordinator::new(number, seed)),
             dispatcher,
             counts,
             socket: RefCell::default(),
@@ -109,13 +109,13 @@
         let mut buffer = [0; DATAGRAM];
         let mut not_before = 0;
         loop {
-            let due = self.member.borrow().due().min(self.next_round.get()).max(not_before);
+            let due = self.member.borrow().next_tick_at().min(self.next_round.get()).max(not_before);
             let at = self.clock.instant(due as Micros * 1_000);
             let mut wire = Sends { socket: &socket, heard: Vec::new() };
             tokio::select! {
                 came = socket.recv_from(&mut buffer) => {
                     if let Ok((bytes, _)) = came {
-                        self.member.borrow_mut().receives(self.now(), &buffer[..bytes], &mut wire);
+                        self.member.borrow_mut().handle_datagram(self.now(), &buffer[..bytes], &mut wire);
                     }
                 }
                 () = sleep_until(at) => {}
@@ -128,7 +128,7 @@
                 self.member.borrow_mut().tick(now, &mut wire);
             }
             if now >= self.next_round.get() {
-                self.next_round.set(now + ROUND);
+                self.next_round.set(now + ROUND_MS);
                 self.round(now, &mut wire);
             }
             self.answers(now, &mut wire);
@@ -167,38 +167,38 @@
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
         let wanted = self.dispatcher.granted(share.rate(now));
         let (fetches, refused) = (self.counts.fetches.get(), self.counts.refused.get());
-        let counted = Counted { wanted, taken: fetches.saturating_sub(refused), refused };
-        let others = member.others();
+        let counted = FetchCounts { demanded: wanted, accepted: fetches.saturating_sub(refused), refused };
+        let others = member.peers();
         let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
         let silent = self.dispatcher.silent();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
-        let (hints, probed) = self.probes.borrow_mut().round(now, &names, &numbers);
+        let (hints, probed) = self.probes.borrow_mut().run_round(now, &names, &numbers);
         for (node, hint) in hints {
             let time = match hint {
-                Hint::Leave(ms) => ms as Micros * 1_000,
-                Hint::Try => 0,
+                ProbeHint::SkipFor(ms) => ms as Micros * 1_000,
+                ProbeHint::ProbeNow => 0,
             };
             self.dispatcher.tried_by_others(&silent[node], time);
         }
         let probed = probed.into_iter().map(|(to, word)| (to, word.encode()));
-        let shared = share.round(now, counted, &numbers).into_iter().map(|(to, word)| (to, word.encode()));
+        let shared = share.run_round(now, counted, &numbers).into_iter().map(|(to, word)| (to, word.encode()));
         for (to, word) in shared.chain(probed) {
             if let Some(to) = others.iter().find(|other| other.number == to) {
-                member.tells(to, &word, wire);
+                member.send_message(to, &word, wire);
             }
         }
     }
 
     fn answers(&self, now: u64, wire: &mut Sends) {
         for (from, bytes) in std::mem::take(&mut wire.heard) {
-            if let Some(word) = probes::Word::decode(&bytes) {
-                self.probes.borrow_mut().hears(now, from.number, &word);
+            if let Some(word) = probes::ProbeMessage::decode(&bytes) {
+                self.probes.borrow_mut().handle_message(now, from.number, &word);
                 continue;
             }
             let answer =
-                Word::decode(&bytes).and_then(|word| self.share.borrow_mut().hears(now, from.number, word));
+                LimitMessage::decode(&bytes).and_then(|word| self.share.borrow_mut().handle_message(now, from.number, word));
             if let Some(word) = answer {
-                self.member.borrow_mut().tells(&from, &word.encode(), wire);
+                self.member.borrow_mut().send_message(&from, &word.encode(), wire);
             }
         }
     }
@@ -207,7 +207,7 @@
     pub fn leave(&self) {
         if let Some(socket) = self.socket.take() {
             let mut wire = Sends { socket: &socket, heard: Vec::new() };
-            self.member.borrow_mut().leaves(self.now(), &mut wire);
+            self.member.borrow_mut().leave(self.now(), &mut wire);
             self.left.notify_one();
         }
     }
@@ -216,17 +216,17 @@
         let member = self.member.borrow();
         let silent = self.dispatcher.silent();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
-        let others: Vec<u32> = member.others().iter().map(|other| other.number).collect();
+        let others: Vec<u32> = member.peers().iter().map(|other| other.number).collect();
         Fleet {
             name: self.name.clone(),
             number: member.id().number,
-            members: member.standings(),
-            share: self.share.borrow().standing(self.now()),
-            silent: self.probes.borrow().standing(&names, &others),
+            members: member.member_statuses(),
+            share: self.share.borrow().status(self.now()),
+            silent: self.probes.borrow().statuses(&names, &others),
             dropped: member.dropped(),
-            taken_as_gone: member.downs,
-            datagrams_sent: member.sent,
-            bytes_sent: member.sent_bytes,
+            taken_as_gone: member.declared_down,
+            datagrams_sent: member.datagrams_sent,
+            bytes_sent: member.bytes_sent,
         }
     }
 }
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -29,7 +29,7 @@
 use crate::staff::counts::Counts;
 use crate::staff::management::{self, Office};
 use crate::staff::rollout::Rollout;
-use flintwell_list_watch::{Figures, Lease, Watch as ListWatch};
+use flintwell_list_watch::{WatchConfig, Lease, Watch as ListWatch};
 use flintwell_rollout::member::Member;
 use flintwell_settings::{decode, decode_network};
 use flintwell_state::Disk;
@@ -135,7 +135,7 @@
     let place = (config.settings.index, config.settings.fleet_size);
     let pushed = !config.settings.list_on_request;
     let (index, fleet, grace) = (place.0, place.1, network.get().drain_grace);
-    let figures = Figures { pushed, fleet, index, grace };
+    let figures = WatchConfig { pushed, fleet_size: fleet, index, drain_grace: grace };
     let origin_kind = config.settings.origin_kind;
     let (clock, seed) = (Clock::start(), config.seed);
     let watch = config.watch_with.map(|other| Rc::new(Watch::new(clock.now(), other, seed)));
@@ -154,7 +154,7 @@
     let list_watch = ListWatch::new(
         now,
         figures,
-        age.map_or(Lease::unconfirmed(), |age| Lease::kept(now, now - age)),
+        age.map_or(Lease::unconfirmed(), |age| Lease::restored(now, now - age)),
         seed,
     );
     let lease = ListLease::new(clock, list_watch.lease(), counts.lapses.clone());
--- a/crates/flintwell/src/staff/fleet_status.rs
+++ b/crates/flintwell/src/staff/fleet_status.rs
@@ -25,7 +25,7 @@
     let Command::Status { at, json } = command;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    let call = flintwell_call::call(*at, Method::GET, "/api/fleet", Default::default(), WITHIN);
+    let call = flintwell_call::send_request(*at, Method::GET, "/api/fleet", Default::default(), WITHIN);
     let (status, text) = runtime.block_on(call).map_err(|why| format!("{at}: {why}"))?;
     if status != StatusCode::OK {
         return Err(format!("{at}: its configuration has no words with other proxies ({status})"));
@@ -48,13 +48,13 @@
     );
     text += &format!(
         "a member and second, over the fleet: {:.1} fetched, {:.1} refused\n",
-        share.taken, share.refused
+        share.accepted, share.refused
     );
     for member in members {
         text += &format!("  {:5} {:22} {}\n", member.number, member.addr, member.state);
     }
     for node in &fleet.silent {
-        let who = if node.prober { "tried by us" } else { "tried by others" };
+        let who = if node.is_prober { "tried by us" } else { "tried by others" };
         text += &format!("  {} is silent, to {} others too; {who}\n", node.node, node.witnesses);
     }
     let count = |what: &str, count: u64| if count > 0 { format!(" {what} {count}") } else { String::new() };
