--- a/crates/flintwell-membership/src/datagram.rs
+++ b/crates/flintwell-membership/src/datagram.rs
@@ -9,7 +9,7 @@
 /// Maximum datagram size; far below any path MTU, so that datagrams are never fragmented and lost in part.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 const VERSION: u8 = 1; // incremented when the meaning of the frame changes
-const HEADER_BYTES: usize = 26; // version, cluster, kind, sender, its incarnation, sequence number
+const HEADER_BYTES: usize = 26; // version, cluster, kind, sender, its generation, sequence number
 const TAG_BYTES: usize = 16; // of the HMAC; a forgery succeeds with probability 2^-128
 /// Maximum size of a datagram's body.
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
@@ -37,7 +37,7 @@
     pub other_cluster: u64,
     /// The authentication tag was missing or wrong.
     pub unsigned: u64,
-    /// Received before, too old for the replay window, or of an earlier incarnation.
+    /// Received before, too old for the replay window, or of an earlier generation.
     pub replayed: u64,
     /// Above the sender's rate limit.
     pub flooded: u64,
@@ -47,7 +47,7 @@
 
 /// Replay window and rate limit of one sender.
 struct Sender {
-    life: u64,
+    generation: u64,
     highest_sequence: u64,
     /// Bitmap of the sequence numbers received, counted down from `highest` in the lowest bit.
     received: u64,
@@ -60,32 +60,32 @@
     cluster: [u8; 4],
     key: Option<Hmac<Sha256>>,
     number: u32,
-    life: u64,
+    generation: u64,
     /// Of the last datagram sent.
     sequence: u64,
     /// Size of the fleet; datagrams from this number or above are dropped.
-    fleet: u32,
+    fleet_size: u32,
     senders: BTreeMap<u32, Sender>,
     /// Received datagrams that were dropped, by cause.
     pub dropped: DropCounts,
 }
 
 /// Contents of a received datagram.
-pub struct Opened<'a> {
+pub struct OpenedDatagram<'a> {
     /// What the body is.
     pub kind: PayloadKind,
     /// Number of the sender.
     pub from: u32,
-    /// Incarnation of the sender.
-    pub life: u64,
+    /// Generation of the sender's process.
+    pub generation: u64,
     /// Body without header and tag.
     pub body: &'a [u8],
 }
 
 impl DatagramCodec {
-    /// Creates a codec for the member `number`. `life` grows with each start of a process under this number. An empty
-    /// key disables authentication.
-    pub fn new(cluster: &str, key: &[u8], fleet: u32, number: u32, life: u64) -> Self {
+    /// Creates a codec for the member `number`. `generation` grows with each start of a process under this number. An
+    /// empty key disables authentication.
+    pub fn new(cluster: &str, key: &[u8], fleet_size: u32, number: u32, generation: u64) -> Self {
         let hash = Sha256::digest(cluster.as_bytes());
         let key = Some(key).filter(|key| !key.is_empty());
         DatagramCodec {
@@ -93,9 +93,9 @@
             // HMAC accepts keys of any length.
             key: key.and_then(|key| Hmac::new_from_slice(key).ok()),
             number,
-            life,
+            generation,
             sequence: 0,
-            fleet,
+            fleet_size,
             senders: BTreeMap::new(),
             dropped: DropCounts::default(),
         }
@@ -112,7 +112,7 @@
         datagram.extend(self.cluster);
         datagram.push(u8::from(kind == PayloadKind::Message));
         datagram.extend(self.number.to_be_bytes());
-        datagram.extend(self.life.to_be_bytes());
+        datagram.extend(self.generation.to_be_bytes());
         datagram.extend(self.sequence.to_be_bytes());
         datagram.extend(body);
         if let Some(key) = &self.key {
@@ -123,7 +123,7 @@
     }
 
     /// Checks a received datagram; returns `None` and counts the cause if it is to be dropped. `now` is in ms.
-    pub fn open<'a>(&mut self, now: u64, datagram: &'a [u8]) -> Option<Opened<'a>> {
+    pub fn open<'a>(&mut self, now: u64, datagram: &'a [u8]) -> Option<OpenedDatagram<'a>> {
         let tag_bytes = if self.key.is_some() { TAG_BYTES } else { 0 };
         let dropped = &mut self.dropped;
         if datagram.len() < HEADER_BYTES + tag_bytes || datagram.len() > MAX_DATAGRAM_BYTES {
@@ -149,24 +149,24 @@
         let (head, body) = framed.split_at(HEADER_BYTES);
         let read_u64 = |at: usize| head[at..at + 8].iter().fold(0, |sum, &byte| sum << 8 | u64::from(byte));
         let from = head[6..10].iter().fold(0, |sum, &byte| sum << 8 | u32::from(byte));
-        let (kind, life, sequence) = (head[5], read_u64(10), read_u64(18));
+        let (kind, generation, sequence) = (head[5], read_u64(10), read_u64(18));
         if kind > 1 || from == self.number {
             dropped.malformed += 1;
             return None;
         }
-        if from >= self.fleet {
+        if from >= self.fleet_size {
             dropped.unknown += 1;
             return None;
         }
-        let new_sender = Sender { life, highest_sequence: 0, received: 0, tokens: MAX_BURST, refilled_at: now };
+        let new_sender = Sender { generation, highest_sequence: 0, received: 0, tokens: MAX_BURST, refilled_at: now };
         let sender = self.senders.entry(from).or_insert(new_sender);
-        // Danger: a delayed or replayed datagram of an earlier incarnation would revive the state that it announced then.
-        if life < sender.life {
+        // Danger: a delayed or replayed datagram of an earlier generation would revive the state that it announced then.
+        if generation < sender.generation {
             dropped.replayed += 1;
             return None;
         }
-        if life > sender.life {
-            (sender.life, sender.highest_sequence, sender.received) = (life, 0, 0);
+        if generation > sender.generation {
+            (sender.generation, sender.highest_sequence, sender.received) = (generation, 0, 0);
         }
         if !sender.accept_sequence(sequence) {
             dropped.replayed += 1;
@@ -177,7 +177,7 @@
             return None;
         }
         let kind = if kind == 1 { PayloadKind::Message } else { PayloadKind::Membership };
-        Some(Opened { kind, from, life, body })
+        Some(OpenedDatagram { kind, from, generation, body })
     }
 }
 
--- a/crates/flintwell-membership/src/member.rs
+++ b/crates/flintwell-membership/src/member.rs
@@ -13,7 +13,7 @@
 const PROBE_PERIOD: Duration = Duration::from_millis(500); // each member probes one peer per period
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200); // then indirect probes start
 const INDIRECT_PROBES: usize = 3;
-const SUSPICION_PERIODS: f64 = 2.0; // probe periods from suspicion to down, per doubling of the fleet size
+const SUSPICION_PERIODS_PER_DOUBLING: f64 = 2.0; // probe periods from suspicion to down, per doubling of the fleet size
 const DOWN_RETENTION: Duration = Duration::from_secs(300); // keeps stale gossip from reviving a member that is down
 const GOSSIP_PERIOD: Duration = Duration::from_millis(250);
 const GOSSIP_FANOUT: usize = 2; // peers per gossip period
@@ -59,7 +59,9 @@
 /// Transport that buffers outgoing datagrams and delivered messages for a host that processes them after the call.
 #[derive(Default)]
 pub struct BufferedTransport {
+    /// Datagrams to be sent, with their destination.
     pub outgoing: Vec<(SocketAddr, Vec<u8>)>,
+    /// Messages received, with their sender.
     pub delivered: Vec<(MemberId, Vec<u8>)>,
 }
 
@@ -93,17 +95,17 @@
 /// Actions that the protocol requests during one call.
 #[derive(Default)]
 struct ProtocolActions {
-    sends: Vec<(MemberId, Vec<u8>)>,
+    outgoing: Vec<(MemberId, Vec<u8>)>,
     timers: Vec<(Duration, Timer<MemberId>)>,
-    downs: u64,
+    declared_down: u64,
 }
 
 impl Runtime<MemberId> for &mut ProtocolActions {
     fn notify(&mut self, notification: Notification<'_, MemberId>) {
-        self.downs += u64::from(matches!(notification, Notification::MemberDown(_)));
+        self.declared_down += u64::from(matches!(notification, Notification::MemberDown(_)));
     }
     fn send_to(&mut self, to: MemberId, data: &[u8]) {
-        self.sends.push((to, data.to_vec()));
+        self.outgoing.push((to, data.to_vec()));
     }
     fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
         self.timers.push((after, event));
@@ -113,7 +115,7 @@
 /// One member of the fleet; does no I/O and is driven by its host.
 pub struct Member {
     protocol: Protocol,
-    seal: DatagramCodec,
+    codec: DatagramCodec,
     seeds: Vec<SocketAddr>,
     next_seed: usize,
     next_seed_announce_at: u64,
@@ -141,15 +143,16 @@
     pub state: String,
 }
 
-fn config(fleet: u32) -> Config {
+/// Settings of the SWIM protocol for a fleet of this size.
+fn config(fleet_size: u32) -> Config {
     let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let periodic = |frequency, members| Some(foca::PeriodicParams { frequency, num_members: non_zero(members) });
-    let mut config = Config::new_lan(NonZeroU32::new(fleet).unwrap_or(NonZeroU32::MIN));
+    let mut config = Config::new_lan(NonZeroU32::new(fleet_size).unwrap_or(NonZeroU32::MIN));
     config.probe_period = PROBE_PERIOD;
     config.probe_rtt = PROBE_TIMEOUT;
     config.num_indirect_probes = non_zero(INDIRECT_PROBES);
     config.max_transmissions = NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN);
-    config.suspect_to_down_after = PROBE_PERIOD.mul_f64(SUSPICION_PERIODS * f64::from(fleet.max(2)).log2());
+    config.suspect_to_down_after = PROBE_PERIOD.mul_f64(SUSPICION_PERIODS_PER_DOUBLING * f64::from(fleet_size.max(2)).log2());
     config.remove_down_after = Some(DOWN_RETENTION);
     config.max_packet_size = non_zero(MAX_BODY_BYTES);
     config.notify_down_members = true;
@@ -162,15 +165,15 @@
 impl Member {
     /// Creates a member. `now` is in ms, like all times here, on a monotonic clock with any origin.
     pub fn new(now: u64, settings: Settings) -> Self {
-        let Settings { cluster, key, id, seeds, fleet_size: fleet, rng_seed: seed } = settings;
-        let seal = DatagramCodec::new(&cluster, &key, fleet, id.number, id.generation);
+        let Settings { cluster, key, id, seeds, fleet_size, rng_seed } = settings;
+        let codec = DatagramCodec::new(&cluster, &key, fleet_size, id.number, id.generation);
         let seeds = seeds.into_iter().filter(|seed| *seed != id.addr).collect();
-        let protocol = Foca::new(id, config(fleet), ChaCha8Rng::seed_from_u64(seed), PostcardCodec);
+        let protocol = Foca::new(id, config(fleet_size), ChaCha8Rng::seed_from_u64(rng_seed), PostcardCodec);
         Member {
             protocol,
-            seal,
+            codec,
             seeds,
-            next_seed: seed as usize,
+            next_seed: rng_seed as usize,
             next_seed_announce_at: now,
             timers: BTreeMap::new(),
             last_timer_id: 0,
@@ -209,13 +212,13 @@
             self.next_seed_announce_at = now + SEED_ANNOUNCE_PERIOD_MS;
             // Danger: when all members start together, two groups may form whose members know only their own group, and
             // gossip never joins them. Announcing to unknown seeds does.
-            let known: Vec<SocketAddr> = self.protocol.iter_members().map(|one| one.id().addr).collect();
+            let known: Vec<SocketAddr> = self.protocol.iter_members().map(|member| member.id().addr).collect();
             let unknown: Vec<SocketAddr> =
                 self.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect();
             if !unknown.is_empty() {
                 self.next_seed = (self.next_seed + 1) % unknown.len();
                 let addr = unknown[self.next_seed];
-                // The seed's number and incarnation are unknown; an announcement needs only its address.
+                // The seed's number and generation are unknown; an announcement needs only its address.
                 let seed = MemberId { number: u32::MAX, addr, generation: 0 };
                 self.run_protocol(now, transport, |protocol, actions| drop(protocol.announce(seed, actions)));
             }
@@ -224,11 +227,11 @@
 
     /// Processes one received datagram.
     pub fn handle_datagram(&mut self, now: u64, datagram: &[u8], transport: &mut impl Transport) {
-        let Some(opened) = self.seal.open(now, datagram) else { return };
+        let Some(opened) = self.codec.open(now, datagram) else { return };
         match opened.kind {
-            PayloadKind::Message => match self.protocol.iter_members().find(|one| one.id().number == opened.from) {
+            PayloadKind::Message => match self.protocol.iter_members().find(|member| member.id().number == opened.from) {
                 Some(from) => transport.deliver(&from.id().clone(), opened.body),
-                None => self.seal.dropped.unknown += 1,
+                None => self.codec.dropped.unknown += 1,
             },
             PayloadKind::Membership => {
                 let mut is_malformed = false;
@@ -238,7 +241,7 @@
                         Err(foca::Error::MalformedPacket | foca::Error::Decode(_) | foca::Error::DataTooBig)
                     );
                 });
-                self.seal.dropped.malformed += u64::from(is_malformed);
+                self.codec.dropped.malformed += u64::from(is_malformed);
             }
         }
     }
@@ -248,8 +251,9 @@
         self.send_datagram(to.addr, PayloadKind::Message, message, transport);
     }
 
+    /// Frames and sends a body; drops it if it is too long.
     fn send_datagram(&mut self, to: SocketAddr, kind: PayloadKind, body: &[u8], transport: &mut impl Transport) {
-        if let Some(datagram) = self.seal.seal(kind, body) {
+        if let Some(datagram) = self.codec.seal(kind, body) {
             (self.datagrams_sent, self.bytes_sent) = (self.datagrams_sent + 1, self.bytes_sent + datagram.len() as u64);
             transport.send(to, &datagram);
         }
@@ -267,14 +271,14 @@
 
     /// The other members that are alive or suspect, by number.
     pub fn peers(&self) -> Vec<MemberId> {
-        let mut others: Vec<MemberId> = self.protocol.iter_members().map(|one| one.id().clone()).collect();
-        others.sort_by_key(|id| id.number);
-        others
+        let mut peers: Vec<MemberId> = self.protocol.iter_members().map(|member| member.id().clone()).collect();
+        peers.sort_by_key(|id| id.number);
+        peers
     }
 
     /// Received datagrams that were dropped, by cause.
     pub fn dropped(&self) -> DropCounts {
-        self.seal.dropped
+        self.codec.dropped
     }
 
     /// State of each known member, by number.
@@ -285,28 +289,28 @@
             State::Down => "gone",
         };
         let members = self.protocol.iter_membership_state();
-        let mut all: Vec<MemberStatus> = members
-            .map(|one| MemberStatus {
-                number: one.id().number,
-                addr: one.id().addr.to_string(),
-                state: state(one.state()).into(),
+        let mut statuses: Vec<MemberStatus> = members
+            .map(|member| MemberStatus {
+                number: member.id().number,
+                addr: member.id().addr.to_string(),
+                state: state(member.state()).into(),
             })
             .collect();
-        all.sort_by_key(|one| one.number);
-        all
+        statuses.sort_by_key(|status| status.number);
+        statuses
     }
 
     /// Calls the protocol, then sends what it asked to send and sets the timers it asked for.
     fn run_protocol(&mut self, now: u64, transport: &mut impl Transport, call: impl FnOnce(&mut Protocol, &mut ProtocolActions)) {
         let mut actions = ProtocolActions::default();
         call(&mut self.protocol, &mut actions);
-        self.declared_down += actions.downs;
+        self.declared_down += actions.declared_down;
         for (after, timer) in actions.timers {
             self.last_timer_id += 1;
             let at = now.saturating_sub(self.paused_ms) + after.as_millis() as u64;
             self.timers.insert((at, self.last_timer_id), timer);
         }
-        for (to, body) in actions.sends {
+        for (to, body) in actions.outgoing {
             self.send_datagram(to.addr, PayloadKind::Membership, &body, transport);
         }
     }
--- a/crates/flintwell-shared-limits/src/loans/tests.rs
+++ b/crates/flintwell-shared-limits/src/loans/tests.rs
@@ -4,26 +4,26 @@
 
 #[test]
 fn a_loan_starts_at_its_request_and_counts_once() {
-    let (mut owner, mut borrower) = (Loans::start(0, 1), Loans::start(0, 1));
-    assert_eq!((owner.has(0), owner.spare(0), owner.has(3_000)), (KEPT, 0, UNITS_PER_MEMBER));
-    let loan = borrower.asks(3_000, 7).expect("room");
-    assert_eq!(owner.lends(3_050, 1, loan, 100), 100);
-    assert_eq!((owner.lends(3_060, 1, loan, 900), owner.has(3_060)), (100, UNITS_PER_MEMBER - 100), "a repeated request gets the same answer");
-    borrower.takes(3_100, 7, loan, 100);
-    borrower.takes(3_100, 7, loan, 100);
-    borrower.takes(3_100, 7, loan + 1, 100);
-    assert_eq!((borrower.has(4_999), borrower.has(5_000)), (UNITS_PER_MEMBER + 100, UNITS_PER_MEMBER));
-    assert_eq!((owner.has(5_100), owner.has(5_131)), (UNITS_PER_MEMBER - 100, UNITS_PER_MEMBER));
-    let loan = borrower.asks(6_000, 7).expect("room");
-    assert_eq!(owner.lends(6_000, 1, loan, 5_000), UNITS_PER_MEMBER - KEPT);
-    borrower.takes(8_001, 7, loan, UNITS_PER_MEMBER - KEPT);
-    assert_eq!(borrower.has(8_001), UNITS_PER_MEMBER, "a grant after the end of its loan");
-    let loan = borrower.asks(9_000, 7).expect("room");
-    let units = owner.lends(9_000, 1, loan, 50);
-    borrower.takes(9_000, 7, loan, units);
-    assert_eq!(borrower.gives_back(9_100, 0), [(7, loan)]);
-    owner.returned(1, loan);
-    assert_eq!((borrower.has(9_100), owner.has(9_100)), (UNITS_PER_MEMBER, UNITS_PER_MEMBER));
+    let (mut owner, mut borrower) = (Loans::new(0, 1), Loans::new(0, 1));
+    assert_eq!((owner.usable_units(0), owner.lendable_units(0), owner.usable_units(3_000)), (RESERVED_UNITS, 0, UNITS_PER_MEMBER));
+    let loan = borrower.request_loan(3_000, 7).expect("room");
+    assert_eq!(owner.lend(3_050, 1, loan, 100), 100);
+    assert_eq!((owner.lend(3_060, 1, loan, 900), owner.usable_units(3_060)), (100, UNITS_PER_MEMBER - 100), "a repeated request gets the same answer");
+    borrower.accept_grant(3_100, 7, loan, 100);
+    borrower.accept_grant(3_100, 7, loan, 100);
+    borrower.accept_grant(3_100, 7, loan + 1, 100);
+    assert_eq!((borrower.usable_units(4_999), borrower.usable_units(5_000)), (UNITS_PER_MEMBER + 100, UNITS_PER_MEMBER));
+    assert_eq!((owner.usable_units(5_100), owner.usable_units(5_131)), (UNITS_PER_MEMBER - 100, UNITS_PER_MEMBER));
+    let loan = borrower.request_loan(6_000, 7).expect("room");
+    assert_eq!(owner.lend(6_000, 1, loan, 5_000), UNITS_PER_MEMBER - RESERVED_UNITS);
+    borrower.accept_grant(8_001, 7, loan, UNITS_PER_MEMBER - RESERVED_UNITS);
+    assert_eq!(borrower.usable_units(8_001), UNITS_PER_MEMBER, "a grant after the end of its loan");
+    let loan = borrower.request_loan(9_000, 7).expect("room");
+    let units = owner.lend(9_000, 1, loan, 50);
+    borrower.accept_grant(9_000, 7, loan, units);
+    assert_eq!(borrower.return_loans(9_100, 0), [(7, loan)]);
+    owner.end_loan(1, loan);
+    assert_eq!((borrower.usable_units(9_100), owner.usable_units(9_100)), (UNITS_PER_MEMBER, UNITS_PER_MEMBER));
 }
 
 #[derive(Clone)]
@@ -40,11 +40,11 @@
     const FLEET: usize = 6;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let rates: Vec<f64> =
-        (0..FLEET).map(|_| rng.random_range(1.0 - DRIFT / 2.0..1.0 + DRIFT / 2.0)).collect();
+        (0..FLEET).map(|_| rng.random_range(1.0 - MAX_CLOCK_DRIFT / 2.0..1.0 + MAX_CLOCK_DRIFT / 2.0)).collect();
     let offsets: Vec<f64> = (0..FLEET).map(|_| rng.random_range(0.0..1e9)).collect();
     let clock = |n: usize, now: u64| (offsets[n] + now as f64 * rates[n]) as u64;
-    let mut members: Vec<Loans> = (0..FLEET).map(|n| Loans::start(clock(n, 0), 1)).collect();
-    let (mut incarnations, mut paused) = ([1u64; FLEET], [0u64; FLEET]);
+    let mut members: Vec<Loans> = (0..FLEET).map(|n| Loans::new(clock(n, 0), 1)).collect();
+    let (mut generations, mut paused) = ([1u64; FLEET], [0u64; FLEET]);
     let mut messages: Vec<(u64, usize, usize, Message)> = Vec::new();
     let mut max_units_in_use = 0;
     for now in (0..30_000).step_by(20) {
@@ -64,13 +64,13 @@
                 // A message to a paused member waits until it resumes.
                 message if paused[to] > now => send(&mut rng, from, to, message),
                 Message::Request(loan, most) => {
-                    let units = members[to].lends(at, from as u32, loan, most);
+                    let units = members[to].lend(at, from as u32, loan, most);
                     if units > 0 {
                         send(&mut rng, to, from, Message::Grant(loan, units));
                     }
                 }
-                Message::Grant(loan, units) => members[to].takes(at, from as u32, loan, units),
-                Message::Return(loan) => members[to].returned(from as u32, loan),
+                Message::Grant(loan, units) => members[to].accept_grant(at, from as u32, loan, units),
+                Message::Return(loan) => members[to].end_loan(from as u32, loan),
             }
         }
         for n in 0..FLEET {
@@ -81,19 +81,19 @@
             match rng.random_range(0..400) {
                 0 => paused[n] = now + rng.random_range(100..5_000),
                 1 => {
-                    incarnations[n] += 1;
-                    members[n] = Loans::start(at, incarnations[n]);
+                    generations[n] += 1;
+                    members[n] = Loans::new(at, generations[n]);
                 }
                 2..=60 => {
                     let owner = (n + rng.random_range(1..FLEET)) % FLEET;
-                    if let Some(loan) = members[n].asks(at, owner as u32) {
+                    if let Some(loan) = members[n].request_loan(at, owner as u32) {
                         let most = rng.random_range(1..UNITS_PER_MEMBER);
                         send(&mut rng, n, owner, Message::Request(loan, most));
                     }
                 }
                 61..=80 => {
                     let keep = rng.random_range(0..UNITS_PER_MEMBER);
-                    for (owner, loan) in members[n].gives_back(at, keep) {
+                    for (owner, loan) in members[n].return_loans(at, keep) {
                         send(&mut rng, n, owner as usize, Message::Return(loan));
                     }
                 }
@@ -101,10 +101,10 @@
             }
         }
         // What each member would use if it looked now, including paused ones.
-        let all: u32 = members.iter().enumerate().map(|(n, one)| one.has(clock(n, now))).sum();
+        let all: u32 = members.iter().enumerate().map(|(n, one)| one.usable_units(clock(n, now))).sum();
         assert!(all <= UNITS_PER_MEMBER * FLEET as u32, "seed {seed} at {now}: {all}");
         max_units_in_use =
-            max_units_in_use.max(members.iter().enumerate().map(|(n, one)| one.has(clock(n, now))).max().unwrap_or(0));
+            max_units_in_use.max(members.iter().enumerate().map(|(n, one)| one.usable_units(clock(n, now))).max().unwrap_or(0));
     }
     max_units_in_use
 }
--- a/crates/flintwell-shared-limits/tests/orders.rs
+++ b/crates/flintwell-shared-limits/tests/orders.rs
@@ -1,11 +1,11 @@
 //! Model check of loans between two members over every order of requests, grants, returns, restarts and time. A message
 //! may arrive at any later time, any number of times or never, and the members' clocks differ as much as is allowed.
 
-use flintwell_shared_limits::loans::{DRIFT, UNITS_PER_MEMBER, Loans, SPAN};
+use flintwell_shared_limits::loans::{MAX_CLOCK_DRIFT, UNITS_PER_MEMBER, Loans, LOAN_MS};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-const STEP_MS: u64 = SPAN / 2; // a loan lasts two of them
+const STEP_MS: u64 = LOAN_MS / 2; // a loan lasts two of them
 const STEPS: u64 = 5;
 const MAX_REQUESTS: u64 = 2; // by both members together
 const UNITS: u32 = 700;
@@ -22,7 +22,7 @@
 struct State {
     step: u64,
     requests: u64,
-    incarnations: [u64; 2],
+    generations: [u64; 2],
     members: [Loans; 2],
     /// Recipient and message; never removed, so that a message may arrive again.
     messages: BTreeSet<(usize, Message)>,
@@ -42,7 +42,7 @@
 
 /// The first member's clock runs fast and the other's slow, as far as is allowed.
 fn clock(n: usize, step: u64) -> u64 {
-    let rate = if n == 0 { 1.0 + DRIFT / 2.0 } else { 1.0 - DRIFT / 2.0 };
+    let rate = if n == 0 { 1.0 + MAX_CLOCK_DRIFT / 2.0 } else { 1.0 - MAX_CLOCK_DRIFT / 2.0 };
     START_MS + (step as f64 * STEP_MS as f64 * rate) as u64
 }
 
@@ -51,8 +51,8 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
-        let members = [Loans::start(0, 1), Loans::start(0, 1)];
-        vec![State { step: 0, requests: 0, incarnations: [1, 1], members, messages: BTreeSet::new(), restarts: 0 }]
+        let members = [Loans::new(0, 1), Loans::new(0, 1)];
+        vec![State { step: 0, requests: 0, generations: [1, 1], members, messages: BTreeSet::new(), restarts: 0 }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Event>) {
@@ -76,7 +76,7 @@
         let at = |n: usize| clock(n, state.step);
         match event {
             Event::Request(n) => {
-                let loan = next.members[n].asks(at(n), 1 - n as u32)?;
+                let loan = next.members[n].request_loan(at(n), 1 - n as u32)?;
                 next.messages.insert((1 - n, Message::Request(loan)));
                 next.requests += 1;
             }
@@ -84,23 +84,23 @@
                 let other = 1 - n as u32;
                 match message {
                     Message::Request(loan) => {
-                        let units = next.members[n].lends(at(n), other, loan, UNITS);
+                        let units = next.members[n].lend(at(n), other, loan, UNITS);
                         if units > 0 {
                             next.messages.insert((1 - n, Message::Grant(loan, units)));
                         }
                     }
-                    Message::Grant(loan, units) => next.members[n].takes(at(n), other, loan, units),
-                    Message::Return(loan) => next.members[n].returned(other, loan),
+                    Message::Grant(loan, units) => next.members[n].accept_grant(at(n), other, loan, units),
+                    Message::Return(loan) => next.members[n].end_loan(other, loan),
                 }
             }
             Event::Return(n) => {
-                for (owner, loan) in next.members[n].gives_back(at(n), 0) {
+                for (owner, loan) in next.members[n].return_loans(at(n), 0) {
                     next.messages.insert((owner as usize, Message::Return(loan)));
                 }
             }
             Event::Restart(n) => {
-                next.incarnations[n] += 1;
-                next.members[n] = Loans::start(at(n), next.incarnations[n]);
+                next.generations[n] += 1;
+                next.members[n] = Loans::new(at(n), next.generations[n]);
                 next.restarts += 1;
             }
             Event::Advance => next.step += 1,
@@ -119,7 +119,7 @@
 }
 
 fn in_use(state: &State, n: usize) -> u32 {
-    state.members[n].has(clock(n, state.step))
+    state.members[n].usable_units(clock(n, state.step))
 }
 
 #[test]
--- a/crates/flintwell-shared-probes/src/lib.rs
+++ b/crates/flintwell-shared-probes/src/lib.rs
@@ -15,12 +15,13 @@
 
 /// First byte of a message, which distinguishes it from those of other subsystems.
 pub const MESSAGE_TAG: u8 = 0x50;
-const GOSSIP_FANOUT: usize = 2; // peers per round; each also receives as many messages on average, whatever the fleet's size
+const GOSSIP_FANOUT: usize = 2; // peers per round; a member also receives two messages on average, in any fleet
 const MAX_NODES_PER_MESSAGE: usize = 12; // fits into a datagram; more nodes take turns
+const MAX_NODES: usize = 1_024; // remembered at once
 const WITNESS_QUORUM: usize = 3; // peers that found a node silent themselves; one or two may be partitioned
 const WITNESS_TTL_MS: u64 = 3_000; // several rounds of each member
 const PROBERS: usize = 3; // members that go on probing; one or two may be down or partitioned
-const SKIP_MS: u64 = 1_500; // how long a hint suppresses probes; after several rounds without reports the others probe again
+const SKIP_MS: u64 = 1_500; // per hint; after several rounds without reports all members probe again
 const RECOVERY_REPORT_MS: u64 = 3_000; // how long a recovery is reported
 const MIN_PROBE_INTERVAL_MS: u64 = 1_000; // between probes caused by recovery reports, however many arrive
 
@@ -33,7 +34,8 @@
     /// Nodes that are silent to the sender by its own probes.
     silent: Vec<NodeHash>,
     /// Nodes that were silent and have answered the sender recently.
-    back: Vec<NodeHash>,
+    #[serde(rename = "back")]
+    recovered: Vec<NodeHash>,
 }
 
 impl ProbeMessage {
@@ -49,7 +51,7 @@
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&tag, rest) = bytes.split_first()?;
         let message: ProbeMessage = (tag == MESSAGE_TAG).then(|| postcard::from_bytes(rest).ok()).flatten()?;
-        (message.silent.len() <= MAX_NODES_PER_MESSAGE && message.back.len() <= MAX_NODES_PER_MESSAGE).then_some(message)
+        (message.silent.len() <= MAX_NODES_PER_MESSAGE && message.recovered.len() <= MAX_NODES_PER_MESSAGE).then_some(message)
     }
 }
 
@@ -61,10 +63,10 @@
 
 /// Whether this member is among those that probe a node. Members are ranked by rendezvous hashing, so all that know the
 /// same members agree.
-fn is_prober(number: u32, hash: NodeHash, others: &[u32]) -> bool {
+fn is_prober(number: u32, hash: NodeHash, peers: &[u32]) -> bool {
     let rank = |number: u32| hash_parts(&[&hash.to_be_bytes(), &number.to_be_bytes()]);
     let own_rank = rank(number);
-    others.iter().filter(|&&other| rank(other) > own_rank).count() < PROBERS
+    peers.iter().filter(|&&peer| rank(peer) > own_rank).count() < PROBERS
 }
 
 /// What is known about one node.
@@ -91,7 +93,7 @@
 }
 
 /// Result of a round: hints by index into the silent nodes, and messages with their recipients.
-pub type Round = (Vec<(usize, ProbeHint)>, Vec<(u32, ProbeMessage)>);
+pub type RoundOutput = (Vec<(usize, ProbeHint)>, Vec<(u32, ProbeMessage)>);
 
 /// A node that is silent to this member, as the status endpoint shows it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -110,24 +112,25 @@
     number: u32,
     rng: ChaCha8Rng,
     nodes: BTreeMap<NodeHash, Node>,
-    turn: usize,
+    /// Where the next message starts among the nodes to report.
+    rotation: usize,
 }
 
 impl ProbeCoordinator {
     /// Creates the state of the member `number`; `seed` is that of the random number generator.
     pub fn new(number: u32, seed: u64) -> Self {
-        ProbeCoordinator { number, rng: ChaCha8Rng::seed_from_u64(seed), nodes: BTreeMap::new(), turn: 0 }
+        ProbeCoordinator { number, rng: ChaCha8Rng::seed_from_u64(seed), nodes: BTreeMap::new(), rotation: 0 }
     }
 
     /// Runs one gossip round at `now` (in ms), given the nodes that are silent to this member and the peers that are alive.
-    pub fn run_round(&mut self, now: u64, silent: &[&str], others: &[u32]) -> Round {
+    pub fn run_round(&mut self, now: u64, silent: &[&str], peers: &[u32]) -> RoundOutput {
         let hashes: Vec<NodeHash> = silent.iter().map(|name| hash_parts(&[name.as_bytes()])).collect();
         for (hash, node) in &mut self.nodes {
             // The node answered this member again, which is reported to peers.
             if std::mem::replace(&mut node.silent, hashes.contains(hash)) && !node.silent {
                 node.report_recovery_until = now + RECOVERY_REPORT_MS;
             }
-            node.witnesses.retain(|number, at| now < *at + WITNESS_TTL_MS && others.contains(number));
+            node.witnesses.retain(|number, at| now < *at + WITNESS_TTL_MS && peers.contains(number));
         }
         let mut hints = Vec::new();
         for (n, &hash) in hashes.iter().enumerate() {
@@ -138,35 +141,35 @@
                 hints.push((n, ProbeHint::ProbeNow));
             } else if node.witnesses.len() >= WITNESS_QUORUM
                 && now >= node.probed_at + MIN_PROBE_INTERVAL_MS
-                && !is_prober(self.number, hash, others)
+                && !is_prober(self.number, hash, peers)
             {
                 hints.push((n, ProbeHint::SkipFor(SKIP_MS)));
             }
         }
         self.nodes.retain(|_, node| node.silent || now < node.report_recovery_until || !node.witnesses.is_empty());
         let message = self.next_message(now);
-        let to = others.choose_multiple(&mut self.rng, GOSSIP_FANOUT).copied();
-        let messages = if message.silent.is_empty() && message.back.is_empty() {
+        let to = peers.choose_multiple(&mut self.rng, GOSSIP_FANOUT).copied();
+        let messages = if message.silent.is_empty() && message.recovered.is_empty() {
             Vec::new()
         } else {
-            to.map(|other| (other, message.clone())).collect()
+            to.map(|peer| (peer, message.clone())).collect()
         };
         (hints, messages)
     }
 
     /// The message to send in this round.
     fn next_message(&mut self, now: u64) -> ProbeMessage {
-        // Up to the maximum, starting at the turn so that every node is reported in some round.
-        let of = |filter: &dyn Fn(&Node) -> bool, turn: usize| -> Vec<NodeHash> {
-            let hashes: Vec<NodeHash> = self.nodes.iter().filter(|one| filter(one.1)).map(|one| *one.0).collect();
+        // Up to the maximum, starting at the rotation so that every node is reported in some round.
+        let select = |filter: &dyn Fn(&Node) -> bool, rotation: usize| -> Vec<NodeHash> {
+            let hashes: Vec<NodeHash> = self.nodes.iter().filter(|entry| filter(entry.1)).map(|entry| *entry.0).collect();
             let count = hashes.len();
-            hashes.into_iter().cycle().skip(turn % count.max(1)).take(count.min(MAX_NODES_PER_MESSAGE)).collect()
+            hashes.into_iter().cycle().skip(rotation % count.max(1)).take(count.min(MAX_NODES_PER_MESSAGE)).collect()
         };
         let message = ProbeMessage {
-            silent: of(&|node| node.silent, self.turn),
-            back: of(&|node| now < node.report_recovery_until, self.turn),
+            silent: select(&|node| node.silent, self.rotation),
+            recovered: select(&|node| now < node.report_recovery_until, self.rotation),
         };
-        self.turn = self.turn.wrapping_add(MAX_NODES_PER_MESSAGE);
+        self.rotation = self.rotation.wrapping_add(MAX_NODES_PER_MESSAGE);
         message
     }
 
@@ -174,11 +177,11 @@
     pub fn handle_message(&mut self, now: u64, from: u32, message: &ProbeMessage) {
         for hash in &message.silent {
             // Bounds the memory that reports on unknown nodes can take.
-            if self.nodes.len() < 1_024 || self.nodes.contains_key(hash) {
+            if self.nodes.len() < MAX_NODES || self.nodes.contains_key(hash) {
                 self.nodes.entry(*hash).or_default().witnesses.insert(from, now);
             }
         }
-        for hash in &message.back {
+        for hash in &message.recovered {
             if let Some(node) = self.nodes.get_mut(hash) {
                 node.witnesses.remove(&from);
                 node.reported_recovered |= node.silent;
@@ -187,13 +190,13 @@
     }
 
     /// Status of each node that is silent to this member.
-    pub fn statuses(&self, silent: &[&str], others: &[u32]) -> Vec<ProbeStatus> {
-        let of = |name: &&str| {
+    pub fn statuses(&self, silent: &[&str], peers: &[u32]) -> Vec<ProbeStatus> {
+        let status = |name: &&str| {
             let hash = hash_parts(&[name.as_bytes()]);
             let witnesses = self.nodes.get(&hash).map_or(0, |node| node.witnesses.len());
-            ProbeStatus { node: (*name).to_owned(), witnesses, is_prober: is_prober(self.number, hash, others) }
+            ProbeStatus { node: (*name).to_owned(), witnesses, is_prober: is_prober(self.number, hash, peers) }
         };
-        silent.iter().map(of).collect()
+        silent.iter().map(status).collect()
     }
 }
 
--- a/crates/flintwell-shared-probes/src/tests.rs
+++ b/crates/flintwell-shared-probes/src/tests.rs
@@ -13,9 +13,9 @@
         let mut sent = Vec::new();
         let mut probing = Vec::new();
         for n in 0..FLEET {
-            let others: Vec<u32> = (0..FLEET).filter(|&other| other != n).collect();
+            let peers: Vec<u32> = (0..FLEET).filter(|&other| other != n).collect();
             let silent: &[&str] = if is_silent(n, round) { &["x"] } else { &[] };
-            let (hints, messages) = fleet[n as usize].run_round(now, silent, &others);
+            let (hints, messages) = fleet[n as usize].run_round(now, silent, &peers);
             for (_, hint) in hints {
                 skip_until[n as usize] = match hint {
                     ProbeHint::SkipFor(ms) => now + ms,
