--- a/crates/flintwell-call/src/lib.rs
+++ b/crates/flintwell-call/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 requests to management endpoints, each on its own connection: from a rollout to its members and from a
-//! supervisor to its process.
+//! HTTP/1.1 requests to management endpoints, each on its own connection: from a rollout to its members and
+//! from a supervisor to its process.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -13,8 +13,8 @@
 
 const MAX_RESPONSE_BYTES: usize = 8 << 20; // a list of some ten thousand nodes
 
-/// Sends a request and returns the response's status and whole body, or why none arrived within the time limit. After an
-/// error the request may or may not have been processed.
+/// Sends a request and returns the response's status and whole body, or why none arrived within the time
+/// limit. After an error the request may or may not have been processed.
 pub async fn send_request(
     addr: SocketAddr,
     method: Method,
@@ -34,8 +34,8 @@
             let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
             Ok((status, body.map_err(|e| text(&e))?.to_bytes()))
         };
-        // The peer may close the connection right after its response, before the response has been read; so the end of
-        // the connection alone does not end the exchange.
+        // The peer may close the connection right after its response, before the response has been read; so
+        // the end of the connection alone does not end the exchange.
         let connection_driver = async {
             let _ = connection.await;
             std::future::pending::<()>().await;
--- a/crates/flintwell-list-watch/src/lease.rs
+++ b/crates/flintwell-list-watch/src/lease.rs
@@ -1,14 +1,14 @@
 //! Until when a list may be used.
 //!
-//! A list is held under a lease. A change at discovery takes effect [`MAX_PROPAGATION_US`] after discovery has it and can be reached,
-//! whether or not the proxy has received it. So a list may be used for that long from the last moment at which it was
-//! certainly as recent as discovery's own state. That moment is never when the list was received or read from a file, or
-//! when the process started.
+//! A list is held under a lease. A change at discovery takes effect [`MAX_PROPAGATION_US`] after discovery
+//! has it and can be reached, whether or not the proxy has received it. So a list may be used for that long
+//! from the last moment at which it was certainly as recent as discovery's own state. That moment is never
+//! when the list was received or read from a file, or when the process started.
 
 use crate::Micros;
 
-/// Time from when discovery has a change and can be reached until the change takes effect for every proxy. Specified by the
-/// operators.
+/// Time from when discovery has a change and can be reached until the change takes effect for every proxy.
+/// Specified by the operators.
 pub const MAX_PROPAGATION_US: Micros = 6_000_000;
 
 /// Why the current list may be used. The variants' names appear in the list status.
@@ -26,15 +26,16 @@
     LateRefusal,
 }
 
-/// The lease on the current list. Changes at discovery after `renewed_at` may be unknown to this proxy and take effect from
-/// the lease's end on; the grace of a drain comes on top and is left to requests in flight.
+/// The lease on the current list. Changes at discovery after `renewed_at` may be unknown to this proxy and
+/// take effect from the lease's end on; the grace of a drain comes on top and is left to requests in flight.
 ///
-/// A refusal after a while is ambiguous: it may come from a load balancer whose discovery is down, or from an overloaded
-/// discovery. Such refusals extend the lease by at most [`MAX_PROPAGATION_US`] in total, so that a short outage does not stop traffic.
+/// A refusal after a while is ambiguous: it may come from a load balancer whose discovery is down, or from an
+/// overloaded discovery. Such refusals extend the lease by at most [`MAX_PROPAGATION_US`] in total, so that a
+/// short outage does not stop traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// When the list was last known to be as recent as discovery's state, or discovery was certainly unreachable; `None` for
-    /// a list of unknown age.
+    /// When the list was last known to be as recent as discovery's state, or discovery was certainly
+    /// unreachable; `None` for a list of unknown age.
     confirmed_at: Option<Micros>,
     /// Start of the current lease; `None` if the list was never valid.
     renewed_at: Option<Micros>,
@@ -44,13 +45,14 @@
 impl Lease {
     /// Lease of a process that starts with a list of unknown age.
     ///
-    /// Danger: the list is at least as old as the process was down, and changes made meanwhile may already be in effect when
-    /// it starts. Such a list is therefore not valid before discovery confirms it.
+    /// Danger: the list is at least as old as the process was down, and changes made meanwhile may already be
+    /// in effect when it starts. Such a list is therefore not valid before discovery confirms it.
     pub fn unconfirmed() -> Self {
         Lease { confirmed_at: None, renewed_at: None, basis: Basis::Unconfirmed }
     }
 
-    /// Lease of a process that starts at `now` with a list that an earlier process had confirmed at `confirmed_at`.
+    /// Lease of a process that starts at `now` with a list that an earlier process had confirmed at
+    /// `confirmed_at`.
     pub fn restored(now: Micros, confirmed_at: Micros) -> Self {
         if confirmed_at > now {
             return Lease::unconfirmed();
@@ -67,7 +69,8 @@
 
     /// Renews the lease from `at`, when discovery may have been unreachable.
     pub fn renew_if_unreachable(&mut self, at: Micros) {
-        // Danger: the age of a list that was never confirmed is unknown, so an ambiguous refusal must not make it valid.
+        // Danger: the age of a list that was never confirmed is unknown, so an ambiguous refusal must not
+        // make it valid.
         if let Some(confirmed_at) = self.confirmed_at {
             self.renew_from(at.min(confirmed_at + MAX_PROPAGATION_US), Basis::LateRefusal);
         }
@@ -90,13 +93,13 @@
     }
 
     /// When the lease expires; `None` if the list was never valid.
-    pub fn ends_at(self) -> Option<Micros> {
+    pub fn expires_at(self) -> Option<Micros> {
         self.renewed_at.map(|renewed_at| renewed_at + MAX_PROPAGATION_US)
     }
 
     /// Time until the lease expires; zero or negative once it has expired or if the list was never valid.
     pub fn remaining(self, now: Micros) -> Micros {
-        self.ends_at().map_or(0, |ends_at| ends_at - now)
+        self.expires_at().map_or(0, |expires_at| expires_at - now)
     }
 
     /// Whether requests may be sent by this list now.
--- a/crates/flintwell-list-watch/src/lib.rs
+++ b/crates/flintwell-list-watch/src/lib.rs
@@ -1,9 +1,10 @@
-//! One proxy's watch of the server list: when to call discovery, how long to wait for an answer, and how long a list may be
-//! used. No I/O and no clock; times are whole microseconds on the caller's clock.
+//! One proxy's watch of the node list: when to call discovery, how long to wait for an answer, and how long a
+//! list may be used. No I/O and no clock; times are whole microseconds on the caller's clock.
 //!
 //! - [`lease`]: until when a list may be used.
-//! - [`backoff`]: when to call again, so that the call rate of a fleet of any size settles below discovery's capacity.
-//! - [`starts`]: when each server started, by this process's clock.
+//! - [`backoff`]: when to call again, so that the call rate of a fleet of any size settles below discovery's
+//!   capacity.
+//! - [`starts`]: when each node started, by this process's clock.
 //! - [`watch`]: the calls of one proxy, which combine the lease and the backoff.
 
 pub mod backoff;
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -1,7 +1,7 @@
 //! One proxy's calls for the list.
 //!
-//! While discovery can be reached, consecutive answers must not lie further apart than a lease lasts. So the wait of a watch,
-//! the margin after it and the calls that replace a lost one fit together into a lease.
+//! While discovery can be reached, consecutive answers must not lie further apart than a lease lasts. So the
+//! wait of a watch, the margin after it and the calls that replace a lost one fit together into a lease.
 
 use crate::Micros;
 use crate::backoff::{Failure, Failures, FleetPosition, may_be_unreachable, frame_within, was_queued};
@@ -11,19 +11,26 @@
 
 const MIN_WAIT_US: Micros = 2_200_000; // a call that continues a watch costs discovery next to nothing
 const MAX_WAIT_US: Micros = 3_200_000; // with the margin and two more calls it fits into a lease
-const WAIT_MARGIN_US: Micros = 300_000; // past its wait an answer counts as lost; the answers that end a wait arrive within milliseconds
-const CATCH_UP_WAIT_US: Micros = 1_000; // wait of a call after a failure; an immediate answer shows that no change was missed
+/// Past its wait an answer counts as lost; the answers that end a wait arrive within milliseconds.
+const WAIT_MARGIN_US: Micros = 300_000;
+/// Wait of a call after a failure; an immediate answer shows that no change was missed.
+const CATCH_UP_WAIT_US: Micros = 1_000;
 const CALL_TIMEOUT_US: Micros = 2_000_000; // for an answer that is due at once
-const MIN_CALL_TIMEOUT_US: Micros = 800_000; // right after an unanswered watch, since this answer may be lost as well
-const MAX_CALL_TIMEOUT_US: Micros = 32_000_000; // more than a discovery takes that needs 30 s to serve the fleet once
-const TIMEOUT_AGE_DIVISOR: Micros = 10; // the time limit is at least the time for which calls have failed divided by this
-const MAX_FIRST_CALL_FRAME_US: Micros = 1_000_000; // over which the first calls of processes that start together are spread
+/// Right after an unanswered watch, since this answer may be lost as well.
+const MIN_CALL_TIMEOUT_US: Micros = 800_000;
+/// More than a discovery takes that needs 30 s to serve the fleet once.
+const MAX_CALL_TIMEOUT_US: Micros = 32_000_000;
+/// The time limit is at least the time for which calls have failed divided by this.
+const TIMEOUT_AGE_DIVISOR: Micros = 10;
+/// Over which the first calls of processes that start together are spread.
+const MAX_FIRST_CALL_FRAME_US: Micros = 1_000_000;
 const MIN_RETRY_PAUSE_US: Micros = 50_000; // after a failed connection attempt or a second unanswered call
 const MAX_RETRY_PAUSE_US: Micros = 400_000; // bounds the time until the return of discovery is noticed
 const UNREACHABLE_AFTER_US: Micros = 800_000; // attempts that fail for this long are no momentary fault
 const MIN_LOCAL_RETRY_PAUSE_US: Micros = 20_000; // after a fault of this host
 const MAX_LOCAL_RETRY_PAUSE_US: Micros = 100_000;
-const MIN_PUSHED_PAUSE_US: Micros = 20_000; // between calls where lists are pushed, however short the drain grace
+/// Between calls where lists are pushed, however short the drain grace.
+const MIN_PUSHED_PAUSE_US: Micros = 20_000;
 const MAX_PUSHED_PAUSE_US: Micros = 250_000; // the same, for the first calls after a failure
 
 /// Settings of the list watch.
@@ -50,7 +57,7 @@
 
 /// The list watch of one proxy. Its methods report events; those that return a time tell when to act next.
 pub struct Watch {
-    figures: WatchConfig,
+    config: WatchConfig,
     rng: ChaCha8Rng,
     lease: Lease,
     failures: Failures,
@@ -58,7 +65,7 @@
     called_at: Micros,
     connecting_since: Micros,
     /// How long the last connection took to establish.
-    dial: Micros,
+    dial_time: Micros,
     /// Whether a change may have been missed since the last answer.
     may_have_missed_change: bool,
     /// Since when no connection could be established.
@@ -67,16 +74,16 @@
 
 impl Watch {
     /// Creates the watch of a process that starts at `now` with a list under this lease.
-    pub fn new(now: Micros, figures: WatchConfig, lease: Lease, seed: u64) -> Self {
+    pub fn new(now: Micros, config: WatchConfig, lease: Lease, seed: u64) -> Self {
         Watch {
-            figures,
+            config,
             rng: ChaCha8Rng::seed_from_u64(seed),
             lease,
             failures: Failures::default(),
             last_failure: None,
             called_at: now,
             connecting_since: now,
-            dial: 0,
+            dial_time: 0,
             may_have_missed_change: false,
             unreachable_since: None,
         }
@@ -84,7 +91,7 @@
 
     /// Sets the drain grace after a change of the settings.
     pub fn set_drain_grace(&mut self, grace: Micros) {
-        self.figures.drain_grace = grace;
+        self.config.drain_grace = grace;
     }
 
     /// Lease on the current list.
@@ -94,18 +101,20 @@
 
     /// When the first call of a process that starts at `now` is due.
     ///
-    /// Danger: a process that restarts alone cannot serve before this call, so the call must not be delayed by the size of
-    /// the fleet. If a whole fleet starts together, discovery refuses what exceeds its capacity, and the frames grow.
+    /// Danger: a process that restarts alone cannot serve before this call, so the call must not be delayed
+    /// by the size of the fleet. If a whole fleet starts together, discovery refuses what exceeds its
+    /// capacity, and the frames grow.
     pub fn first_call_at(&self, now: Micros) -> Micros {
         let frame = self.position().first_frame().min(MAX_FIRST_CALL_FRAME_US);
-        if self.figures.pushed || frame == 0 { now } else { self.position().slot(now, frame) }
+        if self.config.pushed || frame == 0 { now } else { self.position().slot(now, frame) }
     }
 
     /// When a call is due that all proxies may have to make now, after a change of address or an outage.
     pub fn next_slot(&self, now: Micros) -> Micros {
-        // Danger: the proxies of a fleet that start together, or see discovery return, would all call at the same time.
+        // Danger: the proxies of a fleet that start together, or see discovery return, would all call at the
+        // same time.
         let first = self.position().first_frame();
-        if self.figures.pushed || first == 0 { now } else { self.slot_within_lease(now).min(now + first) }
+        if self.config.pushed || first == 0 { now } else { self.slot_within_lease(now).min(now + first) }
     }
 
     /// An attempt to connect to discovery begins.
@@ -115,33 +124,36 @@
 
     /// The connection is established. Returns when the call may be sent on it.
     pub fn on_connected(&mut self, now: Micros) -> Micros {
-        self.dial = (now - self.connecting_since).max(0);
+        self.dial_time = (now - self.connecting_since).max(0);
         if self.unreachable_since.take().is_some() { self.next_slot(now) } else { now }
     }
 
-    /// A call begins. `whole` asks for the whole list, which is answered at once.
-    pub fn begin_call(&mut self, now: Micros, whole: bool) -> Call {
+    /// A call begins. `full_list` asks for the whole list, which is answered at once.
+    pub fn begin_call(&mut self, now: Micros, full_list: bool) -> Call {
         self.called_at = now;
-        // Danger: after a pause of this process, the last answer renewed the lease only from a time long past, and a watch
-        // would outlast it.
+        // Danger: after a pause of this process, the last answer renewed the lease only from a time long
+        // past, and a watch would outlast it.
         let would_outlast_lease = self.lease.remaining(now) <= MAX_WAIT_US + WAIT_MARGIN_US;
-        if !self.may_have_missed_change && !whole && !would_outlast_lease {
-            // Danger: if a watch loses its answer, this is not noticed before the wait is over, while changes take effect. And
-            // waits of equal length that begin together, after a change or a start, would also end together.
+        if !self.may_have_missed_change && !full_list && !would_outlast_lease {
+            // Danger: if a watch loses its answer, this is not noticed before the wait is over, while changes
+            // take effect. And waits of equal length that begin together, after a change or a start, would
+            // also end together.
             let wait = self.rng.random_range(MIN_WAIT_US..=MAX_WAIT_US);
             return Call { wait, timeout: wait + WAIT_MARGIN_US };
         }
-        let within = match (self.failures.count, self.last_failure) {
+        let timeout = match (self.failures.count, self.last_failure) {
             // This call may be lost as well, so the lease must leave time for another.
             (1, Some(Failure::Silent)) => (self.lease.remaining(now) / 2).clamp(MIN_CALL_TIMEOUT_US, CALL_TIMEOUT_US),
-            // Danger: a caller that leaves the queue of a busy discovery early has cost it a call and got nothing. A time limit
-            // that shrank with the age of the list fell below the wait in a full queue, and no proxy was ever answered again.
+            // Danger: a caller that leaves the queue of a busy discovery early has cost it a call and got
+            // nothing. A time limit that shrank with the age of the list fell below the wait in a full queue,
+            // and no proxy was ever answered again.
             _ => (self.failures.age(now) / TIMEOUT_AGE_DIVISOR).clamp(CALL_TIMEOUT_US, MAX_CALL_TIMEOUT_US),
         };
-        Call { wait: CATCH_UP_WAIT_US, timeout: within }
+        Call { wait: CATCH_UP_WAIT_US, timeout: timeout }
     }
 
-    /// The call was answered with discovery's state as of `as_of` or, if that is later, as of the start of the call.
+    /// The call was answered with discovery's state as of `as_of` or, if that is later, as of the start of
+    /// the call.
     pub fn on_answer(&mut self, as_of: Micros) {
         self.lease.renew(as_of.max(self.called_at), Basis::Answer);
         self.reset_failures();
@@ -162,14 +174,14 @@
         if failure == Failure::Unreachable {
             return self.unreachable(now);
         }
-        let (refused, took) = (failure == Failure::Refused, now - self.called_at);
-        let waited = refused && was_queued(took, self.dial);
-        if refused && may_be_unreachable(took, self.dial) {
+        let (refused, duration) = (failure == Failure::Refused, now - self.called_at);
+        let waited = refused && was_queued(duration, self.dial_time);
+        if refused && may_be_unreachable(duration, self.dial_time) {
             self.lease.renew_if_unreachable(self.called_at);
         }
         self.failures.add(now);
         self.last_failure = Some(failure);
-        if self.figures.pushed {
+        if self.config.pushed {
             return now + self.pushed_pause(now);
         }
         match (self.failures.count, failure) {
@@ -177,10 +189,11 @@
             (1, Failure::Silent) => now,
             // The call that replaced it, for which the same holds.
             (2, Failure::Silent) => now + self.rng.random_range(MIN_RETRY_PAUSE_US..=MAX_RETRY_PAUSE_US),
-            // Danger: the fault that ended this call may have ended those of the whole fleet, which would all call again at
-            // the same time.
+            // Danger: the fault that ended this call may have ended those of the whole fleet, which would all
+            // call again at the same time.
             _ if self.failures.are_early() => self.slot_within_lease(now),
-            // Danger: an overloaded discovery would spend its capacity on refusing calls that are retried at once.
+            // Danger: an overloaded discovery would spend its capacity on refusing calls that are retried at
+            // once.
             _ => {
                 let frame = self.failures.frame(self.position(), now, waited);
                 self.position().slot(now.max(self.called_at + frame / 2), frame)
@@ -199,10 +212,11 @@
     /// A connection attempt failed at `now`. Returns when to try again.
     fn unreachable(&mut self, now: Micros) -> Micros {
         let since = *self.unreachable_since.get_or_insert(self.connecting_since);
-        // Danger: an attempt may fail because of a momentary fault while discovery is reachable and its changes take effect.
-        // So the lease is renewed only after attempts have failed for some time.
+        // Danger: an attempt may fail because of a momentary fault while discovery is reachable and its
+        // changes take effect. So the lease is renewed only after attempts have failed for some time.
         if now - since >= UNREACHABLE_AFTER_US {
-            // Discovery was unreachable when this attempt began, so its changes until then have not taken effect.
+            // Discovery was unreachable when this attempt began, so its changes until then have not taken
+            // effect.
             self.lease.renew(self.connecting_since, Basis::Unreachable);
         }
         self.failures.reset();
@@ -218,7 +232,7 @@
     }
 
     fn position(&self) -> FleetPosition {
-        FleetPosition { index: self.figures.index, fleet: self.figures.fleet_size }
+        FleetPosition { index: self.config.index, fleet_size: self.config.fleet_size }
     }
 
     /// The next slot of this proxy, in a frame that fits into the remaining time of the lease.
@@ -227,18 +241,18 @@
     }
 
     fn unreachable_pause(&mut self) -> Micros {
-        let max_pause = if self.figures.pushed { self.max_initial_pushed_pause() } else { MAX_RETRY_PAUSE_US };
+        let max_pause = if self.config.pushed { self.max_initial_pushed_pause() } else { MAX_RETRY_PAUSE_US };
         self.rng.random_range(MIN_RETRY_PAUSE_US.min(max_pause / 2)..=max_pause)
     }
 
     fn max_initial_pushed_pause(&self) -> Micros {
-        (self.figures.drain_grace / 2).clamp(MIN_PUSHED_PAUSE_US, MAX_PUSHED_PAUSE_US)
+        (self.config.drain_grace / 2).clamp(MIN_PUSHED_PAUSE_US, MAX_PUSHED_PAUSE_US)
     }
 
     /// Pause before the next call where lists are pushed; the first retry is immediate.
     ///
-    /// Danger: changes that a returning discovery receives take effect at once, although no watch is open, so pauses are
-    /// bounded by the drain grace at first.
+    /// Danger: changes that a returning discovery receives take effect at once, although no watch is open, so
+    /// pauses are bounded by the drain grace at first.
     fn pushed_pause(&mut self, now: Micros) -> Micros {
         if self.failures.count == 1 {
             return 0;
--- a/crates/flintwell-list-watch/tests/fleet.rs
+++ b/crates/flintwell-list-watch/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time whose open watches all lose their answers at once, before a discovery that processes calls in turn.
+//! A fleet in virtual time whose open watches all lose their answers at once, before a discovery that
+//! processes calls in turn.
 
 use flintwell_list_watch::{Failure, WatchConfig, Lease, Micros, MAX_PROPAGATION_US, Watch};
 use rand::{Rng, SeedableRng};
@@ -8,8 +9,10 @@
 const S: Micros = 1_000_000; // microseconds in a second
 const GRACE: Micros = 300_000; // of a drain
 const LOSS_AT: Micros = 8 * S; // all watches that are open then stay unanswered
-const CHANGE_AT: Micros = LOSS_AT + 1; // the change that they miss; the earlier it comes, the sooner it takes effect
-const CONTINUED_CALLS_PER_NEW_CALL: Micros = 20; // at the same cost for discovery; at least as many on the benchmark
+/// The change that they miss; the earlier it comes, the sooner it takes effect.
+const CHANGE_AT: Micros = LOSS_AT + 1;
+/// At the same cost for discovery; at least as many on the benchmark.
+const CONTINUED_CALLS_PER_NEW_CALL: Micros = 20;
 
 /// Faults after the watches were lost.
 #[derive(Clone, Copy)]
@@ -20,7 +23,8 @@
     down: Micros,
 }
 
-/// Runs the fleet; returns the calls per proxy and minute, and how many proxies got the change after it had taken effect.
+/// Runs the fleet; returns the calls per proxy and minute, and how many proxies got the change after it had
+/// taken effect.
 fn simulate(pushed: bool, fleet: u32, time_per_new_call: Micros, faults_after: Faults, seed: u64) -> (f64, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (mut busy_until, mut calls, mut late, mut down_from) = (0, 0, 0, Micros::MAX);
@@ -34,8 +38,8 @@
             )
         })
         .collect();
-    // Next call of each proxy, by time, and whether it continues a watch; number of its lost calls; whether it knows the
-    // change, if its watch was lost.
+    // Next call of each proxy, by time, and whether it continues a watch; number of its lost calls; whether
+    // it knows the change, if its watch was lost.
     let mut due: BTreeSet<(Micros, usize, bool)> =
         (0..watches.len()).map(|n| (rng.random_range(0..3 * S), n, false)).collect();
     let mut lost = vec![0; watches.len()];
@@ -84,8 +88,8 @@
 }
 
 /// Processing time per call of a discovery that can answer one new call of each proxy within this time.
-fn time_per_call(fleet: u32, within: Micros) -> Micros {
-    within / Micros::from(fleet)
+fn time_per_call(fleet: u32, timeout: Micros) -> Micros {
+    timeout / Micros::from(fleet)
 }
 
 #[test]
@@ -174,8 +178,9 @@
     Silent,
 }
 
-/// While discovery can be reached, no change is unknown to a proxy for longer than is allowed. Some calls stay unanswered or
-/// fail, but never three of them within the allowed time, since discovery would then count as unreachable.
+/// While discovery can be reached, no change is unknown to a proxy for longer than is allowed. Some calls
+/// stay unanswered or fail, but never three of them within the allowed time, since discovery would then count
+/// as unreachable.
 #[test]
 fn no_change_is_unknown_for_longer_than_allowed_while_discovery_is_reachable() {
     for pushed in [false, true] {
--- a/crates/flintwell-list-watch/tests/lease.rs
+++ b/crates/flintwell-list-watch/tests/lease.rs
@@ -17,11 +17,12 @@
         assert!(watch.lease().is_valid(100 * S + MAX_PROPAGATION_US - 1) && !watch.lease().is_valid(100 * S + MAX_PROPAGATION_US));
         watch.begin_call(101 * S, false);
         watch.on_answer(103 * S);
-        assert_eq!(watch.lease().ends_at(), Some(103 * S + MAX_PROPAGATION_US));
-        // An answer that is read after a pause of this process: it may have been written when the call was made.
+        assert_eq!(watch.lease().expires_at(), Some(103 * S + MAX_PROPAGATION_US));
+        // An answer that is read after a pause of this process: it may have been written when the call was
+        // made.
         watch.begin_call(104 * S, false);
         watch.on_answer(90 * S);
-        assert_eq!(watch.lease().ends_at(), Some(104 * S + MAX_PROPAGATION_US));
+        assert_eq!(watch.lease().expires_at(), Some(104 * S + MAX_PROPAGATION_US));
     }
 }
 
@@ -39,16 +40,16 @@
 #[test]
 fn only_failures_that_show_discovery_unreachable_renew_the_lease() {
     let mut watch = watch(false);
-    let ends = watch.lease().ends_at();
+    let ends = watch.lease().expires_at();
     for failure in [Failure::Local, Failure::Refused, Failure::Broken, Failure::Silent] {
         watch.begin_call(102 * S, false);
         watch.on_failure(102 * S + 50_000, failure);
-        assert_eq!(watch.lease().ends_at(), ends, "{failure:?}");
+        assert_eq!(watch.lease().expires_at(), ends, "{failure:?}");
     }
     // The lease counts from the start of the attempt, since discovery may have come back during it.
     watch.on_connecting(102 * S + 1);
     watch.on_failure(104 * S, Failure::Unreachable);
-    assert_eq!(watch.lease().ends_at(), Some(102 * S + 1 + MAX_PROPAGATION_US));
+    assert_eq!(watch.lease().expires_at(), Some(102 * S + 1 + MAX_PROPAGATION_US));
 }
 
 #[test]
@@ -68,13 +69,13 @@
     assert_eq!(watch.lease(), before);
     watch.on_connecting(now + 2 * S);
     watch.on_failure(now + 2 * S, Failure::Unreachable);
-    assert_eq!(watch.lease().ends_at(), Some(now + 2 * S + MAX_PROPAGATION_US));
+    assert_eq!(watch.lease().expires_at(), Some(now + 2 * S + MAX_PROPAGATION_US));
 }
 
 #[test]
 fn a_list_of_unknown_age_is_invalid_until_discovery_has_answered_or_is_unreachable() {
-    let figures = WatchConfig { pushed: false, fleet_size: 300, index: 7, drain_grace: 0 };
-    let new_watch = || Watch::new(100 * S, figures, Lease::unconfirmed(), 1);
+    let config = WatchConfig { pushed: false, fleet_size: 300, index: 7, drain_grace: 0 };
+    let new_watch = || Watch::new(100 * S, config, Lease::unconfirmed(), 1);
     for failure in [Failure::Local, Failure::Refused, Failure::Broken, Failure::Silent] {
         let mut watch = new_watch();
         assert!(!watch.lease().is_valid(100 * S));
@@ -95,18 +96,18 @@
     let mut answered = new_watch();
     answered.begin_call(101 * S, false);
     answered.on_answer(101 * S);
-    assert_eq!((answered.lease().ends_at(), answered.lease().basis()), (Some(101 * S + MAX_PROPAGATION_US), Basis::Answer));
+    assert_eq!((answered.lease().expires_at(), answered.lease().basis()), (Some(101 * S + MAX_PROPAGATION_US), Basis::Answer));
     let mut unreachable = new_watch();
     unreachable.on_connecting(101 * S);
     unreachable.on_failure(102 * S, Failure::Unreachable);
-    assert_eq!(unreachable.lease().ends_at(), Some(101 * S + MAX_PROPAGATION_US));
+    assert_eq!(unreachable.lease().expires_at(), Some(101 * S + MAX_PROPAGATION_US));
 }
 
 #[test]
 fn a_stored_list_is_valid_for_the_remaining_time_of_its_lease() {
     let lease = |age| Lease::restored(100 * S, 100 * S - age);
     assert!(lease(MAX_PROPAGATION_US - 1).is_valid(100 * S) && !lease(MAX_PROPAGATION_US).is_valid(100 * S));
-    assert_eq!(lease(2 * S).ends_at(), Some(104 * S));
+    assert_eq!(lease(2 * S).expires_at(), Some(104 * S));
     // A confirmation time in the future is not trusted.
     assert_eq!(lease(-S), Lease::unconfirmed());
 }
@@ -122,8 +123,8 @@
 #[test]
 fn the_first_call_is_due_within_a_second_for_any_fleet_size() {
     for fleet in [1, 2, 32, 300, 1_024] {
-        let figures = |index| WatchConfig { pushed: false, fleet_size: fleet, index, drain_grace: 0 };
-        let first = |index| Watch::new(0, figures(index), Lease::unconfirmed(), 1).first_call_at(123_456) - 123_456;
+        let config = |index| WatchConfig { pushed: false, fleet_size: fleet, index, drain_grace: 0 };
+        let first = |index| Watch::new(0, config(index), Lease::unconfirmed(), 1).first_call_at(123_456) - 123_456;
         assert!((0..fleet).map(first).all(|wait| (0..S).contains(&wait)), "{fleet} proxies");
     }
 }
@@ -136,8 +137,9 @@
         outage.begin_call((100 + second) * S, false);
         outage.on_failure((101 + second) * S, Failure::Refused);
     }
-    assert_eq!(outage.lease().ends_at(), initial.ends_at().map(|at| at + MAX_PROPAGATION_US), "after any number of refusals");
-    // A discovery that refuses at once is up but overloaded, so its changes take effect, also behind a slow path.
+    assert_eq!(outage.lease().expires_at(), initial.expires_at().map(|at| at + MAX_PROPAGATION_US), "after any number of refusals");
+    // A discovery that refuses at once is up but overloaded, so its changes take effect, also behind a slow
+    // path.
     for dial in [20_000, 300_000] {
         let mut overload = watch(false);
         for second in 1..100 {
@@ -156,7 +158,8 @@
         let again = watch.on_failure(now, Failure::Local) - now;
         assert!((10_000..=100_000).contains(&again), "{again} us");
     }
-    // The lease has expired meanwhile, so the next call does not wait; its time limit is that of a first call.
+    // The lease has expired meanwhile, so the next call does not wait; its time limit is that of a first
+    // call.
     let call = watch.begin_call(201 * S, false);
     assert_eq!((call.wait, call.timeout), (1_000, 2 * S));
 }
--- a/crates/flintwell-list-watch/tests/overload.rs
+++ b/crates/flintwell-list-watch/tests/overload.rs
@@ -1,5 +1,6 @@
-//! Fleets of any size in virtual time, before a discovery that needs 1 to 30 s to answer one call of each proxy. From every
-//! initial state the fleet's call rate must settle below discovery's capacity, and every proxy must get its answer.
+//! Fleets of any size in virtual time, before a discovery that needs 1 to 30 s to answer one call of each
+//! proxy. From every initial state the fleet's call rate must settle below discovery's capacity, and every
+//! proxy must get its answer.
 
 use flintwell_list_watch::{Failure, WatchConfig, Lease, Micros, Watch};
 use rand::{Rng, SeedableRng};
@@ -9,7 +10,8 @@
 const S: Micros = 1_000_000; // microseconds in a second
 const MS: Micros = 1_000; // microseconds in a millisecond
 const REFUSED_AT_ONCE: Micros = 10 * MS; // until an immediate refusal is received
-const TIME_LIMIT: Micros = 3_600 * S; // simulated time limit; a proxy without an answer by then is taken never to get one
+/// Simulated time limit; a proxy without an answer by then is taken never to get one.
+const TIME_LIMIT: Micros = 3_600 * S;
 
 /// What discovery does with calls that arrive faster than it processes them.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,7 +43,8 @@
 
 /// Result of a simulation.
 struct Outcome {
-    /// Time from the start, or from discovery's return, until the last proxy was answered; `None` if one never was.
+    /// Time from the start, or from discovery's return, until the last proxy was answered; `None` if one
+    /// never was.
     answered_after: Option<Micros>,
     calls: usize,
 }
@@ -80,7 +83,7 @@
 fn simulate(pushed: bool, fleet: u32, round: Micros, overload: Overload, start: Start, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let started_at = 1_000 * S + rng.random_range(0..S);
-    let figures = |index| WatchConfig { pushed, fleet_size: fleet, index, drain_grace: 300 * MS };
+    let config = |index| WatchConfig { pushed, fleet_size: fleet, index, drain_grace: 300 * MS };
     let calling = if start == Start::ThirdRestarted { fleet.div_ceil(3) } else { fleet };
     let reachable_from = match start {
         Start::Refusing(span) | Start::Unreachable(span) => started_at + span,
@@ -93,7 +96,7 @@
         let fresh = matches!(start, Start::All | Start::ThirdRestarted);
         let since = if fresh { started_at } else { started_at - rng.random_range(0..3_200 * MS) };
         let lease = if fresh { Lease::unconfirmed() } else { Lease::restored(since, since) };
-        let mut watch = Watch::new(since, figures(n * (fleet / calling)), lease, seed << 16 | u64::from(n));
+        let mut watch = Watch::new(since, config(n * (fleet / calling)), lease, seed << 16 | u64::from(n));
         let at = match start {
             Start::All | Start::ThirdRestarted => watch.first_call_at(started_at),
             Start::Moved => {
@@ -129,13 +132,13 @@
             continue;
         }
         calls += 1;
-        let within = watch.begin_call(now, true).timeout;
+        let timeout = watch.begin_call(now, true).timeout;
         let end = if now < reachable_from { End::Refused(now + S) } else { discovery.call(now) };
         let (failed, failure) = match end {
             End::Refused(at) => (at, Failure::Refused),
             End::Answered(at) => {
                 answered_at[n] = Some(answered_at[n].map_or(at, |before| before.min(at)));
-                (now + within, Failure::Silent)
+                (now + timeout, Failure::Silent)
             }
         };
         if answered_at[n].is_none_or(|at| at > failed) {
@@ -166,16 +169,17 @@
     times.and_then(|times| times.into_iter().max())
 }
 
-/// Simulates every start with discoveries of every capacity. `max_time` gives the time allowed if discovery needs that long to
-/// answer the whole fleet once, which is also the shortest possible time. `--nocapture` prints both.
+/// Simulates every start with discoveries of every capacity. `max_time` gives the time allowed if discovery
+/// needs that long to answer the whole fleet once, which is also the shortest possible time. `--nocapture`
+/// prints both.
 fn assert_all_answered(pushed: bool, overloads: &[Overload], max_time: impl Fn(Micros) -> Micros) {
     for &overload in overloads {
         for start in STARTS {
             for round in [1, 3, 5, 8, 15, 30].map(|seconds| seconds * S) {
                 let answered_at = longest_time(pushed, round, overload, start);
                 println!("{overload:?}, {start:?}: round {} s, all answered after {answered_at:?} us", round / S);
-                let within = answered_at.is_some_and(|answered_at| answered_at <= max_time(round));
-                assert!(within, "{overload:?}, {start:?}, round {round} us: {answered_at:?}");
+                let timeout = answered_at.is_some_and(|answered_at| answered_at <= max_time(round));
+                assert!(timeout, "{overload:?}, {start:?}, round {round} us: {answered_at:?}");
             }
         }
     }
@@ -189,7 +193,8 @@
     }
 }
 
-/// Each refused call costs discovery as much as an answered one, so its capacity cannot be observed from outside.
+/// Each refused call costs discovery as much as an answered one, so its capacity cannot be observed from
+/// outside.
 #[test]
 fn a_discovery_that_spends_its_capacity_on_refused_calls_recovers() {
     let overloads = [Overload::RefusesLateAndWorks(S), Overload::RefusesLateAndWorks(500 * MS)];
@@ -201,7 +206,8 @@
 #[test]
 fn calls_of_a_fleet_after_a_common_event_are_evenly_spread() {
     for start in [Start::Reset, Start::Moved, Start::Unreachable(8 * S)] {
-        // One call from each proxy and no refusal, if discovery answers the fleet in less than an initial frame.
+        // One call from each proxy and no refusal, if discovery answers the fleet in less than an initial
+        // frame.
         for fleet in [32, 300, 1_024] {
             let outcome = simulate(false, fleet, 2 * S, Overload::RefusesAtOnce(S), start, 1);
             assert_eq!(outcome.calls, fleet as usize, "{start:?}, {fleet} proxies");
--- a/crates/flintwell-list-watch/tests/starts.rs
+++ b/crates/flintwell-list-watch/tests/starts.rs
@@ -1,4 +1,4 @@
-//! A server's start is dated by this process's clock, whatever the wall clock of the list gives.
+//! A node's start is dated by this process's clock, whatever the wall clock of the list gives.
 
 use flintwell_list_watch::{Micros, NodeStarts};
 
@@ -24,22 +24,22 @@
     for step in [-HOUR, HOUR] {
         for before in [0, NOW - 3 * HOUR] {
             let mut starts = NodeStarts::default();
-            starts.record("server", before, None, NOW);
+            starts.record("node", before, None, NOW);
             let listed_at = NOW + S + step;
-            assert_eq!(starts.record("server", listed_at, Some(NOW), NOW + 2 * S), NOW + 2 * S, "{step}");
+            assert_eq!(starts.record("node", listed_at, Some(NOW), NOW + 2 * S), NOW + 2 * S, "{step}");
             // Its warm-up continues from then on.
-            assert_eq!(starts.record("server", listed_at, Some(NOW + 9 * S), NOW + 10 * S), NOW + 2 * S);
+            assert_eq!(starts.record("node", listed_at, Some(NOW + 9 * S), NOW + 10 * S), NOW + 2 * S);
         }
     }
 }
 
 #[test]
-fn unlisted_servers_are_removed_once_many_are_recorded() {
+fn unlisted_nodes_are_removed_once_many_are_recorded() {
     let mut starts = NodeStarts::default();
-    for server in 0..20_000 {
-        starts.record(&format!("s{server}"), NOW - S, None, NOW);
+    for node in 0..20_000 {
+        starts.record(&format!("s{node}"), NOW - S, None, NOW);
     }
-    starts.prune(|server| server == "s7");
+    starts.prune(|node| node == "s7");
     assert_eq!((starts.started_at("s7"), starts.started_at("s8")), (Some(NOW - S), None));
     starts.record("s8", NOW, Some(NOW), NOW);
     starts.prune(|_| false);
--- a/crates/flintwell-membership/src/datagram.rs
+++ b/crates/flintwell-membership/src/datagram.rs
@@ -1,5 +1,5 @@
-//! Datagram framing: version, cluster, sender and sequence number, and an authentication tag if a key is configured.
-//! Received datagrams pass a replay window and a rate limit per sender.
+//! Datagram framing: version, cluster, sender and sequence number, and an authentication tag if a key is
+//! configured. Received datagrams pass a replay window and a rate limit per sender.
 
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
@@ -83,8 +83,8 @@
 }
 
 impl DatagramCodec {
-    /// Creates a codec for the member `number`. `generation` grows with each start of a process under this number. An
-    /// empty key disables authentication.
+    /// Creates a codec for the member `number`. `generation` grows with each start of a process under this
+    /// number. An empty key disables authentication.
     pub fn new(cluster: &str, key: &[u8], fleet_size: u32, number: u32, generation: u64) -> Self {
         let hash = Sha256::digest(cluster.as_bytes());
         let key = Some(key).filter(|key| !key.is_empty());
@@ -122,7 +122,8 @@
         Some(datagram)
     }
 
-    /// Checks a received datagram; returns `None` and counts the cause if it is to be dropped. `now` is in ms.
+    /// Checks a received datagram; returns `None` and counts the cause if it is to be dropped. `now` is in
+    /// ms.
     pub fn open<'a>(&mut self, now: u64, datagram: &'a [u8]) -> Option<OpenedDatagram<'a>> {
         let tag_bytes = if self.key.is_some() { TAG_BYTES } else { 0 };
         let dropped = &mut self.dropped;
@@ -160,7 +161,8 @@
         }
         let new_sender = Sender { generation, highest_sequence: 0, received: 0, tokens: MAX_BURST, refilled_at: now };
         let sender = self.senders.entry(from).or_insert(new_sender);
-        // Danger: a delayed or replayed datagram of an earlier generation would revive the state that it announced then.
+        // Danger: a delayed or replayed datagram of an earlier generation would revive the state that it
+        // announced then.
         if generation < sender.generation {
             dropped.replayed += 1;
             return None;
@@ -182,7 +184,8 @@
 }
 
 impl Sender {
-    /// Records a sequence number; returns false if it was received before or is too old for the replay window.
+    /// Records a sequence number; returns false if it was received before or is too old for the replay
+    /// window.
     fn accept_sequence(&mut self, sequence: u64) -> bool {
         if sequence > self.highest_sequence {
             let ahead = sequence - self.highest_sequence;
--- a/crates/flintwell-membership/src/member.rs
+++ b/crates/flintwell-membership/src/member.rs
@@ -1,4 +1,5 @@
-//! One fleet member: takes received datagrams and the time, sends datagrams and tracks which members are alive.
+//! One fleet member: takes received datagrams and the time, sends datagrams and tracks which members are
+//! alive.
 
 use crate::datagram::{MAX_BODY_BYTES, DropCounts, PayloadKind, DatagramCodec};
 use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, State, Timer};
@@ -13,11 +14,14 @@
 const PROBE_PERIOD: Duration = Duration::from_millis(500); // each member probes one peer per period
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200); // then indirect probes start
 const INDIRECT_PROBES: usize = 3;
-const SUSPICION_PERIODS_PER_DOUBLING: f64 = 2.0; // probe periods from suspicion to down, per doubling of the fleet size
-const DOWN_RETENTION: Duration = Duration::from_secs(300); // keeps stale gossip from reviving a member that is down
+/// Probe periods from suspicion to down, per doubling of the fleet size.
+const SUSPICION_PERIODS_PER_DOUBLING: f64 = 2.0;
+/// Keeps stale gossip from reviving a member that is down.
+const DOWN_RETENTION: Duration = Duration::from_secs(300);
 const GOSSIP_PERIOD: Duration = Duration::from_millis(250);
 const GOSSIP_FANOUT: usize = 2; // peers per gossip period
-const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(5); // lets the fleet merge again after a network partition
+/// Lets the fleet merge again after a network partition.
+const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(5);
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3); // each asks one peer for its full member list
 const SEED_ANNOUNCE_PERIOD_MS: u64 = 2_000; // between announcements to seeds that are not known to be alive
 const MAX_TRANSMISSIONS: u8 = 8; // per membership update
@@ -56,7 +60,8 @@
     fn deliver(&mut self, from: &MemberId, message: &[u8]);
 }
 
-/// Transport that buffers outgoing datagrams and delivered messages for a host that processes them after the call.
+/// Transport that buffers outgoing datagrams and delivered messages for a host that processes them after the
+/// call.
 #[derive(Default)]
 pub struct BufferedTransport {
     /// Datagrams to be sent, with their destination.
@@ -192,8 +197,9 @@
 
     /// Runs the timers that have expired and announces this member to a seed that is not known to be alive.
     pub fn tick(&mut self, now: u64, transport: &mut impl Transport) {
-        // Danger: after a pause of this process, all pending probes would time out at once, and it would gossip that all
-        // other members are suspect. The pause is therefore excluded from the protocol's clock.
+        // Danger: after a pause of this process, all pending probes would time out at once, and it would
+        // gossip that all other members are suspect. The pause is therefore excluded from the protocol's
+        // clock.
         let late = now.saturating_sub(self.next_tick_at());
         if late > PAUSE_THRESHOLD_MS {
             self.paused_ms += late;
@@ -210,8 +216,8 @@
         }
         if now >= self.next_seed_announce_at {
             self.next_seed_announce_at = now + SEED_ANNOUNCE_PERIOD_MS;
-            // Danger: when all members start together, two groups may form whose members know only their own group, and
-            // gossip never joins them. Announcing to unknown seeds does.
+            // Danger: when all members start together, two groups may form whose members know only their own
+            // group, and gossip never joins them. Announcing to unknown seeds does.
             let known: Vec<SocketAddr> = self.protocol.iter_members().map(|member| member.id().addr).collect();
             let unknown: Vec<SocketAddr> =
                 self.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect();
@@ -246,7 +252,8 @@
         }
     }
 
-    /// Sends a message of another subsystem to one member. Delivery is best effort: it may be lost, duplicated or late.
+    /// Sends a message of another subsystem to one member. Delivery is best effort: it may be lost,
+    /// duplicated or late.
     pub fn send_message(&mut self, to: &MemberId, message: &[u8], transport: &mut impl Transport) {
         self.send_datagram(to.addr, PayloadKind::Message, message, transport);
     }
--- a/crates/flintwell-membership/tests/fleet.rs
+++ b/crates/flintwell-membership/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets in virtual time over a simulated network that loses, duplicates and delays datagrams and can be partitioned.
+//! Fleets in virtual time over a simulated network that loses, duplicates and delays datagrams and can be
+//! partitioned.
 
 use flintwell_membership::member::{MemberId, Member, Settings, Transport};
 use rand::{RngExt, SeedableRng};
@@ -201,8 +202,8 @@
     network.is_cut = Box::new(|_, _| false);
     let took_ms = network.run_until_converged(60_000);
     assert!(took_ms < 40_000, "{took_ms} ms until the halves merged");
-    // One-way partition: datagrams from one member to half of the fleet are lost; that half still learns of it through
-    // the members that both reach.
+    // One-way partition: datagrams from one member to half of the fleet are lost; that half still learns of
+    // it through the members that both reach.
     network.is_cut = Box::new(|from, to| from == 4 && to < 8);
     network.run(30_000);
     network.is_cut = Box::new(|_, _| false);
--- a/crates/flintwell-shared-limits/src/limit.rs
+++ b/crates/flintwell-shared-limits/src/limit.rs
@@ -1,10 +1,11 @@
 //! The fetch limit of one proxy: the worth of a unit times the units that it may use.
 //!
-//! The fleet learns the worth together. Each round, each member gossips its mean rates of fetches that the origin accepted
-//! and refused, and moves them towards those it receives, so that they converge to the fleet's means within a few rounds
-//! (D. Kempe, A. Dobra and J. Gehrke, "Gossip-based computation of aggregate information", FOCS 2003). While a large share
-//! is refused, the accepted rate is taken as the origin's capacity and the worth falls to it; while few are refused, the
-//! worth rises. Units are borrowed from members that have some to spare.
+//! The fleet learns the worth together. Each round, each member gossips its mean rates of fetches that the
+//! origin accepted and refused, and moves them towards those it receives, so that they converge to the
+//! fleet's means within a few rounds (D. Kempe, A. Dobra and J. Gehrke, "Gossip-based computation of
+//! aggregate information", FOCS 2003). While a large share is refused, the accepted rate is taken as the
+//! origin's capacity and the worth falls to it; while few are refused, the worth rises. Units are borrowed
+//! from members that have some to spare.
 
 use crate::loans::{UNITS_PER_MEMBER, RESERVED_UNITS, Loans};
 use rand::seq::IndexedRandom;
@@ -15,15 +16,20 @@
 
 /// Length of a gossip round; a few rounds a second, with one or two datagrams each, cost next to nothing.
 pub const ROUND_MS: u64 = 250;
-const GOSSIP_FANOUT: usize = 2; // peers per round; a member also receives two reports on average, in any fleet
-const OWN_WEIGHT: f64 = 0.25; // of the last own round in the means; the rest are earlier rounds and peers' reports
-const DEMAND_WEIGHT: f64 = 0.3; // of a round in the mean demand; loans for one round's peak only cost messages
+/// Peers per round; a member also receives two reports on average, in any fleet.
+const GOSSIP_FANOUT: usize = 2;
+/// Of the last own round in the means; the rest are earlier rounds and peers' reports.
+const OWN_WEIGHT: f64 = 0.25;
+/// Of a round in the mean demand; loans for one round's peak only cost messages.
+const DEMAND_WEIGHT: f64 = 0.3;
 const OVERLOAD_REFUSED_SHARE: f64 = 0.5; // above it the accepted rate is the origin's capacity
 const SPARE_REFUSED_SHARE: f64 = 0.4; // below it the origin may have spare capacity
-/// Limit per accepted rate. Some random arrivals meet a full origin; a lower limit would leave it idle at other times.
+/// Limit per accepted rate. Some random arrivals meet a full origin; a lower limit would leave it idle at
+/// other times.
 const ACCEPTED_TO_LIMIT: f64 = 1.6;
 const MIN_OVERLOAD_MS: u64 = 750; // a burst of refusals is no overload, and a rate needs some rounds
-const DECREASE_HOLD_MS: u64 = 1_000; // until the effect of a decrease is seen; decreases before that would compound
+/// Until the effect of a decrease is seen; decreases before that would compound.
+const DECREASE_HOLD_MS: u64 = 1_000;
 const MIN_DECREASE_FACTOR: f64 = 0.3; // of one decrease, so that one bad second does not collapse the limit
 const INCREASE_FACTOR: f64 = 1.25; // per round; about 2.4 times per second
 const CLEAR_REFUSED_SHARE: f64 = 0.05; // below it only our own limit holds fetches back
@@ -42,8 +48,8 @@
 /// Messages between the members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LimitMessage {
-    /// The sender's estimates of the fleet's means, in fetches per member and second, of the worth of a unit, and the units
-    /// that it can lend.
+    /// The sender's estimates of the fleet's means, in fetches per member and second, of the worth of a unit,
+    /// and the units that it can lend.
     #[serde(rename = "Told")]
     Report {
         #[serde(rename = "taken")]
@@ -146,7 +152,8 @@
 }
 
 impl SharedLimit {
-    /// Creates the limit of a member that starts at `now`. `fleet_size` members own units, whether or not they are alive.
+    /// Creates the limit of a member that starts at `now`. `fleet_size` members own units, whether or not
+    /// they are alive.
     pub fn new(now: u64, generation: u64, fleet_size: u32, seed: u64) -> Self {
         SharedLimit {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -192,8 +199,8 @@
         let per_second = |count: u64, last: u64| count.saturating_sub(last) as f64 * rounds_per_second;
         let last = std::mem::replace(&mut self.last_counts, counts);
         self.demand += DEMAND_WEIGHT * (per_second(counts.demanded, last.demanded) - self.demand);
-        // Danger: means that start from zero and move slowly would make the first limit a fraction of the accepted rate.
-        // The first rounds therefore weigh equally.
+        // Danger: means that start from zero and move slowly would make the first limit a fraction of the
+        // accepted rate. The first rounds therefore weigh equally.
         let weight = OWN_WEIGHT.max(1.0 / f64::from(self.rounds + 1));
         self.rounds = self.rounds.saturating_add(1);
         self.mean_accepted += weight * (per_second(counts.accepted, last.accepted) - self.mean_accepted);
@@ -221,12 +228,13 @@
             self.low_refusals_since = now;
         }
         if self.overloaded_since.is_some_and(|since| now >= since + MIN_OVERLOAD_MS) && now >= self.no_decrease_until {
-            // Danger: if nothing was accepted, the limit would fall to zero and nothing would be sent that could raise it.
+            // Danger: if nothing was accepted, the limit would fall to zero and nothing would be sent that
+            // could raise it.
             let capacity = (accepted * ACCEPTED_TO_LIMIT).max(MIN_FLEET_RATE / self.fleet_size) / f64::from(self.loans.base_units(now));
             self.worth = Some(self.worth.map_or(capacity, |worth| capacity.clamp(worth * MIN_DECREASE_FACTOR, worth)));
             self.no_decrease_until = now + DECREASE_HOLD_MS;
-            // Danger: refusals from before this decrease would count against the new limit. While hardly anything is sent
-            // they would never be averaged out, and the limit would keep falling.
+            // Danger: refusals from before this decrease would count against the new limit. While hardly
+            // anything is sent they would never be averaged out, and the limit would keep falling.
             self.mean_refused = accepted * SPARE_REFUSED_SHARE;
         } else if let Some(worth) = self.worth.filter(|_| refused_share < SPARE_REFUSED_SHARE) {
             let factor = if refused_share < CLEAR_REFUSED_SHARE { CLEAR_INCREASE_FACTOR } else { INCREASE_FACTOR };
@@ -297,7 +305,8 @@
                 if let Some(reported) = worth.map(f64::from) {
                     self.worth = Some(match self.worth {
                         Some(own) => (own * reported).sqrt().clamp(own / MAX_REPORT_FACTOR, own * MAX_REPORT_FACTOR),
-                        // A member that has seen no refusals itself adopts a peer's worth while peers report refusals.
+                        // A member that has seen no refusals itself adopts a peer's worth while peers report
+                        // refusals.
                         None if self.mean_refused > SPARE_REFUSED_SHARE * (self.mean_accepted + self.mean_refused) => reported,
                         None => return self.record_spare(now, from, spare_units),
                     });
--- a/crates/flintwell-shared-limits/src/loans.rs
+++ b/crates/flintwell-shared-limits/src/loans.rs
@@ -1,15 +1,16 @@
 //! Loans of units between members.
 //!
-//! An owner withholds lent units for longer than their borrower uses them, on any clocks whose rates differ by at most
-//! [`MAX_CLOCK_DRIFT`]. So the units in use never exceed those that exist, whichever messages are lost, duplicated or delayed and
-//! whichever members pause, stop or restart. No agreement between members is needed, and an isolated member keeps the
-//! use of its own units.
+//! An owner withholds lent units for longer than their borrower uses them, on any clocks whose rates differ
+//! by at most [`MAX_CLOCK_DRIFT`]. So the units in use never exceed those that exist, whichever messages are
+//! lost, duplicated or delayed and whichever members pause, stop or restart. No agreement between members is
+//! needed, and an isolated member keeps the use of its own units.
 
 use std::collections::BTreeMap;
 
 /// Units that each member owns; fine enough that a loan of a hundredth of them is still worth its messages.
 pub const UNITS_PER_MEMBER: u32 = 1_024;
-/// Units that a member never lends, and that a restarted member may use while loans of its earlier process may still run.
+/// Units that a member never lends, and that a restarted member may use while loans of its earlier process
+/// may still run.
 pub const RESERVED_UNITS: u32 = UNITS_PER_MEMBER / 2;
 /// Duration of a loan on the borrower's clock; the demand of a fleet shifts within seconds.
 pub const LOAN_MS: u64 = 2_000;
@@ -45,14 +46,14 @@
     borrowed: BTreeMap<u64, (u32, ReceivedLoan)>,
     /// Pending requests by loan number, with the owner asked and the time of the request.
     ///
-    /// Danger: a grant may arrive late, when its owner already uses the units again. A loan therefore starts at the time
-    /// of its request, not at the arrival of its grant.
+    /// Danger: a grant may arrive late, when its owner already uses the units again. A loan therefore starts
+    /// at the time of its request, not at the arrival of its grant.
     requests: BTreeMap<u64, (u32, u64)>,
 }
 
 impl Loans {
-    /// Creates the state of a member that starts at `now`. `generation` must be higher than at any earlier start under this
-    /// member's number, so that loan numbers are never reused.
+    /// Creates the state of a member that starts at `now`. `generation` must be higher than at any earlier
+    /// start under this member's number, so that loan numbers are never reused.
     pub fn new(now: u64, generation: u64) -> Self {
         let last_loan = generation << 20;
         Loans { started_at: now, last_loan, lent: BTreeMap::new(), borrowed: BTreeMap::new(), requests: BTreeMap::new() }
@@ -76,8 +77,8 @@
 
     /// Own units before any loan.
     ///
-    /// Danger: a restarted member does not know which units its earlier process lent. Until those loans have ended it
-    /// uses only the units that are never lent.
+    /// Danger: a restarted member does not know which units its earlier process lent. Until those loans have
+    /// ended it uses only the units that are never lent.
     pub fn base_units(&self, now: u64) -> u32 {
         if now < self.started_at + WITHHOLD_MS { RESERVED_UNITS } else { UNITS_PER_MEMBER }
     }
@@ -87,7 +88,8 @@
         self.unlent_units(now).saturating_sub(RESERVED_UNITS)
     }
 
-    /// Records a loan request to `owner` and returns its loan number, or `None` if too many requests are pending.
+    /// Records a loan request to `owner` and returns its loan number, or `None` if too many requests are
+    /// pending.
     pub fn request_loan(&mut self, now: u64, owner: u32) -> Option<u64> {
         self.remove_expired(now);
         if self.requests.len() >= MAX_LOANS {
@@ -98,8 +100,8 @@
         Some(self.last_loan)
     }
 
-    /// Grants a loan of at most `max_units` units and returns its size; 0 if none can be granted. A repeated request gets the
-    /// same answer.
+    /// Grants a loan of at most `max_units` units and returns its size; 0 if none can be granted. A repeated
+    /// request gets the same answer.
     pub fn lend(&mut self, now: u64, borrower: u32, loan: u64, max_units: u32) -> u32 {
         self.remove_expired(now);
         if let Some(lent) = self.lent.get(&(borrower, loan)) {
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Returns loans early as long as at least `min_remaining` borrowed units remain; yields the owners to notify and the loan
-    /// numbers.
+    /// Returns loans early as long as at least `min_remaining` borrowed units remain; yields the owners to
+    /// notify and the loan numbers.
     pub fn return_loans(&mut self, now: u64, min_remaining: u32) -> Vec<(u32, u64)> {
         self.remove_expired(now);
         let (mut remaining, mut returned_loans) = (self.borrowed_units_at(now), Vec::new());
--- a/crates/flintwell-shared-limits/src/loans/tests.rs
+++ b/crates/flintwell-shared-limits/src/loans/tests.rs
@@ -33,9 +33,9 @@
     Return(u64),
 }
 
-/// Runs six members whose clocks differ in rate and offset, over messages that are lost, duplicated and delayed by
-/// seconds, with members that pause and restart. At each instant the units in use must not exceed those that exist.
-/// Returns the most units that one member used.
+/// Runs six members whose clocks differ in rate and offset, over messages that are lost, duplicated and
+/// delayed by seconds, with members that pause and restart. At each instant the units in use must not exceed
+/// those that exist. Returns the most units that one member used.
 fn max_units_in_use(seed: u64) -> u32 {
     const FLEET: usize = 6;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/flintwell-shared-limits/tests/orders.rs
+++ b/crates/flintwell-shared-limits/tests/orders.rs
@@ -1,5 +1,6 @@
-//! Model check of loans between two members over every order of requests, grants, returns, restarts and time. A message
-//! may arrive at any later time, any number of times or never, and the members' clocks differ as much as is allowed.
+//! Model check of loans between two members over every order of requests, grants, returns, restarts and time.
+//! A message may arrive at any later time, any number of times or never, and the members' clocks differ as
+//! much as is allowed.
 
 use flintwell_shared_limits::loans::{MAX_CLOCK_DRIFT, UNITS_PER_MEMBER, Loans, LOAN_MS};
 use stateright::{Checker, Model, Property};
--- a/crates/flintwell-shared-probes/src/lib.rs
+++ b/crates/flintwell-shared-probes/src/lib.rs
@@ -1,10 +1,11 @@
-//! Coordinates probes of cache nodes that do not answer: a few members of the fleet go on probing such a node and tell the
-//! others, so that the number of probes does not grow with the fleet.
+//! Coordinates probes of cache nodes that do not answer: a few members of the fleet go on probing such a node
+//! and tell the others, so that the number of probes does not grow with the fleet.
 //!
-//! Reports from peers are hints, not facts. Members report only their own observations, a node counts as silent for the
-//! fleet only after several members found it silent independently, and a member acts on hints only about nodes that are
-//! silent to itself. So a member that lies or is partitioned takes no traffic from a healthy node, and a report that a node
-//! has recovered brings one request from each member rather than its full traffic.
+//! Reports from peers are hints, not facts. Members report only their own observations, a node counts as
+//! silent for the fleet only after several members found it silent independently, and a member acts on hints
+//! only about nodes that are silent to itself. So a member that lies or is partitioned takes no traffic from
+//! a healthy node, and a report that a node has recovered brings one request from each member rather than its
+//! full traffic.
 
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
@@ -15,7 +16,8 @@
 
 /// First byte of a message, which distinguishes it from those of other subsystems.
 pub const MESSAGE_TAG: u8 = 0x50;
-const GOSSIP_FANOUT: usize = 2; // peers per round; a member also receives two messages on average, in any fleet
+/// Peers per round; a member also receives two messages on average, in any fleet.
+const GOSSIP_FANOUT: usize = 2;
 const MAX_NODES_PER_MESSAGE: usize = 12; // fits into a datagram; more nodes take turns
 const MAX_NODES: usize = 1_024; // remembered at once
 const WITNESS_QUORUM: usize = 3; // peers that found a node silent themselves; one or two may be partitioned
@@ -61,8 +63,8 @@
     hash.iter().take(8).fold(0, |sum, &byte| sum << 8 | u64::from(byte))
 }
 
-/// Whether this member is among those that probe a node. Members are ranked by rendezvous hashing, so all that know the
-/// same members agree.
+/// Whether this member is among those that probe a node. Members are ranked by rendezvous hashing, so all
+/// that know the same members agree.
 fn is_prober(number: u32, hash: NodeHash, peers: &[u32]) -> bool {
     let rank = |number: u32| hash_parts(&[&hash.to_be_bytes(), &number.to_be_bytes()]);
     let own_rank = rank(number);
@@ -122,7 +124,8 @@
         ProbeCoordinator { number, rng: ChaCha8Rng::seed_from_u64(seed), nodes: BTreeMap::new(), rotation: 0 }
     }
 
-    /// Runs one gossip round at `now` (in ms), given the nodes that are silent to this member and the peers that are alive.
+    /// Runs one gossip round at `now` (in ms), given the nodes that are silent to this member and the peers
+    /// that are alive.
     pub fn run_round(&mut self, now: u64, silent: &[&str], peers: &[u32]) -> RoundOutput {
         let hashes: Vec<NodeHash> = silent.iter().map(|name| hash_parts(&[name.as_bytes()])).collect();
         for (hash, node) in &mut self.nodes {
--- a/crates/flintwell-shared-probes/src/tests.rs
+++ b/crates/flintwell-shared-probes/src/tests.rs
@@ -2,8 +2,8 @@
 
 const FLEET: u32 = 24;
 
-/// Simulates a fleet in which node `x` is silent to member `n` in round `r` if `is_silent(n, r)`; returns the members that
-/// probe it in each round.
+/// Simulates a fleet in which node `x` is silent to member `n` in round `r` if `is_silent(n, r)`; returns the
+/// members that probe it in each round.
 fn simulate(is_silent: impl Fn(u32, u64) -> bool, rounds: u64) -> Vec<Vec<u32>> {
     let mut fleet: Vec<ProbeCoordinator> = (0..FLEET).map(|n| ProbeCoordinator::new(n, u64::from(n))).collect();
     let mut probers = Vec::new();
@@ -55,8 +55,8 @@
 
 #[test]
 fn two_false_reports_keep_nobody_from_a_node() {
-    // The node is silent to three members, each of which has two reports from the others: too few for the quorum. All
-    // other members ignore the reports.
+    // The node is silent to three members, each of which has two reports from the others: too few for the
+    // quorum. All other members ignore the reports.
     let probers = simulate(|n, _| n < 3, 40);
     assert!(probers.iter().all(|probing| probing.len() == 3), "{probers:?}");
     for wrong in [&b""[..], b"P", b"Pxxxxxxxxxxxxxxxxxxxxx", &[MESSAGE_TAG; 250], b"Q12"] {
