--- a/crates/flintwell-list-watch/src/backoff.rs
+++ b/crates/flintwell-list-watch/src/backoff.rs
@@ -13,24 +13,26 @@
 
 use crate::Micros;
 
-const FIRST_FRAME_US_PER_PROXY: Micros = 90_000; // only an initial value, since frames grow with failures
-const MAX_FIRST_FRAME_US: Micros = 2_900_000; // together with a lost call it fits into a lease
-/// After a failure that may have hit the whole fleet, however small it is.
+/// Length of the initial frame per proxy; only a start, since frames grow with failures.
+const FIRST_FRAME_US_PER_PROXY: Micros = 90_000;
+/// Maximum length of the initial frame; together with a lost call it fits into a lease.
+const MAX_FIRST_FRAME_US: Micros = 2_900_000;
+/// Minimum length of a frame after a failure that may have hit the whole fleet, however small the fleet is.
 const MIN_FRAME_US: Micros = 200_000;
-/// A discovery that takes 30 s to serve the fleet once is then half idle.
+/// Maximum length of a frame; a discovery that takes 30 s to serve the fleet once is then half idle.
 const MAX_FRAME_US: Micros = 60_000_000;
-/// A frame is at most the time for which calls have failed divided by this.
+/// A frame is at most the time for which calls have failed, divided by this.
 const FRAME_AGE_DIVISOR: Micros = 6;
 const QUEUED_FRAME_AGE_DIVISOR: Micros = 2; // the same after a refusal that waited in a queue
-/// The same for pauses where lists are pushed, since changes at discovery then take effect at once.
+/// The same for the pause where lists are pushed, since changes at discovery then take effect at once.
 const PUSHED_PAUSE_AGE_DIVISOR: Micros = 8;
-/// Beyond this, frames grow with the square of the time for which calls have failed.
+/// Calls that fail for longer are no short outage: frames then grow with the square of the time.
 const LONG_OUTAGE_US: Micros = 24_000_000;
 const MAX_AGE_US: Micros = 86_400_000_000; // a day; frames have reached their maximum long before
 const QUEUED_REFUSAL_US: Micros = 100_000; // a refusal that took longer has waited in a queue
 /// A refusal that took longer may come from a load balancer whose discovery is down.
 const DOUBTFUL_REFUSAL_US: Micros = 500_000;
-/// An immediate answer takes at most this many times the connection's dial time.
+/// An answer without any wait takes at most this many times the connection's dial time.
 const DIALS_PER_ANSWER: Micros = 3;
 const MAX_EARLY_FAILURES: u32 = 2; // consecutive failures that are treated as faults of single calls
 
@@ -125,7 +127,7 @@
     }
 }
 
-/// Whether a call that was refused after `took` has waited in a queue; `dial_time` is the time that the
+/// Whether a call that was refused after `duration` has waited in a queue; `dial_time` is the time that the
 /// connection took to establish.
 pub fn was_queued(duration: Micros, dial_time: Micros) -> bool {
     took_longer(QUEUED_REFUSAL_US, duration, dial_time)
@@ -138,7 +140,7 @@
     if remaining / 2 < MIN_FRAME_US { first } else { first.min(remaining / 2) }
 }
 
-/// Whether it is in doubt that a call which was refused after `took` has reached discovery.
+/// Whether it is in doubt that a call which was refused after `duration` has reached discovery.
 ///
 /// Danger: a slow path delays every answer, so an overloaded discovery could be taken for an unreachable one.
 /// The threshold is therefore far higher than that for having waited in a queue.
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -9,29 +9,33 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const MIN_WAIT_US: Micros = 2_200_000; // a call that continues a watch costs discovery next to nothing
-const MAX_WAIT_US: Micros = 3_200_000; // with the margin and two more calls it fits into a lease
-/// Past its wait an answer counts as lost; the answers that end a wait arrive within milliseconds.
+/// Minimum wait of a watch; a call that continues a watch costs discovery next to nothing.
+const MIN_WAIT_US: Micros = 2_200_000;
+/// Maximum wait of a watch; with the margin and two more calls it fits into a lease.
+const MAX_WAIT_US: Micros = 3_200_000;
+/// An answer that is later than its wait by this counts as lost; answers arrive within milliseconds of it.
 const WAIT_MARGIN_US: Micros = 300_000;
-/// Wait of a call after a failure; an immediate answer shows that no change was missed.
+/// Wait of a call after a failure; its immediate answer shows that no change was missed.
 const CATCH_UP_WAIT_US: Micros = 1_000;
 const CALL_TIMEOUT_US: Micros = 2_000_000; // for an answer that is due at once
-/// Right after an unanswered watch, since this answer may be lost as well.
+/// The same right after an unanswered watch; this call may be lost as well.
 const MIN_CALL_TIMEOUT_US: Micros = 800_000;
-/// More than a discovery takes that needs 30 s to serve the fleet once.
+/// More than the wait in the queue of a discovery that takes 30 s to serve the fleet once.
 const MAX_CALL_TIMEOUT_US: Micros = 32_000_000;
-/// The time limit is at least the time for which calls have failed divided by this.
+/// The time limit is at least the time for which calls have failed, divided by this.
 const TIMEOUT_AGE_DIVISOR: Micros = 10;
-/// Over which the first calls of processes that start together are spread.
+/// Maximum time over which the first calls of processes that start together are spread.
 const MAX_FIRST_CALL_FRAME_US: Micros = 1_000_000;
-const MIN_RETRY_PAUSE_US: Micros = 50_000; // after a failed connection attempt or a second unanswered call
-const MAX_RETRY_PAUSE_US: Micros = 400_000; // bounds the time until the return of discovery is noticed
+/// Minimum pause after a failed connection attempt or a second unanswered call.
+const MIN_RETRY_PAUSE_US: Micros = 50_000;
+/// Maximum of that pause, which bounds the time until the return of discovery is noticed.
+const MAX_RETRY_PAUSE_US: Micros = 400_000;
 const UNREACHABLE_AFTER_US: Micros = 800_000; // attempts that fail for this long are no momentary fault
 const MIN_LOCAL_RETRY_PAUSE_US: Micros = 20_000; // after a fault of this host
 const MAX_LOCAL_RETRY_PAUSE_US: Micros = 100_000;
-/// Between calls where lists are pushed, however short the drain grace.
+/// Where lists are pushed: minimum of the maximum pause between calls, however short the drain grace.
 const MIN_PUSHED_PAUSE_US: Micros = 20_000;
-const MAX_PUSHED_PAUSE_US: Micros = 250_000; // the same, for the first calls after a failure
+const MAX_PUSHED_PAUSE_US: Micros = 250_000; // the same at most, for the first calls after a failure
 
 /// Settings of the list watch.
 #[derive(Clone, Copy, Debug)]
@@ -149,7 +153,7 @@
             // and no proxy was ever answered again.
             _ => (self.failures.age(now) / TIMEOUT_AGE_DIVISOR).clamp(CALL_TIMEOUT_US, MAX_CALL_TIMEOUT_US),
         };
-        Call { wait: CATCH_UP_WAIT_US, timeout: timeout }
+        Call { wait: CATCH_UP_WAIT_US, timeout }
     }
 
     /// The call was answered with discovery's state as of `as_of` or, if that is later, as of the start of
--- a/crates/flintwell-membership/src/member.rs
+++ b/crates/flintwell-membership/src/member.rs
@@ -14,15 +14,16 @@
 const PROBE_PERIOD: Duration = Duration::from_millis(500); // each member probes one peer per period
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200); // then indirect probes start
 const INDIRECT_PROBES: usize = 3;
-/// Probe periods from suspicion to down, per doubling of the fleet size.
+/// Probe periods from suspicion to down, for each doubling of the fleet size.
 const SUSPICION_PERIODS_PER_DOUBLING: f64 = 2.0;
-/// Keeps stale gossip from reviving a member that is down.
+/// How long a member that is down is remembered, so that stale gossip does not revive it.
 const DOWN_RETENTION: Duration = Duration::from_secs(300);
 const GOSSIP_PERIOD: Duration = Duration::from_millis(250);
 const GOSSIP_FANOUT: usize = 2; // peers per gossip period
-/// Lets the fleet merge again after a network partition.
+/// How often members that are down are announced to, so that the fleet merges after a network partition.
 const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(5);
-const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3); // each asks one peer for its full member list
+/// Each announcement asks one peer for its full member list.
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3);
 const SEED_ANNOUNCE_PERIOD_MS: u64 = 2_000; // between announcements to seeds that are not known to be alive
 const MAX_TRANSMISSIONS: u8 = 8; // per membership update
 const PAUSE_THRESHOLD_MS: u64 = 250; // a tick that is later than this counts as a pause of the process
--- a/crates/flintwell-shared-limits/src/limit.rs
+++ b/crates/flintwell-shared-limits/src/limit.rs
@@ -16,33 +16,34 @@
 
 /// Length of a gossip round; a few rounds a second, with one or two datagrams each, cost next to nothing.
 pub const ROUND_MS: u64 = 250;
-/// Peers per round; a member also receives two reports on average, in any fleet.
+/// Peers that receive a report each round; a member gets as many on average, whatever the size of the fleet.
 const GOSSIP_FANOUT: usize = 2;
-/// Of the last own round in the means; the rest are earlier rounds and peers' reports.
+/// Weight of the last own round in the means; the rest are earlier rounds and peers' reports.
 const OWN_WEIGHT: f64 = 0.25;
-/// Of a round in the mean demand; loans for one round's peak only cost messages.
+/// Weight of a round in the mean demand; loans for the fluctuation of one round would only cost messages.
 const DEMAND_WEIGHT: f64 = 0.3;
-const OVERLOAD_REFUSED_SHARE: f64 = 0.5; // above it the accepted rate is the origin's capacity
+/// Share of fetches refused; above it the accepted rate is the origin's capacity.
+const OVERLOAD_REFUSED_SHARE: f64 = 0.5;
 const SPARE_REFUSED_SHARE: f64 = 0.4; // below it the origin may have spare capacity
 /// Limit per accepted rate. Some random arrivals meet a full origin; a lower limit would leave it idle at
 /// other times.
 const ACCEPTED_TO_LIMIT: f64 = 1.6;
 const MIN_OVERLOAD_MS: u64 = 750; // a burst of refusals is no overload, and a rate needs some rounds
-/// Until the effect of a decrease is seen; decreases before that would compound.
+/// Pause after a decrease until its effect is seen; decreases before that would compound.
 const DECREASE_HOLD_MS: u64 = 1_000;
 const MIN_DECREASE_FACTOR: f64 = 0.3; // of one decrease, so that one bad second does not collapse the limit
-const INCREASE_FACTOR: f64 = 1.25; // per round; about 2.4 times per second
+const INCREASE_FACTOR: f64 = 1.25; // of the worth per round, or about 2.5 per second
 const CLEAR_REFUSED_SHARE: f64 = 0.05; // below it only our own limit holds fetches back
-const CLEAR_INCREASE_FACTOR: f64 = 2.0; // per round below that; tenfold within 1.5 s
+const CLEAR_INCREASE_FACTOR: f64 = 2.0; // of the worth per round then, or tenfold within 1.5 s
 const MIN_UTILIZATION: f64 = 0.6; // share of the limit in demand; below it there is nothing to share
 /// Factor by which one report may move the worth; bounds the effect of a lying peer.
 const MAX_REPORT_FACTOR: f64 = 1.3;
 const MIN_FLEET_RATE: f64 = 2.0; // fetches per second of the whole fleet; below it no limit is needed
-const LIMIT_REMOVAL_MS: u64 = 5_000; // with few refusals and low demand; then the limit is removed
+const LIMIT_REMOVAL_MS: u64 = 5_000; // of few refusals and low demand, after which the limit is removed
 const REPORT_TTL_MS: u64 = 2_000; // how long a peer's report of spare units counts
 const HEADROOM: f64 = 1.3; // units requested per unit needed, since the need fluctuates
 const LOAN_REQUESTS_PER_ROUND: usize = 2; // peers asked for a loan per round
-const RENEW_AHEAD_MS: u64 = 750; // before a loan's end at which its replacement is requested
+const RENEW_AHEAD_MS: u64 = 750; // time before a loan's end at which its replacement is requested
 const MIN_LOAN_UNITS: u32 = 8; // a smaller loan is not worth its messages
 
 /// Messages between the members.
--- a/crates/flintwell-shared-probes/src/lib.rs
+++ b/crates/flintwell-shared-probes/src/lib.rs
@@ -16,10 +16,10 @@
 
 /// First byte of a message, which distinguishes it from those of other subsystems.
 pub const MESSAGE_TAG: u8 = 0x50;
-/// Peers per round; a member also receives two messages on average, in any fleet.
+/// Peers that receive a message each round; a member gets as many on average, whatever the size of the fleet.
 const GOSSIP_FANOUT: usize = 2;
 const MAX_NODES_PER_MESSAGE: usize = 12; // fits into a datagram; more nodes take turns
-const MAX_NODES: usize = 1_024; // remembered at once
+const MAX_NODES: usize = 1_024; // of which reports are kept
 const WITNESS_QUORUM: usize = 3; // peers that found a node silent themselves; one or two may be partitioned
 const WITNESS_TTL_MS: u64 = 3_000; // several rounds of each member
 const PROBERS: usize = 3; // members that go on probing; one or two may be down or partitioned
