--- a/crates/flintwell-list-watch/src/backoff.rs
+++ b/crates/flintwell-list-watch/src/backoff.rs
@@ -148,7 +148,7 @@
     took_longer(DOUBTFUL_REFUSAL_US, duration, dial_time)
 }
 
-/// Whether an answer took longer than `least` beyond its round trip.
+/// Whether an answer took longer than `min_us` beyond its round trip.
 fn took_longer(min_us: Micros, duration: Micros, dial_time: Micros) -> bool {
     duration > min_us + DIALS_PER_ANSWER * dial_time
 }
