--- a/crates/flintwell-list-watch/src/lease.rs
+++ b/crates/flintwell-list-watch/src/lease.rs
@@ -46,7 +46,8 @@
     /// Lease of a process that starts with a list of unknown age.
     ///
     /// Danger: the list is at least as old as the process was down, and changes made meanwhile may already be
-    /// in effect when it starts. Such a list is therefore not valid before discovery confirms it.
+    /// in effect when it starts. Such a list is therefore not valid until discovery confirms it
+    /// or is certainly unreachable.
     pub fn unconfirmed() -> Self {
         Lease { confirmed_at: None, renewed_at: None, basis: Basis::Unconfirmed }
     }
@@ -67,8 +68,8 @@
         self.renew_from(at, basis);
     }
 
-    /// Renews the lease from `at`, when discovery may have been unreachable.
-    pub fn renew_if_unreachable(&mut self, at: Micros) {
+    /// Renews the lease from `at`, when discovery may have been unreachable, as a late refusal suggests.
+    pub fn renew_after_late_refusal(&mut self, at: Micros) {
         // Danger: the age of a list that was never confirmed is unknown, so an ambiguous refusal must not
         // make it valid.
         if let Some(confirmed_at) = self.confirmed_at {
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -181,7 +181,7 @@
         let (refused, duration) = (failure == Failure::Refused, now - self.called_at);
         let waited = refused && was_queued(duration, self.dial_time);
         if refused && may_be_unreachable(duration, self.dial_time) {
-            self.lease.renew_if_unreachable(self.called_at);
+            self.lease.renew_after_late_refusal(self.called_at);
         }
         self.failures.add(now);
         self.last_failure = Some(failure);
--- a/crates/flintwell-list-watch/tests/fleet.rs
+++ b/crates/flintwell-list-watch/tests/fleet.rs
@@ -11,7 +11,7 @@
 const LOSS_AT: Micros = 8 * S; // all watches that are open then stay unanswered
 /// The change that they miss; the earlier it comes, the sooner it takes effect.
 const CHANGE_AT: Micros = LOSS_AT + 1;
-/// At the same cost for discovery; at least as many on the benchmark.
+/// Calls that continue a watch cost discovery as much as one new call; at least as many on the benchmark.
 const CONTINUED_CALLS_PER_NEW_CALL: Micros = 20;
 
 /// Faults after the watches were lost.
@@ -88,8 +88,8 @@
 }
 
 /// Processing time per call of a discovery that can answer one new call of each proxy within this time.
-fn time_per_call(fleet: u32, timeout: Micros) -> Micros {
-    timeout / Micros::from(fleet)
+fn time_per_call(fleet: u32, time: Micros) -> Micros {
+    time / Micros::from(fleet)
 }
 
 #[test]
--- a/crates/flintwell-membership/tests/fleet.rs
+++ b/crates/flintwell-membership/tests/fleet.rs
@@ -79,7 +79,7 @@
         let settings = Settings {
             cluster: "c".into(),
             key: b"key".to_vec(),
-            id: MemberId { number: n as u32, addr: addr(n), generation: generation },
+            id: MemberId { number: n as u32, addr: addr(n), generation },
             seeds: (0..3).map(addr).collect(),
             fleet_size: self.size,
             rng_seed: self.rng.random(),
@@ -136,8 +136,8 @@
         self.members.iter().flatten().map(|member| member.peers().len()).collect()
     }
     fn is_converged(&self) -> bool {
-        let there = self.members.iter().flatten().count();
-        self.known_peers().iter().all(|&known_peers| known_peers == there - 1)
+        let running = self.members.iter().flatten().count();
+        self.known_peers().iter().all(|&count| count == running - 1)
     }
     fn downs(&self) -> u64 {
         self.members.iter().flatten().map(|member| member.declared_down).sum()
