--- a/crates/flintwell/src/fleet/calls.rs
+++ b/crates/flintwell/src/fleet/calls.rs
@@ -1,8 +1,9 @@
-//! Calls of discovery as tasks of their own: the connection, and the exchange on it. A call whose time is up stays open, since
-//! its answer may be on the way: whoever leaves a queue has cost discovery a call and has nothing.
+//! Calls to discovery, each a task of its own: establishing the connection, and the exchange on it. A call
+//! that has timed out stays open, because its response may still arrive: leaving discovery's queue would
+//! waste the work of that call for nothing.
 
 use crate::clients::body::Outgoing;
-use crate::nodes::link::{Broken, Came, Cause, Link, Most, Progress};
+use crate::nodes::link::{BodyLimits, Broken, Cause, Link, Progress, ReceivedBody};
 use crate::process::clock::Clock;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::Failure;
@@ -16,17 +17,17 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-const DIAL: Duration = Duration::from_secs(2); // for a connection to come up; a lost SYN is sent again after one second
-const DIAL_AGAIN: Duration = Duration::from_millis(500); // until a further one is tried beside it
-const DIALS: u32 = 3; // tried at the same time
-const READY: Duration = Duration::from_millis(50); // for the last exchange on a connection to be over
-const LIST_MOST: u64 = 4 << 20; // bytes; a list of ten thousand nodes
-const OPEN_MOST: usize = 4; // calls that are open at the same time; each holds a descriptor of the process's own few
+const DIAL_TIMEOUT: Duration = Duration::from_secs(2); // a lost SYN is retransmitted after one second
+const PARALLEL_DIAL_DELAY: Duration = Duration::from_millis(500); // before each further dial beside the first
+const MAX_PARALLEL_DIALS: u32 = 3;
+const READY_TIMEOUT: Duration = Duration::from_millis(50); // for the previous exchange on a connection to end
+const MAX_LIST_BYTES: u64 = 4 << 20; // a list of ten thousand nodes
+const MAX_OPEN_CALLS: usize = 4; // each holds one of the descriptors reserved for the process itself
 
-/// Which call of this process it is.
+/// Sequence number of a call within this process.
 pub type CallNumber = u64;
 
-/// Why a call failed, for the watch and in words.
+/// Why a call failed: its kind for the list watch, and its details for the log.
 #[derive(Debug)]
 pub struct CallError {
     pub failure: Failure,
@@ -34,104 +35,109 @@
 }
 
 impl CallError {
-    fn of(broken: Broken) -> Self {
+    fn from_exchange(broken: Broken) -> Self {
         let failure = match &broken.cause {
-            Cause::LocalFault(_) | Cause::NoRoom => Failure::Local,
+            Cause::LocalFault(_) | Cause::NoDescriptor => Failure::Local,
             Cause::Unreachable(_) => Failure::Unreachable,
             _ => Failure::Broken,
         };
         CallError { failure, broken }
     }
 
-    pub fn silent(broken: Broken) -> Self {
+    /// No response came in time.
+    pub fn timed_out(broken: Broken) -> Self {
         CallError { failure: Failure::Silent, broken }
     }
 
-    pub fn garbage(words: String) -> Self {
-        CallError { failure: Failure::Broken, broken: Broken::unwritten(Cause::Garbage(words)) }
+    /// The response was not acceptable.
+    pub fn invalid_response(why: String) -> Self {
+        CallError { failure: Failure::Broken, broken: Broken::before_write(Cause::InvalidResponse(why)) }
     }
 }
 
-/// An answer, and the connection that it came on.
+/// A response with the connection on which it was received.
 pub struct Answer {
     pub listing: Listing,
     pub link: Link,
-    /// From when on its first byte was there to be read, by our clock.
-    pub begun_at: Micros,
+    /// When its first byte was read.
+    pub first_byte_at: Micros,
 }
 
-/// What has ended.
-pub enum Ended {
-    /// A connection is up, or could not be had.
+/// The completion of a task.
+pub enum Completion {
+    /// A connection was established, or could not be.
     Connected(Result<Link, CallError>),
+    /// A call has ended.
     Called(CallNumber, Result<Answer, CallError>),
 }
 
-/// The calls that are out.
+/// The calls in flight.
 pub struct Calls {
     clock: Clock,
-    tasks: JoinSet<Ended>,
+    tasks: JoinSet<Completion>,
     open: VecDeque<(CallNumber, AbortHandle)>,
-    next: CallNumber,
+    next_number: CallNumber,
 }
 
 impl Calls {
     pub fn new(clock: Clock) -> Self {
-        Calls { clock, tasks: JoinSet::new(), open: VecDeque::new(), next: 0 }
+        Calls { clock, tasks: JoinSet::new(), open: VecDeque::new(), next_number: 0 }
     }
 
-    /// Has a connection to `addr` come up: the one left from before, if it still takes a call, or a new one.
-    pub fn connect(&mut self, addr: SocketAddr, left: Option<Link>) {
+    /// Starts to establish a connection to `addr`: `previous`, if it can still take a call, or a new one.
+    pub fn connect(&mut self, addr: SocketAddr, previous: Option<Link>) {
         self.tasks.spawn_local(async move {
-            // Danger: a connection that is neither ready nor closed would keep us from calling for good.
-            let ready = match left {
-                Some(link) => timeout(READY, link.ready()).await.ok().flatten(),
+            // Danger: a connection that is neither ready nor closed would block all further calls.
+            let ready = match previous {
+                Some(link) => timeout(READY_TIMEOUT, link.ready()).await.ok().flatten(),
                 None => None,
             };
             let connected = match ready {
                 Some(link) => Ok(link),
                 None => dial(addr).await,
             };
-            Ended::Connected(connected.map_err(CallError::of))
+            Completion::Connected(connected.map_err(CallError::from_exchange))
         });
     }
 
-    /// Calls on this connection for what is newer than `since`, which may wait so long; for the whole list without it.
+    /// Starts a call on this connection. With `since`, discovery sends what is newer than that version and
+    /// may hold the call for up to `wait`; without it, discovery sends the whole list. At the limit of open
+    /// calls the oldest is aborted.
     pub fn call(&mut self, mut link: Link, since: Option<u64>, wait: Micros) -> CallNumber {
-        if self.open.len() >= OPEN_MOST
+        if self.open.len() >= MAX_OPEN_CALLS
             && let Some((_, oldest)) = self.open.pop_front()
         {
             oldest.abort();
         }
-        let (number, clock) = (self.next, self.clock);
-        self.next += 1;
+        let (number, clock) = (self.next_number, self.clock);
+        self.next_number += 1;
         let task = self.tasks.spawn_local(async move {
             let listing = exchange(&mut link, since, wait).await;
-            let begun_at = link.answer_begun().map_or(clock.now(), |begun| clock.at(begun));
-            Ended::Called(number, listing.map(|listing| Answer { listing, link, begun_at }))
+            let first_byte_at = link.first_byte_at().map_or(clock.now(), |instant| clock.at(instant));
+            Completion::Called(number, listing.map(|listing| Answer { listing, link, first_byte_at }))
         });
         self.open.push_back((number, task));
         number
     }
 
-    /// The next that ends; waits for ever where nothing is out.
-    pub async fn ended(&mut self) -> Ended {
+    /// The next completion; never returns while nothing is in flight.
+    pub async fn next_completion(&mut self) -> Completion {
         loop {
             match self.tasks.join_next().await {
-                Some(Ok(ended)) => {
-                    if let Ended::Called(number, _) = ended {
+                Some(Ok(completion)) => {
+                    if let Completion::Called(number, _) = completion {
                         self.open.retain(|(open, _)| *open != number);
                     }
-                    return ended;
+                    return completion;
                 }
-                // It was given up.
+                // The call was aborted.
                 Some(Err(error)) if error.is_cancelled() => {}
                 Some(Err(error)) => {
-                    let failed = CallError::garbage(format!("its reader failed: {error}"));
+                    let failed = CallError::invalid_response(format!("call task failed: {error}"));
                     let last = self.open.pop_back();
                     return match last {
-                        Some((number, _)) => Ended::Called(number, Err(failed)),
-                        None => Ended::Connected(Err(failed)),
+                        Some((number, _)) => Completion::Called(number, Err(failed)),
+                        None => Completion::Connected(Err(failed)),
                     };
                 }
                 None => std::future::pending().await,
@@ -139,49 +145,55 @@
         }
     }
 
-    /// Gives up all that is out. Danger: what has ended already and was not asked for yet goes with it, or an answer of an
-    /// old discovery would be taken for one of the new.
-    pub fn give_up(&mut self) {
+    /// Aborts all calls and drops completions that were not fetched yet. Danger: otherwise a response of the
+    /// former discovery address would be taken for one of the new address.
+    pub fn abort_all(&mut self) {
         self.tasks = JoinSet::new();
         self.open.clear();
     }
 }
 
-/// A new connection. Danger: one that is slow, or whose SYN is lost, would pass for a discovery that can't be reached, and its
-/// list would be acted on for longer than it may; so others are tried beside it before that is said.
+/// Opens a new connection. Danger: a slow connection, or one whose SYN was lost, would make discovery count
+/// as unreachable, and its last list would be used for longer than allowed; so further connections are tried
+/// in parallel before that is reported.
 async fn dial(addr: SocketAddr) -> Result<Link, Broken> {
-    let tries = (0..DIALS).map(|n| {
+    let dials = (0..MAX_PARALLEL_DIALS).map(|n| {
         Box::pin(async move {
-            sleep(DIAL_AGAIN * n).await;
+            sleep(PARALLEL_DIAL_DELAY * n).await;
             Link::dial(addr, None).await
         })
     });
-    let first = async { select_all(tries).await.0 };
-    let nothing_came = |_| Err(Broken::unwritten(Cause::Unreachable("nothing came in time".into())));
-    timeout(DIAL, first).await.unwrap_or_else(nothing_came)
+    let first = async { select_all(dials).await.0 };
+    let unreachable = |_| {
+        let why = format!("no connection within {DIAL_TIMEOUT:?}");
+        Err(Broken::before_write(Cause::Unreachable(why)))
+    };
+    timeout(DIAL_TIMEOUT, first).await.unwrap_or_else(unreachable)
 }
 
 async fn exchange(link: &mut Link, since: Option<u64>, wait: Micros) -> Result<Listing, CallError> {
     let progress = Progress::default();
-    let garbage =
-        |words| CallError { failure: Failure::Broken, broken: progress.broken(Cause::Garbage(words)) };
+    let invalid =
+        |why| CallError { failure: Failure::Broken, broken: progress.error(Cause::InvalidResponse(why)) };
     let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
     let path = format!("/registry/instances{query}");
     let mut request = Request::new(Outgoing::Empty);
-    *request.uri_mut() = path.parse().map_err(|_| garbage(path))?;
+    *request.uri_mut() = path.parse().map_err(|_| invalid(path))?;
     request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
-    let most = Most { collected: LIST_MOST, long: LIST_MOST };
-    let reply = link.exchange(request, most, &progress).await.map_err(CallError::of)?;
+    let limits = BodyLimits { buffered: MAX_LIST_BYTES, total: MAX_LIST_BYTES };
+    let reply = link.exchange(request, limits, &progress).await.map_err(CallError::from_exchange)?;
     match reply.status {
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            let refused = garbage(format!("status {}", reply.status));
+            let refused = invalid(format!("status {}", reply.status));
             return Err(CallError { failure: Failure::Refused, ..refused });
         }
-        status => return Err(garbage(format!("status {status}"))),
+        status => return Err(invalid(format!("status {status}"))),
     }
-    let Came::Whole(body) = reply.body else { return Err(garbage("a list without end".into())) };
-    serde_json::from_slice(&body).map_err(|error| garbage(error.to_string()))
+    let ReceivedBody::Whole(body) = reply.body else {
+        return Err(invalid("list was not received whole".into()));
+    };
+    serde_json::from_slice(&body).map_err(|error| invalid(error.to_string()))
 }
 
 #[cfg(test)]
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -1,7 +1,8 @@
-//! Keeps the list of nodes: calls discovery, decodes what it tells, and passes it on. When each call is due, how long it may
-//! take and for how long the list may be acted on is decided by `flintwell-list-watch`.
+//! Keeps the node list current: calls discovery, decodes its responses and passes them to the registry.
+//! `flintwell-list-watch` decides when each call is due, how long it may take, and how long the lease on the
+//! list lasts.
 
-use crate::fleet::calls::{Answer, CallError, CallNumber, Calls, Ended};
+use crate::fleet::calls::{Answer, CallError, CallNumber, Calls, Completion};
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
 use crate::fleet::registry::Registry;
@@ -16,43 +17,43 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-const PACE: Micros = 100_000; // us; between empty answers; well under what ends a watch
+const MIN_EMPTY_RESPONSE_INTERVAL_US: Micros = 100_000; // well under the wait of a long poll
 
-/// What the current call waits for.
+/// The state of the current call.
 enum Phase {
-    /// The next call is due then.
+    /// The next call is due at this time.
     Pausing(Micros),
-    /// For a connection.
+    /// A connection is being established.
     Connecting,
-    /// For its slot among those of the fleet, on a connection that is up.
+    /// A connection is open; the call is due at its time slot among those of the fleet.
     Connected(Link, Micros),
-    /// For the answer, until then.
+    /// The call is in flight, with its deadline.
     Calling(CallNumber, Micros),
 }
 
 /// What ends a phase.
 enum Event {
-    Moved,
-    Ended(Ended),
-    Due,
+    AddressChanged,
+    Completed(Completion),
+    TimerElapsed,
 }
 
+/// The client of discovery.
 pub struct Discovery {
-    /// Where it is, as the configuration has it now.
+    /// Discovery's address; changes when the configuration is reloaded.
     addr: watch::Receiver<SocketAddr>,
     registry: Rc<Registry>,
     lease: Rc<ListLease>,
     status: Rc<ListStatus>,
     watch: Watch,
     calls: Calls,
-    /// Of the list last had; none from where we ask now.
+    /// Version of the last list; none if the current address has not sent one.
     version: Option<u64>,
-    /// When the current call was made.
+    /// When the current call was sent.
     called_at: Micros,
-    /// The connection of the last answer.
+    /// The connection of the last response, for reuse.
     link: Option<Link>,
-    /// Calls in a row that failed.
-    failed: u64,
+    consecutive_failures: u64,
 }
 
 impl Discovery {
@@ -74,43 +75,43 @@
             version: None,
             called_at: 0,
             link: None,
-            failed: 0,
+            consecutive_failures: 0,
         }
     }
 
-    /// The list as it was last had.
+    /// Publishes the list that is known at startup.
     pub fn start(&mut self, known: &Listing) {
-        self.tell(known, ListKind::Kept);
+        self.publish(known, ListKind::Kept);
     }
 
-    /// Calls for good, from the process's start: each call is due when `flintwell-list-watch` says.
+    /// Calls discovery in an endless loop, at the times given by `flintwell-list-watch`.
     pub async fn watch(&mut self, dispatcher: &Dispatcher) {
-        let mut moves = self.addr.clone();
-        // Started again after a panic, nothing of before is waited for.
-        self.calls.give_up();
+        let mut addr_changes = self.addr.clone();
+        // When this loop is restarted after a panic, earlier calls are discarded.
+        self.calls.abort_all();
         self.link = None;
         let mut phase = Phase::Pausing(self.watch.first(dispatcher.clock.now()));
         loop {
-            phase = match self.next_event(dispatcher, &mut moves, &phase).await {
-                // Danger: the old discovery would keep us waiting for what only the new one tells.
-                Event::Moved => self.moved(dispatcher),
-                Event::Ended(ended) => self.ended(dispatcher, phase, ended),
-                Event::Due => self.due(dispatcher, phase),
+            phase = match self.next_event(dispatcher, &mut addr_changes, &phase).await {
+                // Danger: a call that waits at the old address would delay changes that only the new one has.
+                Event::AddressChanged => self.on_address_changed(dispatcher),
+                Event::Completed(completion) => self.on_completion(dispatcher, phase, completion),
+                Event::TimerElapsed => self.on_timer(dispatcher, phase),
             };
         }
     }
 
-    fn pauses_for_slot(&self, dispatcher: &Dispatcher) -> Phase {
+    fn pause_until_slot(&self, dispatcher: &Dispatcher) -> Phase {
         Phase::Pausing(self.watch.slot(dispatcher.clock.now()))
     }
 
     async fn next_event(
         &mut self,
         dispatcher: &Dispatcher,
-        moves: &mut watch::Receiver<SocketAddr>,
+        addr_changes: &mut watch::Receiver<SocketAddr>,
         phase: &Phase,
     ) -> Event {
-        let due = async {
+        let timer = async {
             match phase {
                 Phase::Pausing(at) | Phase::Connected(_, at) | Phase::Calling(_, at) => {
                     sleep_until(dispatcher.clock.instant(*at)).await;
@@ -120,24 +121,26 @@
         };
         tokio::select! {
             biased;
-            Ok(()) = moves.changed() => Event::Moved,
-            // Danger: after a standstill of ours an answer that has come would count as late.
-            ended = self.calls.ended() => Event::Ended(ended),
-            () = due => Event::Due,
+            Ok(()) = addr_changes.changed() => Event::AddressChanged,
+            // Danger: after a stall of this process, the timer would make a response that has already arrived
+            // count as late.
+            completion = self.calls.next_completion() => Event::Completed(completion),
+            () = timer => Event::TimerElapsed,
         }
     }
 
-    fn moved(&mut self, dispatcher: &Dispatcher) -> Phase {
-        // Danger: one discovery's versions may say nothing to another; the whole list is asked for.
+    fn on_address_changed(&mut self, dispatcher: &Dispatcher) -> Phase {
+        // Danger: a version number of one discovery service may mean nothing to another, so changes since
+        // that version would be wrong; the whole list is requested.
         self.version = None;
         self.link = None;
-        self.calls.give_up();
+        self.calls.abort_all();
         self.watch.moved();
-        self.pauses_for_slot(dispatcher)
+        self.pause_until_slot(dispatcher)
     }
 
-    /// The time of a phase is up.
-    fn due(&mut self, dispatcher: &Dispatcher, phase: Phase) -> Phase {
+    /// The timer of the phase has elapsed.
+    fn on_timer(&mut self, dispatcher: &Dispatcher, phase: Phase) -> Phase {
         let now = dispatcher.clock.now();
         match phase {
             Phase::Pausing(_) => {
@@ -146,47 +149,49 @@
                 self.calls.connect(addr, self.link.take());
                 Phase::Connecting
             }
-            // It ends with the connection, and has no time of its own.
+            // Has no timer: it ends with the result of the connection.
             Phase::Connecting => Phase::Connecting,
             Phase::Connected(link, _) => self.call(dispatcher, link),
             Phase::Calling(..) => {
                 let broken = Broken { stage: Stage::Written, cause: Cause::TimedOut };
-                self.failed(dispatcher, &CallError::silent(broken))
+                self.on_failure(dispatcher, &CallError::timed_out(broken))
             }
         }
     }
 
-    fn ended(&mut self, dispatcher: &Dispatcher, phase: Phase, ended: Ended) -> Phase {
-        match (phase, ended) {
-            (Phase::Connecting, Ended::Connected(Ok(link))) => {
+    fn on_completion(&mut self, dispatcher: &Dispatcher, phase: Phase, completion: Completion) -> Phase {
+        match (phase, completion) {
+            (Phase::Connecting, Completion::Connected(Ok(link))) => {
                 let now = dispatcher.clock.now();
                 match self.watch.connected(now) {
                     at if at > now => Phase::Connected(link, at),
                     _ => self.call(dispatcher, link),
                 }
             }
-            (Phase::Connecting, Ended::Connected(Err(error))) => self.failed(dispatcher, &error),
-            // Of a connection that nobody waits for any more.
-            (phase, Ended::Connected(_)) => phase,
-            (Phase::Calling(current, _), Ended::Called(number, Err(error))) if number == current => {
-                self.failed(dispatcher, &error)
+            (Phase::Connecting, Completion::Connected(Err(error))) => self.on_failure(dispatcher, &error),
+            // A connection that is not waited for any more.
+            (phase, Completion::Connected(_)) => phase,
+            (Phase::Calling(current, _), Completion::Called(number, Err(error))) if number == current => {
+                self.on_failure(dispatcher, &error)
+            }
+            // A call that had timed out before: it was counted as failed then.
+            (phase, Completion::Called(_, Err(_))) => phase,
+            (phase, Completion::Called(number, Ok(answer))) => {
+                self.on_answer(dispatcher, phase, number, answer)
             }
-            // One whose time was up has failed in the end: it counted then.
-            (phase, Ended::Called(_, Err(_))) => phase,
-            (phase, Ended::Called(number, Ok(answer))) => self.answered(dispatcher, phase, number, answer),
         }
     }
 
     fn call(&mut self, dispatcher: &Dispatcher, link: Link) -> Phase {
         let now = dispatcher.clock.now();
-        self.watch.grants(self.registry.grace());
+        self.watch.grants(self.registry.drain_grace());
         let call = self.watch.call(now, self.version.is_none());
         self.called_at = now;
-        self.status.called(now);
+        self.status.on_call(now);
         Phase::Calling(self.calls.call(link, self.version, call.wait), now + call.within)
     }
 
-    fn answered(
+    fn on_answer(
         &mut self,
         dispatcher: &Dispatcher,
         phase: Phase,
@@ -194,66 +199,71 @@
         answer: Answer,
     ) -> Phase {
         let current = matches!(phase, Phase::Calling(current, _) if current == number);
-        let Answer { listing, link, begun_at } = answer;
+        let Answer { listing, link, first_byte_at } = answer;
         if self.version.is_some_and(|version| listing.version < version) {
-            // A call that was out for long may well tell less than the one that was answered meanwhile.
+            // A call that was in flight for long may return an older list than one answered meanwhile.
             if !current {
                 return phase;
             }
-            // Danger: a copy of discovery that lags lists as ready what was announced as leaving. Whoever begins anew tells
-            // the whole list, which is asked for next.
+            // Danger: a lagging replica of discovery lists nodes as ready that were already announced as
+            // leaving. If discovery was reset to lower versions instead, it sends its whole list, which is
+            // requested next.
             self.version = None;
-            return self.failed(dispatcher, &CallError::garbage("older than the list told before".into()));
+            let why = format!("list {} is older than the last one", listing.version);
+            return self.on_failure(dispatcher, &CallError::invalid_response(why));
         }
-        if self.failed > 1 {
-            say!("discovery: answers again, after {} calls that failed", self.failed);
+        if self.consecutive_failures > 1 {
+            say!("discovery: available again after {} failed calls", self.consecutive_failures);
         }
-        self.failed = 0;
+        self.consecutive_failures = 0;
         let now = dispatcher.clock.now();
-        // Danger: what stood in our socket while we stood still would vouch for the time of its reading.
-        let as_of = begun_at.min(dispatcher.pulse.waited_from());
+        // Danger: a response that waited in the socket buffer during a stall of this process would confirm
+        // the list as of when it was read, not as of when it was sent.
+        let as_of = first_byte_at.min(dispatcher.pulse.waited_from());
         if current {
             self.watch.answered(as_of);
         } else {
-            // When it was asked for is not kept; it vouches for no more than the bytes do.
-            self.calls.give_up();
+            // The send time of a late call is not kept; so only the arrival of the response confirms the
+            // list.
+            self.calls.abort_all();
             self.watch.answered_late(as_of);
         }
-        self.status.answered(now, listing.version);
-        self.shares_lease();
+        self.status.on_answer(now, listing.version);
+        self.publish_lease();
         self.link = Some(link);
         let kind = if listing.full { ListKind::Whole } else { ListKind::Changes };
-        self.tell(&listing, kind);
-        // Danger: a watch that does not wait would be asked without a pause.
-        let at_once = current && listing.is_empty() && now - self.called_at < PACE;
-        Phase::Pausing(if at_once { now + PACE } else { now })
+        self.publish(&listing, kind);
+        // Danger: a discovery that answers long polls at once would be called in a busy loop.
+        let too_soon =
+            current && listing.is_empty() && now - self.called_at < MIN_EMPTY_RESPONSE_INTERVAL_US;
+        Phase::Pausing(if too_soon { now + MIN_EMPTY_RESPONSE_INTERVAL_US } else { now })
     }
 
-    fn failed(&mut self, dispatcher: &Dispatcher, error: &CallError) -> Phase {
+    fn on_failure(&mut self, dispatcher: &Dispatcher, error: &CallError) -> Phase {
         let now = dispatcher.clock.now();
-        self.failed += 1;
-        // An outage is few lines, however often discovery is called meanwhile.
-        if self.failed.is_power_of_two() {
+        self.consecutive_failures += 1;
+        // Logs only failures 1, 2, 4, 8, ... of an outage.
+        if self.consecutive_failures.is_power_of_two() {
             let took = (now - self.called_at) as f64 / 1e6;
             let CallError { failure, broken } = error;
             say!(
-                "discovery: {broken} ({failure:?}), after {took:.3} s; failed call {} in a row",
-                self.failed
+                "discovery: {broken} ({failure:?}) after {took:.3} s; {} consecutive failed calls",
+                self.consecutive_failures
             );
         }
         let at = self.watch.failed(now, error.failure);
-        self.shares_lease();
+        self.publish_lease();
         Phase::Pausing(at)
     }
 
-    fn shares_lease(&self) {
+    fn publish_lease(&self) {
         let lease = self.watch.lease();
         self.lease.set(lease);
-        self.status.leased(lease);
+        self.status.on_lease_change(lease);
     }
 
-    fn tell(&mut self, listing: &Listing, kind: ListKind) {
+    fn publish(&mut self, listing: &Listing, kind: ListKind) {
         self.version = Some(listing.version);
-        self.registry.take(listing, kind);
+        self.registry.update(listing, kind);
     }
 }
--- a/crates/flintwell/src/fleet/kept_list.rs
+++ b/crates/flintwell/src/fleet/kept_list.rs
@@ -1,4 +1,4 @@
-//! The list as it is left in the proxy's folder for the next process, with its age.
+//! The node list on disk, in the proxy's folder, with its age: the next process starts with it.
 
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_age::{BootClock, Confirmation};
@@ -9,29 +9,29 @@
 use std::cell::Cell;
 use std::io;
 
-const LIST: &str = "list"; // the name of the list's file
-const CONFIRMATION: &str = "list-confirmed"; // the name of the file that tells how old that list is
+const LIST_FILE: &str = "list";
+const CONFIRMATION_FILE: &str = "list-confirmed"; // holds the age of the list in LIST_FILE
 
-/// The list that an earlier process left.
+/// The list that an earlier process stored.
 pub struct Left {
     pub listing: Listing,
-    /// How long ago discovery confirmed it; none if that is not known.
+    /// How long ago discovery confirmed it; none if unknown.
     pub age: Option<Micros>,
 }
 
-/// Keeps the list that discovery told last.
+/// Stores the most recent list of discovery.
 pub struct KeptList {
     store: Store,
-    /// None where the system has no such clock; then the list is left without its age.
+    /// None where the system has no boot identifier; then the list is stored without its age.
     boot_clock: Option<BootClock>,
-    /// Of the list that discovery told last.
+    /// Version of the most recent list.
     version: Cell<Option<u64>>,
     /// That list is not written yet.
-    changed: Cell<bool>,
-    /// Of the list as it is written: its version, and until when it was confirmed.
-    confirmed: Cell<Option<(u64, Micros)>>,
-    /// The last try to write it failed, and that was logged.
-    failing: Cell<bool>,
+    is_dirty: Cell<bool>,
+    /// The confirmation as written: the list's version, and when it was confirmed.
+    written_confirmation: Cell<Option<(u64, Micros)>>,
+    /// The last write failed, and that was logged.
+    is_failing: Cell<bool>,
 }
 
 impl KeptList {
@@ -40,58 +40,59 @@
             store,
             boot_clock: BootClock::open(),
             version: Cell::default(),
-            changed: Cell::default(),
-            confirmed: Cell::default(),
-            failing: Cell::default(),
+            is_dirty: Cell::default(),
+            written_confirmation: Cell::default(),
+            is_failing: Cell::default(),
         }
     }
 
-    /// What an earlier process of this proxy left.
+    /// Reads the list that an earlier process of this proxy stored.
     pub fn left(&self) -> Option<Left> {
-        let read = serde_json::from_slice::<Listing>(&self.store.read(LIST)?);
-        let listing = read.map_err(|error| say!("{LIST}: {error}")).ok().filter(|listing| listing.full)?;
-        let confirmation = self.store.read(CONFIRMATION);
+        let read = serde_json::from_slice::<Listing>(&self.store.read(LIST_FILE)?);
+        let read = read.map_err(|error| say!("cannot decode the stored node list: {error}"));
+        let listing = read.ok().filter(|listing| listing.full)?;
+        let confirmation = self.store.read(CONFIRMATION_FILE);
         let confirmation = confirmation.and_then(|text| serde_json::from_slice::<Confirmation>(&text).ok());
         let clock = self.boot_clock.as_ref();
-        let age = clock.zip(confirmation).and_then(|(clock, told)| clock.age(listing.version, &told));
+        let age = clock.zip(confirmation).and_then(|(clock, record)| clock.age(listing.version, &record));
         Some(Left { listing, age })
     }
 
-    /// Discovery has told a list of this version.
-    pub fn told(&self, version: u64) {
+    /// Marks the list as changed, now with this version.
+    pub fn mark_changed(&self, version: u64) {
         self.version.set(Some(version));
-        self.changed.set(true);
+        self.is_dirty.set(true);
     }
 
-    /// Writes what has changed. Danger: a disk that is full for a moment would leave a list without its last changes; so what
-    /// can't be written now is written once it can be.
+    /// Writes what has changed. Danger: after a moment with a full disk, the stored list would lack its last
+    /// changes; so a failed write is repeated until it succeeds.
     pub fn write(&self, lines: impl FnOnce() -> Vec<Line>, lease: &ListLease) {
         let written = self.write_list(lines).and_then(|()| self.write_confirmation(lease));
-        let failing = written.is_err();
-        if self.failing.replace(failing) == failing {
+        let is_failing = written.is_err();
+        if self.is_failing.replace(is_failing) == is_failing {
             return;
         }
         match written {
-            Err(error) => say!("{LIST} not kept, and tried again until it can be: {error}"),
-            Ok(()) => say!("{LIST} is kept again"),
+            Err(error) => say!("cannot store the node list, will retry: {error}"),
+            Ok(()) => say!("the node list is stored again"),
         }
     }
 
     fn write_list(&self, lines: impl FnOnce() -> Vec<Line>) -> io::Result<()> {
-        let Some(version) = self.version.get().filter(|_| self.changed.get()) else { return Ok(()) };
+        let Some(version) = self.version.get().filter(|_| self.is_dirty.get()) else { return Ok(()) };
         let text = serde_json::to_vec(&Listing { version, full: true, servers: lines() })?;
-        self.store.write(LIST, &text)?;
-        self.changed.set(false);
+        self.store.write(LIST_FILE, &text)?;
+        self.is_dirty.set(false);
         Ok(())
     }
 
     fn write_confirmation(&self, lease: &ListLease) -> io::Result<()> {
         let Some(clock) = &self.boot_clock else { return Ok(()) };
         let known = self.version.get().zip(lease.confirmed_at());
-        let Some((version, _)) = known.filter(|_| known != self.confirmed.get()) else { return Ok(()) };
-        let confirmation = clock.confirms(version, lease.age().unwrap_or_default());
-        self.store.write(CONFIRMATION, &serde_json::to_vec(&confirmation)?)?;
-        self.confirmed.set(known);
+        let Some((version, _)) = known.filter(|_| known != self.written_confirmation.get()) else { return Ok(()) };
+        let confirmation = clock.confirmation(version, lease.age().unwrap_or_default());
+        self.store.write(CONFIRMATION_FILE, &serde_json::to_vec(&confirmation)?)?;
+        self.written_confirmation.set(known);
         Ok(())
     }
 }
--- a/crates/flintwell/src/fleet/lease.rs
+++ b/crates/flintwell/src/fleet/lease.rs
@@ -1,5 +1,5 @@
-//! The lease on the list, shared between who renews it (`discovery.rs`), who lays it over the list (`registry.rs`) and who asks
-//! for it directly before a request is sent (`nodes/permission.rs`).
+//! The lease on the node list, shared between the discovery client, which renews it, the registry, which
+//! applies its end to the list, and the final check before a request is sent.
 
 use crate::process::clock::Clock;
 use crate::process::count::{Count, one_more};
@@ -11,18 +11,20 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout};
 
-const READY_ANYWAY: Micros = 5_000_000; // us after the start; the operators want nine in ten within 10 s, and within 6 at times
+// After the start, even without a valid lease: nine of ten proxies have to be ready within 10 s, at times
+// within 6 s.
+const MAX_READY_DELAY_US: Micros = 5_000_000;
 
-/// Until when the list in hand may be acted on.
+/// How long the current node list may be used.
 pub struct ListLease {
     clock: Clock,
     started_at: Micros,
     lease: Cell<Lease>,
-    renewed: Notify,
-    /// Whether it ever held, and who waits for that.
-    was_in_force: Cell<bool>,
-    first_in_force: Notify,
-    /// How often the list grew too old to act on.
+    lease_changed: Notify,
+    /// Whether the lease has ever been valid.
+    was_valid: Cell<bool>,
+    first_valid: Notify,
+    /// Number of times that the lease has lapsed.
     lapses: Count,
 }
 
@@ -33,75 +35,75 @@
             clock,
             started_at,
             lease: Cell::new(lease),
-            renewed: Notify::new(),
-            was_in_force: Cell::new(lease.holds(started_at)),
-            first_in_force: Notify::new(),
+            lease_changed: Notify::new(),
+            was_valid: Cell::new(lease.holds(started_at)),
+            first_valid: Notify::new(),
             lapses,
         })
     }
 
-    /// What discovery's watch says of it now.
+    /// Sets the lease as the list watch has it now.
     pub fn set(&self, lease: Lease) {
         if self.lease.replace(lease) != lease {
-            self.renewed.notify_one();
+            self.lease_changed.notify_one();
         }
-        if self.holds() && !self.was_in_force.replace(true) {
-            self.first_in_force.notify_waiters();
+        if self.is_valid() && !self.was_valid.replace(true) {
+            self.first_valid.notify_waiters();
         }
     }
 
-    /// The list has grown too old to act on.
-    pub fn counts_lapse(&self) {
+    /// Counts a lapse of the lease.
+    pub fn count_lapse(&self) {
         one_more(&self.lapses);
     }
 
-    /// Returns once the list was in force for the first time, or after so long.
-    pub async fn first_in_force(&self, most: Duration) {
-        let notified = self.first_in_force.notified();
-        if !self.was_in_force.get() {
-            // Whoever has waited for so long goes on without it.
-            let _ = timeout(most, notified).await;
+    /// Waits until the lease has been valid once, for at most `max_wait`.
+    pub async fn first_in_force(&self, max_wait: Duration) {
+        let notified = self.first_valid.notified();
+        if !self.was_valid.get() {
+            // After a time-out the caller continues without a valid lease.
+            let _ = timeout(max_wait, notified).await;
         }
     }
 
-    /// Whether clients may come: the list was in force, or has been waited for long enough.
+    /// Whether the proxy accepts clients: the lease has been valid once, or was waited for long enough.
     pub fn ready(&self) -> bool {
-        self.was_in_force.get() || self.clock.now() - self.started_at >= READY_ANYWAY
+        self.was_valid.get() || self.clock.now() - self.started_at >= MAX_READY_DELAY_US
     }
 
-    /// Whether a request may be sent by the list now.
-    pub fn holds(&self) -> bool {
+    /// Whether requests may be sent according to the list now.
+    pub fn is_valid(&self) -> bool {
         self.lease.get().holds(self.clock.now())
     }
 
-    /// On whose word it was renewed last.
+    /// What the last renewal was based on.
     pub fn basis(&self) -> Basis {
         self.lease.get().basis()
     }
 
-    /// How long ago the list was surely not older than discovery's own state; none if that is not known.
+    /// Time since the list was last confirmed to be no older than discovery's own state; none if unknown.
     pub fn age(&self) -> Option<Micros> {
         self.lease.get().confirmed_at().map(|at| self.clock.now() - at)
     }
 
-    /// When that was.
+    /// When the list was last confirmed to be no older than discovery's own state; none if unknown.
     pub fn confirmed_at(&self) -> Option<Micros> {
         self.lease.get().confirmed_at()
     }
 
-    /// For how long it has been over; not positive while it holds.
-    pub fn over_for(&self) -> Micros {
+    /// Time since the lease ended; not positive while it is valid.
+    pub fn expired_for(&self) -> Micros {
         -self.lease.get().left(self.clock.now())
     }
 
-    /// Returns when it may have ended, or was changed.
-    pub async fn changes(&self) {
+    /// Returns when the lease was changed or may have ended.
+    pub async fn changed(&self) {
         let now = self.clock.now();
         let left = self.lease.get().left(now);
-        let (ends, holds) = (self.clock.instant(now + left), left > 0);
+        let (end, is_valid) = (self.clock.instant(now + left), left > 0);
         tokio::select! {
-            () = self.renewed.notified() => {}
-            () = sleep_until(ends), if holds => {}
+            () = self.lease_changed.notified() => {}
+            () = sleep_until(end), if is_valid => {}
         }
     }
 }
--- a/crates/flintwell/src/fleet/list_age.rs
+++ b/crates/flintwell/src/fleet/list_age.rs
@@ -1,29 +1,31 @@
-//! How old a list is that an earlier process of this proxy left: told by the machine's clock since its boot, which runs on
-//! across processes and is not set. Danger: the wall clock may step by an hour, and a monotonic clock of another boot tells nothing.
+//! The age of a node list that an earlier process of this proxy stored, measured by the time since the
+//! machine's boot: that clock runs on across processes and is never set. Danger: with the wall clock, a step
+//! of an hour would falsify the age; and readings of a monotonic clock from different boots are not
+//! comparable.
 
 use flintwell_core::interface::Micros;
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id"; // of Linux: new with each boot
+const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id"; // Linux: differs for each boot
 
-/// The machine's clock since its boot.
+/// The machine's clock since boot, with an identifier of the boot.
 #[derive(Clone, Debug)]
 pub struct BootClock {
     boot: String,
 }
 
-/// That a list of this version was confirmed, and when.
+/// When a list of this version was confirmed.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Confirmation {
     version: u64,
     boot: String,
-    /// Since that boot.
+    /// Time since that boot.
     at: Micros,
 }
 
 impl BootClock {
-    /// None where the system does not tell its boots apart.
+    /// None where the system has no boot identifier.
     pub fn open() -> Option<Self> {
         let boot = std::fs::read_to_string(BOOT_ID).ok()?.trim().to_owned();
         (!boot.is_empty()).then_some(BootClock { boot })
@@ -34,15 +36,16 @@
         now.tv_sec * 1_000_000 + now.tv_nsec / 1_000
     }
 
-    /// A list of this version was confirmed so long ago.
-    pub fn confirms(&self, version: u64, ago: Micros) -> Confirmation {
+    /// The record that a list of this version was confirmed `ago` microseconds ago.
+    pub fn confirmation(&self, version: u64, ago: Micros) -> Confirmation {
         Confirmation { version, boot: self.boot.clone(), at: self.now() - ago }
     }
 
-    /// How long ago a list of this version was confirmed; none if this does not tell.
+    /// How long ago a list of this version was confirmed; none if the record is of another list or boot, or
+    /// lies in the future.
     pub fn age(&self, version: u64, confirmation: &Confirmation) -> Option<Micros> {
-        let ours = confirmation.version == version && confirmation.boot == self.boot;
-        Some(self.now() - confirmation.at).filter(|age| ours && *age >= 0)
+        let applies = confirmation.version == version && confirmation.boot == self.boot;
+        Some(self.now() - confirmation.at).filter(|age| applies && *age >= 0)
     }
 }
 
--- a/crates/flintwell/src/fleet/list_status.rs
+++ b/crates/flintwell/src/fleet/list_status.rs
@@ -1,5 +1,5 @@
-//! What is known of the server list in hand: which it is, how old, and on whose word requests are sent by it. Logged as it
-//! changes, and told at the second address.
+//! Status of the current node list: its version, its age and the basis of its lease. Changes are logged, and
+//! `GET /api/list` of the management address returns it.
 
 use crate::fleet::lease::ListLease;
 use crate::say;
@@ -10,16 +10,16 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Where the list came from that the process began with.
+/// Where the list at process start came from.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
     Configuration,
-    /// The folder in which an earlier process of this proxy left it.
+    /// The folder in which an earlier process of this proxy stored it.
     Folder,
 }
 
-/// The list's state over the life of the process; times by the process's clock.
+/// The state of the list over the life of the process; times are of the process's clock.
 pub struct ListStatus {
     lease: Rc<ListLease>,
     started_at: Micros,
@@ -30,33 +30,34 @@
     basis: Cell<Option<Basis>>,
 }
 
-/// What `GET /api/list` tells; spans are in seconds.
+/// The response to `GET /api/list`; durations in seconds.
 #[derive(Serialize)]
 pub struct ListFigures {
     version: u64,
-    /// Where the list of the start came from.
+    /// Where the list at process start came from.
     source: Source,
-    /// Whether requests may be sent by the list now.
+    /// Whether the lease on the list is valid.
     in_force: bool,
-    /// On whose word.
+    /// What the lease is based on.
     basis: String,
-    /// How long ago discovery surely had no newer one; none if nobody knows.
+    /// Time since the list was last confirmed to be no older than discovery's; none if unknown.
     age_s: Option<f64>,
-    /// From the start to the first call of discovery, and to its first answer; none if that has not come.
+    /// Time from the start to the first call to discovery; none before it.
     first_call_s: Option<f64>,
+    /// Time from the start to discovery's first response; none before it.
     first_answer_s: Option<f64>,
 }
 
-fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
+fn seconds(duration: Micros) -> f64 {
+    duration as f64 / 1e6
 }
 
 impl ListStatus {
-    /// Of a process that begins with this list.
+    /// Status of a process that starts with this list; logs the list.
     pub fn start(lease: Rc<ListLease>, now: Micros, source: Source, list: &Listing) -> Rc<Self> {
         let (version, servers) = (list.version, list.len());
-        let age = lease.age().map_or("of unknown age".to_owned(), |age| format!("{:.3} s old", seconds(age)));
-        say!("begins with list {version} of {servers} servers from the {source:?}, {age}");
+        let age = lease.age().map_or("age unknown".to_owned(), |age| format!("{:.3} s old", seconds(age)));
+        say!("starting with node list {version}: {servers} servers, source {source:?}, {age}");
         let status = ListStatus {
             lease,
             started_at: now,
@@ -69,37 +70,38 @@
         Rc::new(status)
     }
 
-    /// Discovery is called at `now`.
-    pub fn called(&self, now: Micros) {
+    /// Records a call to discovery.
+    pub fn on_call(&self, now: Micros) {
         if self.first_call_at.get().is_none() {
             self.first_call_at.set(Some(now));
-            say!("discovery: first call, {:.3} s after the start", seconds(now - self.started_at));
+            say!("discovery: first call {:.3} s after the start", seconds(now - self.started_at));
         }
     }
 
-    /// Discovery has answered, and the list is of this version.
-    pub fn answered(&self, now: Micros, version: u64) {
+    /// Records a response of discovery, and the version of the list.
+    pub fn on_answer(&self, now: Micros, version: u64) {
         self.version.set(version);
         if self.first_answer_at.get().is_none() {
             self.first_answer_at.set(Some(now));
             let after = seconds(now - self.started_at);
-            say!("discovery: first answer, {after:.3} s after the start: list {version}");
+            say!("discovery: first response {after:.3} s after the start, list {version}");
         }
     }
 
-    /// The lease is this from now on.
-    pub fn leased(&self, lease: Lease) {
+    /// Logs a change of the lease's basis.
+    pub fn on_lease_change(&self, lease: Lease) {
         if self.basis.replace(Some(lease.basis())) != Some(lease.basis()) {
-            say!("list {} is acted on by {:?}", self.version.get(), lease.basis());
+            say!("lease on node list {} is now based on {:?}", self.version.get(), lease.basis());
         }
     }
 
+    /// The current status.
     pub fn figures(&self) -> ListFigures {
         let since_start = |at: Micros| seconds(at - self.started_at);
         ListFigures {
             version: self.version.get(),
             source: self.source,
-            in_force: self.lease.holds(),
+            in_force: self.lease.is_valid(),
             basis: format!("{:?}", self.lease.basis()),
             age_s: self.lease.age().map(seconds),
             first_call_s: self.first_call_at.get().map(since_start),
--- a/crates/flintwell/src/fleet/mod.rs
+++ b/crates/flintwell/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Which nodes there are.
+//! The node list: discovery, its lease, operators' overrides, and messages between proxies.
 
 pub mod calls;
 pub mod discovery;
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -1,5 +1,5 @@
-//! What the operators said of single nodes: taken out, or put back. Each is a file of its own, so that it outlives this process
-//! and is followed by another one that serves beside it.
+//! Operators' overrides of single nodes: excluded, or included again. Each is a file of its own, so that it
+//! survives this process and is also applied by another process of this proxy that runs at the same time.
 
 use crate::process::store::{Store, plain};
 use crate::say;
@@ -8,125 +8,134 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-const OVERRIDES_MOST: usize = 1_024; // nodes out or lately back; far above what staff takes out by hand
-const FORGOTTEN: f64 = 600_000.0; // ms; after a node was put back; far longer than any takes to warm up
-const MARK: &str = "out-"; // begins the name of a node's file
+const MAX_OVERRIDES: usize = 1_024; // far above the number of nodes that operators exclude manually
+const INCLUDED_RETENTION_MS: f64 = 600_000.0; // after a node was included again; far longer than its warm-up
+const FILE_PREFIX: &str = "out-";
 
-/// What the operators said of a node last: when it was taken out, and when it was put back, if it was.
+/// The last override of a node: when it was excluded, and when it was included again, if it was.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 struct Override {
-    who: String,
-    out_ms: f64,
-    back_ms: Option<f64>,
+    #[serde(rename = "who")]
+    node: String,
+    #[serde(rename = "out_ms")]
+    excluded_ms: f64,
+    #[serde(rename = "back_ms")]
+    included_ms: Option<f64>,
 }
 
 impl Override {
-    fn is_out(&self) -> bool {
-        self.back_ms.is_none()
+    fn is_excluded(&self) -> bool {
+        self.included_ms.is_none()
     }
 }
 
-/// Why a node was not taken out or put back.
+/// Why an override was rejected.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// Nobody has this id.
+    /// No node has this id.
     Unknown,
-    /// It could not be recorded, and nothing has changed.
+    /// The override could not be stored, and nothing has changed.
     NotRecorded,
 }
 
-/// All that is in force, by the node's id.
+/// All overrides, by node id.
 pub struct Overrides {
     store: Store,
     nodes: RefCell<BTreeMap<String, Override>>,
 }
 
 impl Overrides {
-    /// As they were recorded.
+    /// Loads the stored overrides.
     pub fn open(store: Store) -> Self {
-        let nodes = RefCell::new(recorded(&store));
+        let nodes = RefCell::new(load(&store));
         Overrides { store, nodes }
     }
 
-    /// Whether the node is out now.
-    pub fn is_out(&self, who: &str) -> bool {
-        self.nodes.borrow().get(who).is_some_and(Override::is_out)
+    /// Whether the node is excluded now.
+    pub fn is_excluded(&self, node: &str) -> bool {
+        self.nodes.borrow().get(node).is_some_and(Override::is_excluded)
     }
 
-    /// Whether anything is recorded of the node.
-    pub fn knows(&self, who: &str) -> bool {
-        self.nodes.borrow().contains_key(who)
+    /// Whether there is an override of the node.
+    pub fn contains(&self, node: &str) -> bool {
+        self.nodes.borrow().contains_key(node)
     }
 
-    /// Lays what was said of a node over its line of the list.
+    /// Applies the override of a node to its list entry.
     pub fn apply(&self, line: &mut Line) {
         match self.nodes.borrow().get(&line.id) {
-            // Danger: a node under maintenance that a list has as ready would be sent requests.
-            Some(Override { back_ms: None, .. }) if line.state == "ready" => line.state = "draining".into(),
-            // Danger: it was restarted meanwhile and is cold, whether or not the list tells that yet.
-            Some(Override { back_ms: Some(back), out_ms, .. }) if line.started_ms < *out_ms => {
-                line.started_ms = *back;
+            // Danger: a node under maintenance that is listed as ready would receive requests.
+            Some(Override { included_ms: None, .. }) if line.state == "ready" => line.state = "draining".into(),
+            // Danger: the node was restarted during maintenance and is cold; with the start time of a list
+            // that does not show that yet, it would be treated as warm.
+            Some(Override { included_ms: Some(included_ms), excluded_ms, .. })
+                if line.started_ms < *excluded_ms =>
+            {
+                line.started_ms = *included_ms;
             }
             _ => {}
         }
     }
 
-    /// Takes a node out.
-    pub fn take_out(&self, who: &str, now_ms: f64) -> Result<(), Refused> {
-        self.record(Override { who: who.into(), out_ms: now_ms, back_ms: None })
+    /// Excludes a node.
+    pub fn exclude(&self, node: &str, now_ms: f64) -> Result<(), Refused> {
+        self.persist(Override { node: node.into(), excluded_ms: now_ms, included_ms: None })
     }
 
-    /// Puts a node back that is out.
-    pub fn put_back(&self, who: &str, now_ms: f64) -> Result<(), Refused> {
-        let found = self.nodes.borrow().get(who).cloned().ok_or(Refused::Unknown)?;
-        self.record(Override { back_ms: Some(now_ms), ..found })
+    /// Includes an excluded node again.
+    pub fn include(&self, node: &str, now_ms: f64) -> Result<(), Refused> {
+        let found = self.nodes.borrow().get(node).cloned().ok_or(Refused::Unknown)?;
+        self.persist(Override { included_ms: Some(now_ms), ..found })
     }
 
-    /// Records it before it is in force, so that no yes is lost with this process.
-    fn record(&self, said: Override) -> Result<(), Refused> {
-        let who = said.who.clone();
-        if self.nodes.borrow().len() >= OVERRIDES_MOST && !self.knows(&who) {
+    /// Stores an override before it takes effect, so that an acknowledged one is not lost with this process.
+    fn persist(&self, new: Override) -> Result<(), Refused> {
+        let node = new.node.clone();
+        if self.nodes.borrow().len() >= MAX_OVERRIDES && !self.contains(&node) {
             return Err(Refused::NotRecorded);
         }
-        let text = serde_json::to_vec(&said).map_err(|_| Refused::NotRecorded)?;
-        if let Err(error) = self.store.write(&file_of(&who), &text) {
-            say!("{who} not recorded: {error}");
+        let text = serde_json::to_vec(&new).map_err(|_| Refused::NotRecorded)?;
+        if let Err(error) = self.store.write(&file_name(&node), &text) {
+            say!("cannot store the override of node {node}: {error}");
             return Err(Refused::NotRecorded);
         }
-        say!("{who} {} by hand", if said.is_out() { "taken out" } else { "put back" });
-        self.nodes.borrow_mut().insert(who, said);
+        say!("node {node} {} by an operator", if new.is_excluded() { "excluded" } else { "included again" });
+        self.nodes.borrow_mut().insert(node, new);
         Ok(())
     }
 
-    /// Reads what another process has recorded meanwhile; the nodes of which something else is said now.
-    pub fn read_anew(&self, now_ms: f64) -> Vec<String> {
-        let old = |said: &Override| said.back_ms.is_some_and(|back| now_ms - back > FORGOTTEN);
-        let mut found = recorded(&self.store);
-        found.extract_if(.., |_, said| old(said)).for_each(|(who, _)| self.store.remove(&file_of(&who)));
+    /// Reloads the stored overrides, which another process may have changed, and removes expired ones;
+    /// returns the nodes whose override has changed.
+    pub fn reload(&self, now_ms: f64) -> Vec<String> {
+        let is_expired =
+            |entry: &Override| entry.included_ms.is_some_and(|at| now_ms - at > INCLUDED_RETENTION_MS);
+        let mut found = load(&self.store);
+        let expired = found.extract_if(.., |_, entry| is_expired(entry));
+        expired.for_each(|(node, _)| self.store.remove(&file_name(&node)));
         let mut nodes = self.nodes.borrow_mut();
-        let mut both: Vec<String> = found.keys().chain(nodes.keys()).cloned().collect();
-        both.retain(|who| found.get(who) != nodes.get(who));
+        let mut changed: Vec<String> = found.keys().chain(nodes.keys()).cloned().collect();
+        changed.retain(|node| found.get(node) != nodes.get(node));
         *nodes = found;
-        both
+        changed
     }
 }
 
-/// The name of a node's file.
-fn file_of(who: &str) -> String {
-    format!("{MARK}{}", plain(who))
+/// The name of the file that holds the override of a node.
+fn file_name(node: &str) -> String {
+    format!("{FILE_PREFIX}{}", plain(node))
 }
 
-/// What stands in the files.
-fn recorded(store: &Store) -> BTreeMap<String, Override> {
+/// Reads all override files and removes invalid ones.
+fn load(store: &Store) -> BTreeMap<String, Override> {
     let mut nodes = BTreeMap::new();
-    for file in store.names(MARK) {
+    for file in store.names(FILE_PREFIX) {
         let read = store.read(&file).map(|text| serde_json::from_slice::<Override>(&text));
         match read {
-            Some(Ok(said)) if file == file_of(&said.who) => {
-                nodes.insert(said.who.clone(), said);
+            Some(Ok(entry)) if file == file_name(&entry.node) => {
+                nodes.insert(entry.node.clone(), entry);
             }
             Some(_) => {
-                say!("{file} is not understood, counts for nothing and is removed");
+                say!("removing invalid override file {file}");
                 store.remove(&file);
             }
             None => {}
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -1,4 +1,5 @@
-//! The list as it is told to the module and the pool: discovery's word, with the operators' laid over it.
+//! The node list as published to the routing policy and the connection pool: discovery's list with the
+//! operators' overrides applied.
 
 use crate::fleet::kept_list::KeptList;
 use crate::fleet::lease::ListLease;
@@ -18,9 +19,9 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const LOOK: Duration = Duration::from_millis(100); // between looks at what another process of ours was told
+const SYNC_INTERVAL: Duration = Duration::from_millis(100); // of overrides that another process may store
 
-/// The list in hand, and what is laid over it.
+/// The current node list, and the overrides that apply to it.
 pub struct Registry {
     network: Rc<Live<Network>>,
     origin_kind: Option<u32>,
@@ -29,13 +30,13 @@
     store: Store,
     lines: RefCell<BTreeMap<String, Line>>,
     starts: RefCell<Starts>,
-    /// When the list was last confirmed that was told before.
+    /// When the previous list was last confirmed.
     confirmed_at: Cell<Option<Micros>>,
     overrides: Overrides,
     lease: Rc<ListLease>,
-    /// The list is so old that nothing may be sent by it, and the module was told so.
-    lapsed: Cell<bool>,
-    kept: KeptList,
+    /// The lease has lapsed, and the list was published accordingly.
+    is_lapsed: Cell<bool>,
+    list_store: KeptList,
 }
 
 impl Registry {
@@ -45,11 +46,11 @@
         pool: Rc<Pool>,
         dispatcher: Rc<Dispatcher>,
         store: Store,
-        kept: KeptList,
+        list_store: KeptList,
         lease: Rc<ListLease>,
     ) -> Rc<Self> {
         let overrides = Overrides::open(store.clone());
-        let lapsed = Cell::new(!lease.holds());
+        let is_lapsed = Cell::new(!lease.is_valid());
         let confirmed_at = Cell::new(lease.confirmed_at());
         Rc::new(Registry {
             network,
@@ -62,13 +63,13 @@
             confirmed_at,
             overrides,
             lease,
-            lapsed,
-            kept,
+            is_lapsed,
+            list_store,
         })
     }
 
-    /// What discovery told.
-    pub fn take(&self, listing: &Listing, kind: ListKind) {
+    /// Applies a list, or changes to it, and publishes them.
+    pub fn update(&self, listing: &Listing, kind: ListKind) {
         {
             let mut lines = self.lines.borrow_mut();
             if kind != ListKind::Changes {
@@ -83,20 +84,21 @@
         }
         self.learn_starts(listing, kind);
         if kind != ListKind::Kept {
-            self.kept.told(listing.version);
+            self.list_store.mark_changed(listing.version);
         }
-        if self.lapsed.get() && self.lease.holds() {
-            // Danger: told one by one, what did not change would stay closed; told before what changed was taken in, the
-            // module would send to servers that have left.
-            self.lapsed.set(false);
-            say!("the list is up to date again: requests are sent");
-            self.tell_again(&[]);
+        if self.is_lapsed.get() && self.lease.is_valid() {
+            // Danger: if only changes were published, nodes that have not changed would stay closed; if the
+            // whole list were published before the changes were applied, requests would be sent to nodes that
+            // have left.
+            self.is_lapsed.set(false);
+            say!("node list is up to date again; sending requests");
+            self.publish_all(&[]);
         }
-        self.tell(&listing.servers, kind);
+        self.publish(&listing.servers, kind);
     }
 
     fn learn_starts(&self, listing: &Listing, kind: ListKind) {
-        // What a process begins with was confirmed before it is told, so it has no list before it.
+        // The list at process start has no earlier list: its confirmation precedes its publication.
         let since = if kind == ListKind::Kept { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
         for line in &listing.servers {
@@ -106,49 +108,50 @@
         self.confirmed_at.set(self.lease.confirmed_at());
     }
 
-    /// Keeps the module told of whether the list may be acted on.
+    /// Publishes the list anew whenever its lease lapses or becomes valid.
     pub async fn keep_lease(&self) {
         loop {
             self.check_lease();
-            self.lease.changes().await;
+            self.lease.changed().await;
         }
     }
 
-    /// Danger: chosen by a list that has lapsed, every attempt would be stopped at its first byte only.
+    /// Danger: if the policy went on choosing nodes from a lapsed list, every attempt would be stopped only
+    /// by the final check before its first byte.
     fn check_lease(&self) {
-        let lapsed = !self.lease.holds();
-        if self.lapsed.replace(lapsed) == lapsed {
+        let is_lapsed = !self.lease.is_valid();
+        if self.is_lapsed.replace(is_lapsed) == is_lapsed {
             return;
         }
-        if lapsed {
-            self.lease.counts_lapse();
-            let over = self.lease.over_for() as f64 / 1e6;
-            say!("the list could not be renewed in time ({over:.3} s ago): nothing is sent until it is");
+        if is_lapsed {
+            self.lease.count_lapse();
+            let expired = self.lease.expired_for() as f64 / 1e6;
+            say!("lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed");
         } else {
-            say!("discovery could not be reached, so the list stands: requests are sent");
+            say!("discovery is unreachable, so the node list stays valid; sending requests");
         }
-        self.tell_again(&[]);
+        self.publish_all(&[]);
     }
 
-    fn tell(&self, lines: &[Line], kind: ListKind) {
+    fn publish(&self, lines: &[Line], kind: ListKind) {
         if kind != ListKind::Changes {
-            self.pool.forget_missing(|node| lines.iter().any(|line| *line.id == **node));
+            self.pool.retain_listed(|node| lines.iter().any(|line| *line.id == **node));
         }
         let mut entries = Vec::with_capacity(lines.len());
         for line in lines {
-            let line = self.overlaid(line);
+            let line = self.effective_line(line);
             let mut entry = line.entry(&self.network.get());
-            // Danger: one address that is not understood would keep all else on the list from being told.
+            // Danger: one address that can't be parsed would block the publication of all other nodes.
             match line.addr.parse() {
                 Ok(addr) if entry.standing != Standing::Gone => {
                     let ready = entry.standing == Standing::Ready;
-                    self.pool.place(&entry.node, addr, line.started_ms, ready);
+                    self.pool.upsert(&entry.node, addr, line.started_ms, ready);
                 }
-                Ok(_) => self.pool.forget(&entry.node),
+                Ok(_) => self.pool.remove(&entry.node),
                 Err(error) => {
-                    say!("discovery: address {} of {}: {error}", line.addr, line.id);
+                    say!("discovery: invalid address {:?} of node {}: {error}", line.addr, line.id);
                     entry.standing = Standing::Gone;
-                    self.pool.forget(&entry.node);
+                    self.pool.remove(&entry.node);
                 }
             }
             entries.push(entry);
@@ -156,14 +159,15 @@
         self.dispatcher.list(kind, entries);
     }
 
-    /// A line with the operators' word laid over it.
-    fn overlaid(&self, line: &Line) -> Line {
+    /// A list entry with its known start time, the state of the lease and the operators' override applied.
+    fn effective_line(&self, line: &Line) -> Line {
         let mut line = line.clone();
         if let Some(started_at) = self.starts.borrow().started_at(&line.id) {
             line.started_ms = started_at as f64 / 1e3;
         }
-        // Danger: what a list lacks that has lapsed counts as told: any of its servers may have left.
-        if self.lapsed.get() && line.state == "ready" {
+        // Danger: any node of a lapsed list may have left, and that change already counts as known to this
+        // proxy.
+        if self.is_lapsed.get() && line.state == "ready" {
             line.state = "draining".into();
             return line;
         }
@@ -171,50 +175,52 @@
         line
     }
 
-    /// From when a drain counts as told until nothing new may go there.
-    pub fn grace(&self) -> Micros {
+    /// Time from when a drain counts as known until no new request may be sent to the node.
+    pub fn drain_grace(&self) -> Micros {
         self.network.get().drain_grace
     }
 
-    /// The list as it is told now.
+    /// The list as published now.
     pub fn listing(&self) -> Listing {
-        let servers = self.lines.borrow().values().map(|line| self.overlaid(line)).collect();
+        let servers = self.lines.borrow().values().map(|line| self.effective_line(line)).collect();
         Listing { version: 0, full: true, servers }
     }
 
-    /// Tells the whole list anew, since what its names and sizes stand for has changed.
+    /// Publishes the whole list again after the settings that give meaning to its names and sizes have
+    /// changed.
     pub fn retell(&self) {
-        self.tell_again(&[]);
+        self.publish_all(&[]);
     }
 
-    /// Tells the list anew as it stands, since the operators' word has changed.
-    fn tell_again(&self, changed: &[NodeId]) {
+    /// Publishes the whole current list again, and closes idle connections to the `changed` nodes.
+    fn publish_all(&self, changed: &[NodeId]) {
         let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
-        // As one kept: nothing new was heard of discovery.
-        self.tell(&lines, ListKind::Kept);
+        // As a kept list: nothing new came from discovery.
+        self.publish(&lines, ListKind::Kept);
         changed.iter().for_each(|node| self.pool.close_idle(node));
     }
 
-    /// Takes a node out until it is put back; said twice it is as said once.
-    pub fn exclude(&self, who: &str) -> Result<(), Refused> {
-        if self.overrides.is_out(who) {
+    /// Excludes a node until it is included again; idempotent.
+    pub fn exclude(&self, node: &str) -> Result<(), Refused> {
+        if self.overrides.is_excluded(node) {
             return Ok(());
         }
-        if !self.cache(who) {
+        if !self.lists_cache(node) {
             return Err(Refused::Unknown);
         }
-        self.overrides.take_out(who, self.now_ms())?;
-        self.tell_again(&[NodeId::from(who)]);
+        self.overrides.exclude(node, self.now_ms())?;
+        self.publish_all(&[NodeId::from(node)]);
         Ok(())
     }
 
-    /// Puts a node back; one that is not out is as it was.
-    pub fn include(&self, who: &str) -> Result<(), Refused> {
-        if !self.overrides.is_out(who) {
-            return if self.overrides.knows(who) || self.cache(who) { Ok(()) } else { Err(Refused::Unknown) };
+    /// Includes a node again; no effect on a node that is not excluded.
+    pub fn include(&self, node: &str) -> Result<(), Refused> {
+        if !self.overrides.is_excluded(node) {
+            let is_known = self.overrides.contains(node) || self.lists_cache(node);
+            return if is_known { Ok(()) } else { Err(Refused::Unknown) };
         }
-        self.overrides.put_back(who, self.now_ms())?;
-        self.tell_again(&[NodeId::from(who)]);
+        self.overrides.include(node, self.now_ms())?;
+        self.publish_all(&[NodeId::from(node)]);
         Ok(())
     }
 
@@ -222,29 +228,29 @@
         (self.dispatcher.clock.now() / 1_000) as f64
     }
 
-    /// Follows what another process of ours was told, as it serves beside us, and keeps the list for one that
-    /// may come.
+    /// Periodically applies overrides that another running process of this proxy has stored, and stores the
+    /// list for a later process.
     pub async fn follow(&self) {
         loop {
-            sleep(LOOK).await;
+            sleep(SYNC_INTERVAL).await;
             if self.store.keeps() {
-                self.look();
-                self.kept.write(|| self.lines.borrow().values().cloned().collect(), &self.lease);
+                self.sync_overrides();
+                self.list_store.write(|| self.lines.borrow().values().cloned().collect(), &self.lease);
             }
         }
     }
 
-    fn look(&self) {
-        let changed = self.overrides.read_anew(self.now_ms());
+    fn sync_overrides(&self) {
+        let changed = self.overrides.reload(self.now_ms());
         if !changed.is_empty() {
-            let nodes: Vec<NodeId> = changed.iter().map(|who| NodeId::from(&**who)).collect();
-            self.tell_again(&nodes);
+            let nodes: Vec<NodeId> = changed.iter().map(|node| NodeId::from(&**node)).collect();
+            self.publish_all(&nodes);
         }
     }
 
-    /// A cache of the list, whatever it stands as.
-    fn cache(&self, who: &str) -> bool {
-        self.lines.borrow().get(who).is_some_and(|line| self.is_cache(line))
+    /// Whether the list contains a cache with this id, in any state.
+    fn lists_cache(&self, node: &str) -> bool {
+        self.lines.borrow().get(node).is_some_and(|line| self.is_cache(line))
     }
 
     fn is_cache(&self, line: &Line) -> bool {
@@ -252,7 +258,7 @@
         kind.is_none_or(|kind| self.origin_kind != Some(kind as u32))
     }
 
-    /// Caches in the list.
+    /// The number of caches in the list.
     pub fn known(&self) -> usize {
         self.lines.borrow().values().filter(|line| self.is_cache(line)).count()
     }
--- a/crates/flintwell/src/fleet/words.rs
+++ b/crates/flintwell/src/fleet/words.rs
@@ -1,5 +1,6 @@
-//! Words between proxies: the socket, the clock and the figures. Who is there and what each may ask of the origin is
-//! decided by `flintwell-membership`, `flintwell-shared-limits` and the module.
+//! Messages between proxies: the UDP socket, the timing and the status report. Membership, shares of the
+//! origin's capacity and shared probes are decided by `flintwell-membership`, `flintwell-shared-limits`,
+//! `flintwell-shared-probes` and the routing policy.
 
 use crate::process::clock::Clock;
 use crate::process::config::Words as Config;
@@ -21,28 +22,30 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until};
 
-const DATAGRAM: usize = 512; // bytes that are read of one; what is longer than any of ours shows by that
-const AGAIN: Duration = Duration::from_millis(500); // before the address is tried again, which a former process may hold
-const STEP: u64 = 5; // ms between looks at the time at least
+const RECV_BUFFER_BYTES: usize = 512; // more than any valid datagram, so that longer ones are recognised
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(500); // an earlier process may still hold the address
+const MIN_TICK_INTERVAL_MS: u64 = 5;
 
-/// What the second address tells, and `flintwell fleet status` shows.
+/// Status of the fleet as this proxy sees it: served by the management address, and printed by `flintwell
+/// fleet status`.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Fleet {
     pub name: String,
     pub number: u32,
-    /// The others, as far as they were heard of.
+    /// The other proxies that are known.
     pub members: Vec<member::Standing>,
     pub share: share::Standing,
-    /// Caches silent to us, and who tries them.
+    /// Caches that do not answer this proxy, and which proxy probes each.
     #[serde(default)]
     pub silent: Vec<probes::Standing>,
     pub dropped: Dropped,
-    /// Members that were taken as gone since our start.
+    /// Members that were declared gone since this process started.
     pub taken_as_gone: u64,
     pub datagrams_sent: u64,
     pub bytes_sent: u64,
 }
 
+/// Exchange of messages with the other proxies of the fleet.
 pub struct Words {
     name: String,
     addr: SocketAddr,
@@ -53,23 +56,23 @@
     dispatcher: Rc<Dispatcher>,
     counts: Rc<Counts>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    next_round: Cell<u64>,
-    left: Notify,
+    next_round_ms: Cell<u64>,
+    stop: Notify,
 }
 
-/// The wire of one call.
-struct Sends<'a> {
+/// Sends on the socket, and collects received messages until they are handled.
+struct PeerWire<'a> {
     socket: &'a UdpSocket,
-    heard: Vec<(Id, Vec<u8>)>,
+    received: Vec<(Id, Vec<u8>)>,
 }
 
-impl Wire for Sends<'_> {
+impl Wire for PeerWire<'_> {
     fn sends(&mut self, to: SocketAddr, datagram: &[u8]) {
-        // A full buffer loses it, as any path may.
+        // A datagram that does not fit into the send buffer is lost, like one lost on the network.
         let _ = self.socket.try_send_to(datagram, to);
     }
     fn hears(&mut self, from: &Id, word: &[u8]) {
-        self.heard.push((from.clone(), word.to_vec()));
+        self.received.push((from.clone(), word.to_vec()));
     }
 }
 
@@ -93,53 +96,56 @@
             addr: config.listen,
             clock,
             member: RefCell::new(Member::start(now, settings)),
-            next_round: Cell::new(now + share.first_round()),
+            next_round_ms: Cell::new(now + share.first_round()),
             share: RefCell::new(share),
             probes: RefCell::new(Probes::new(number, seed)),
             dispatcher,
             counts,
             socket: RefCell::default(),
-            left: Notify::new(),
+            stop: Notify::new(),
         }
     }
 
-    /// Speaks and hears for as long as we serve.
+    /// Sends and receives until `leave` is called.
     pub async fn speak(&self) {
-        let socket = self.open().await;
-        let mut buffer = [0; DATAGRAM];
-        let mut not_before = 0;
+        let socket = self.bind().await;
+        let mut buffer = [0; RECV_BUFFER_BYTES];
+        let mut next_tick_ms = 0;
         loop {
-            let due = self.member.borrow().due().min(self.next_round.get()).max(not_before);
+            let due = self.member.borrow().due().min(self.next_round_ms.get()).max(next_tick_ms);
             let at = self.clock.instant(due as Micros * 1_000);
-            let mut wire = Sends { socket: &socket, heard: Vec::new() };
+            let mut wire = PeerWire { socket: &socket, received: Vec::new() };
             tokio::select! {
-                came = socket.recv_from(&mut buffer) => {
-                    if let Ok((bytes, _)) = came {
+                received = socket.recv_from(&mut buffer) => {
+                    if let Ok((bytes, _)) = received {
                         self.member.borrow_mut().receives(self.now(), &buffer[..bytes], &mut wire);
                     }
                 }
                 () = sleep_until(at) => {}
-                // Danger: held on to, the address would keep whoever takes our place from speaking.
-                () = self.left.notified() => return,
+                // Danger: if the socket stayed bound, a successor could not bind the address and would send
+                // no messages.
+                () = self.stop.notified() => return,
             }
             let now = self.now();
             if now >= due {
-                not_before = now + STEP;
+                next_tick_ms = now + MIN_TICK_INTERVAL_MS;
                 self.member.borrow_mut().tick(now, &mut wire);
             }
-            if now >= self.next_round.get() {
-                self.next_round.set(now + ROUND);
-                self.round(now, &mut wire);
+            if now >= self.next_round_ms.get() {
+                self.next_round_ms.set(now + ROUND);
+                self.run_round(now, &mut wire);
             }
-            self.answers(now, &mut wire);
+            self.handle_received(now, &mut wire);
         }
     }
 
-    /// Danger: on a hand-over a former process speaks there still; the fleet must not hear two under one number.
-    async fn open(&self) -> Rc<UdpSocket> {
-        // Ours, where this starts again.
+    /// Binds the socket, and retries until the address is free. Danger: during a hand-over the earlier
+    /// process still sends from this address; two processes sending at once would appear to the fleet as two
+    /// members with the same number.
+    async fn bind(&self) -> Rc<UdpSocket> {
+        // The previous socket of this process, if the loop was restarted.
         drop(self.socket.take());
-        let mut told = false;
+        let mut is_logged = false;
         loop {
             match UdpSocket::bind(self.addr).await {
                 Ok(socket) => {
@@ -148,14 +154,14 @@
                     return socket;
                 }
                 Err(error) => {
-                    if !std::mem::replace(&mut told, true) {
-                        let held = error.kind() == io::ErrorKind::AddrInUse;
-                        let why = if held { "held by another process".into() } else { error.to_string() };
-                        say!("words at {}: {why}; tried again", self.addr);
+                    if !std::mem::replace(&mut is_logged, true) {
+                        let in_use = error.kind() == io::ErrorKind::AddrInUse;
+                        let why = if in_use { "in use by another process".into() } else { error.to_string() };
+                        say!("cannot bind {} for messages between proxies, will retry: {why}", self.addr);
                     }
                 }
             }
-            sleep(AGAIN).await;
+            sleep(BIND_RETRY_INTERVAL).await;
         }
     }
 
@@ -163,7 +169,8 @@
         ms(self.clock.now())
     }
 
-    fn round(&self, now: u64, wire: &mut Sends) {
+    /// Announces this proxy's demand and its probes, and applies the hints of others.
+    fn run_round(&self, now: u64, wire: &mut PeerWire) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
         let wanted = self.dispatcher.granted(share.rate(now));
         let (fetches, refused) = (self.counts.fetches.get(), self.counts.refused.get());
@@ -189,8 +196,9 @@
         }
     }
 
-    fn answers(&self, now: u64, wire: &mut Sends) {
-        for (from, bytes) in std::mem::take(&mut wire.heard) {
+    /// Processes received messages, and answers those about shared limits.
+    fn handle_received(&self, now: u64, wire: &mut PeerWire) {
+        for (from, bytes) in std::mem::take(&mut wire.received) {
             if let Some(word) = probes::Word::decode(&bytes) {
                 self.probes.borrow_mut().hears(now, from.number, &word);
                 continue;
@@ -203,15 +211,16 @@
         }
     }
 
-    /// We go: others need not find out.
+    /// Announces that this proxy leaves, so that the others need not detect it, and closes the socket.
     pub fn leave(&self) {
         if let Some(socket) = self.socket.take() {
-            let mut wire = Sends { socket: &socket, heard: Vec::new() };
+            let mut wire = PeerWire { socket: &socket, received: Vec::new() };
             self.member.borrow_mut().leaves(self.now(), &mut wire);
-            self.left.notify_one();
+            self.stop.notify_one();
         }
     }
 
+    /// The current status of the fleet.
     pub fn fleet(&self) -> Fleet {
         let member = self.member.borrow();
         let silent = self.dispatcher.silent();
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -1,9 +1,9 @@
-//! One attempt: a request sent to one node over one connection, and how it ended.
+//! One attempt: a request sent to one node over one connection, and its outcome.
 
 use crate::clients::body::{Budget, LONGEST, Outgoing};
 use crate::clients::decode::ClientRequest;
-use crate::nodes::link::{Broken, Came, Cause, Link, Most, Progress};
-use crate::nodes::permission::{Permission, Sending};
+use crate::nodes::link::{BodyLimits, Broken, Cause, Link, Progress, ReceivedBody};
+use crate::nodes::permission::{PendingSend, Permission};
 use crate::nodes::pool::Pool;
 use crate::nodes::relay::{Content, Relay};
 use crate::process::clock::span;
@@ -20,19 +20,23 @@
 use tokio::time::{sleep, timeout};
 use tower::Service;
 
-const ANSWER: Most = Most { collected: 65_536, long: LONGEST }; // bytes; spoilt ones can be tried elsewhere
-const TURNS: usize = 3; // of the runtime: the socket's, the connection's and our own
+// A response that fails while it is still buffered can be retried on another node.
+const RESPONSE_LIMITS: BodyLimits = BodyLimits { buffered: 65_536, total: LONGEST };
+const FINAL_YIELDS: usize = 3; // turns of the runtime: for the socket, the connection's driver and this task
 
+/// A request for one node.
 pub struct Attempt {
     pub request: Rc<ClientRequest>,
     pub node: NodeId,
+    /// Time limit of the attempt.
     pub allow_for: Micros,
+    /// When the routing policy chose the node.
     pub chosen_at: Instant,
 }
 
 impl Attempt {
-    fn sending(&self) -> Sending {
-        Sending {
+    fn pending_send(&self) -> PendingSend {
+        PendingSend {
             node: self.node.clone(),
             chosen_at: self.chosen_at,
             allow_for: self.allow_for,
@@ -41,25 +45,26 @@
     }
 }
 
-/// A node's whole answer.
+/// The response of a node.
 pub struct Answered {
     pub ending: Ending,
-    /// The first answer on its connection.
+    /// Whether it is the first response on its connection.
     pub first: bool,
     pub body: Content,
 }
 
+/// A tower service that runs attempts.
 #[derive(Clone)]
 pub struct Attempts {
     permission: Permission,
     counts: Rc<Counts>,
-    /// For what is read ahead of long answers.
-    room: Rc<Budget>,
+    /// Memory for reading ahead of long responses.
+    read_ahead_budget: Rc<Budget>,
 }
 
 impl Attempts {
-    pub fn new(permission: Permission, counts: Rc<Counts>, room: Rc<Budget>) -> Self {
-        Attempts { permission, counts, room }
+    pub fn new(permission: Permission, counts: Rc<Counts>, read_ahead_budget: Rc<Budget>) -> Self {
+        Attempts { permission, counts, read_ahead_budget }
     }
 }
 
@@ -73,12 +78,12 @@
     }
 
     fn call(&mut self, attempt: Attempt) -> Self::Future {
-        let Attempts { permission, counts, room } = self.clone();
+        let Attempts { permission, counts, read_ahead_budget } = self.clone();
         Box::pin(async move {
-            let progress = Progress::counted(&counts.attempts);
-            let mut exchange = pin!(send(&permission, &attempt, &progress, &room));
+            let progress = Progress::with_count(&counts.attempts);
+            let mut exchange = pin!(send(&permission, &attempt, &progress, &read_ahead_budget));
             if let Some(end) = attempt.request.body.passing() {
-                // Its time counts from its last byte.
+                // For a body that is streamed from the client, the time limit starts at its last byte.
                 tokio::select! {
                     ended = exchange.as_mut() => return ended,
                     () = end.whole.notified() => {}
@@ -88,17 +93,17 @@
             if let Ok(ended) = timeout(span(attempt.allow_for), exchange.as_mut()).await {
                 return ended;
             }
-            // Danger: an answer that its node has begun, and may give for long, would be cut off.
-            if progress.hurry() {
+            // Danger: a response that the node has begun and may stream for a long time would be cut off.
+            if progress.release_held() {
                 return exchange.await;
             }
-            // Danger: after a stall of ours the time is up before the answer that has come is read. So the
-            // connection gets a turn, and its reader one.
-            for _ in 0..TURNS {
+            // Danger: after a stall of this process the time-out fires before a response that has already
+            // arrived is read. So the connection's driver and its reader each get a turn first.
+            for _ in 0..FINAL_YIELDS {
                 tokio::task::yield_now().await;
             }
-            // Past its time the exchange is dropped, and its connection closed with it.
-            exchange.now_or_never().unwrap_or_else(|| Err(progress.broken(Cause::TimedOut)))
+            // On a time-out the exchange is dropped, which closes its connection.
+            exchange.now_or_never().unwrap_or_else(|| Err(progress.error(Cause::TimedOut)))
         })
     }
 }
@@ -107,37 +112,37 @@
     permission: &Permission,
     attempt: &Attempt,
     progress: &Progress,
-    room: &Rc<Budget>,
+    read_ahead_budget: &Rc<Budget>,
 ) -> Result<Answered, Broken> {
     let pool = &permission.pool;
-    let mut link = open(pool, &attempt.node).await?;
-    // Whatever came between it and the choice: a dial, a full room, a standstill of ours.
-    let sending = attempt.sending();
-    permission.now(&sending)?;
-    let (permitted_at, checks) = (Instant::now(), permission.clone());
-    progress.checks(move || checks.check_sent(&sending, permitted_at));
-    let (idle, first) = (link.idle_since.elapsed(), link.unused());
-    let body = attempt.request.body.hand_out().ok_or(Broken::unwritten(Cause::Spent))?;
-    let reply = link.exchange(message(attempt, body), ANSWER, progress).await;
-    pool.used_after(idle, reply.as_ref().is_err_and(|broken| broken.ending() == Ending::Reset));
+    let mut link = acquire_connection(pool, &attempt.node).await?;
+    // Time has passed since the node was chosen: a dial, a wait for a permit, a stall of this process.
+    let pending = attempt.pending_send();
+    permission.check(&pending)?;
+    let (permitted_at, checker) = (Instant::now(), permission.clone());
+    progress.set_on_first_write(move || checker.check_sent(&pending, permitted_at));
+    let (idle, first) = (link.idle_since.elapsed(), link.is_unused());
+    let body = attempt.request.body.hand_out().ok_or(Broken::before_write(Cause::BodyConsumed))?;
+    let reply = link.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
+    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == Ending::Reset));
     let reply = reply?;
     let ending = ending(reply.status, &reply.headers);
     let body = match reply.body {
-        Came::Whole(body) => {
-            pool.give_back(&attempt.node, link);
+        ReceivedBody::Whole(body) => {
+            pool.release(&attempt.node, link);
             body.into()
         }
-        Came::Long(begun, rest, left) => {
+        ReceivedBody::Partial(begun, rest, left) => {
             let (node, pool) = (attempt.node.clone(), pool.clone());
-            Content::Long(Box::new(Relay::new(begun, rest, left, node, pool, link, room)))
+            Content::Long(Box::new(Relay::new(begun, rest, left, node, pool, link, read_ahead_budget)))
         }
     };
     Ok(Answered { ending, first, body })
 }
 
-/// An idle connection that still takes an exchange, or a new one.
-async fn open(pool: &Pool, node: &NodeId) -> Result<Link, Broken> {
-    while let Some(link) = pool.idle(node) {
+/// An idle connection that can take another exchange, or a new one.
+async fn acquire_connection(pool: &Pool, node: &NodeId) -> Result<Link, Broken> {
+    while let Some(link) = pool.take_idle(node) {
         if let Some(link) = link.ready().await {
             return Ok(link);
         }
@@ -156,9 +161,9 @@
     if let Some(mark) = &request.repeat_mark {
         headers.insert("idempotency-key", mark.clone());
     }
-    let wait = format!("{:.6}", attempt.allow_for as f64 / 1e6);
-    if let Ok(wait) = HeaderValue::from_str(&wait) {
-        headers.insert("x-deadline", wait);
+    let deadline = format!("{:.6}", attempt.allow_for as f64 / 1e6);
+    if let Ok(deadline) = HeaderValue::from_str(&deadline) {
+        headers.insert("x-deadline", deadline);
     }
     message
 }
--- a/crates/flintwell/src/nodes/carry.rs
+++ b/crates/flintwell/src/nodes/carry.rs
@@ -1,4 +1,5 @@
-//! The rest of a long answer, from its node to its client byte by byte, whichever process has them now.
+//! Forwards the remainder of a long response from its node to its client. The sockets may have been handed
+//! over by an earlier process.
 
 use crate::clients::framing::Coding;
 use crate::process::clock::PEER_STALL;
@@ -11,85 +12,88 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const PIECE: usize = 32_768; // bytes read at once; some dozens of such answers share our memory
+const CHUNK_BYTES: usize = 32_768; // read at once; several dozen such responses share the process's memory
 
-/// A connection to a node, and how what it still brings comes.
+/// The socket to a node, and the framing of the bytes that it still sends.
 pub type Rest = (Rc<TcpStream>, Coding);
 
-/// A long answer cut off between two bytes.
+/// A long response that was interrupted between two bytes.
 pub struct Carry {
+    /// The client's socket.
     pub client: Rc<TcpStream>,
-    /// Framed for the client, and not written to it yet.
+    /// Bytes framed for the client that are not written to it yet.
     pub unwritten: Vec<u8>,
-    /// What has come behind that, as it is, and its length.
+    /// The unframed bytes that follow, in a file, and their number.
     pub kept: Option<(File, u64)>,
-    /// The node and what it still gives; none where that has all come.
+    /// The source of the remaining bytes; none if all were received.
     pub rest: Option<Rest>,
-    /// The client gets it in chunks, and its end if that is not among what is not written.
+    /// Whether the client receives it in chunked encoding.
     pub chunked: bool,
+    /// Whether the final chunk is not among the unwritten bytes and has yet to be sent.
     pub open: bool,
-    /// Bytes that may still come.
+    /// Maximum number of bytes that the node may still send.
     pub left: u64,
 }
 
 impl Carry {
-    /// Passes on what is left; whether that was all.
+    /// Forwards the remainder to the client; returns whether the response was completed.
     pub async fn pass_on(mut self) -> bool {
-        let whole = self.passes().await.is_ok();
-        // Danger: a client must not take a part for the whole, so its framing stays open then. What fails here is
-        // a client that has left.
+        let whole = self.forward().await.is_ok();
+        // Danger: a client could take a truncated response for a complete one; so after a failure its framing
+        // is left without an end. An error here means that the client has disconnected.
         let _ = SockRef::from(&*self.client).shutdown(Shutdown::Write);
         whole
     }
 
-    async fn passes(&mut self) -> io::Result<()> {
-        let mut piece = vec![0; PIECE];
-        self.write().await?;
+    async fn forward(&mut self) -> io::Result<()> {
+        let mut chunk = vec![0; CHUNK_BYTES];
+        self.flush_unwritten().await?;
         if let Some((mut file, mut left)) = self.kept.take() {
             while left > 0 {
-                // Kept in memory, whatever the system makes of it; reading it does not wait.
-                let bytes = file.read(&mut piece)?;
+                // The file was just written and is in the page cache, so a blocking read does not stall the
+                // runtime.
+                let bytes = file.read(&mut chunk)?;
                 left = left
                     .checked_sub(bytes as u64)
                     .filter(|_| bytes > 0)
                     .ok_or(io::ErrorKind::UnexpectedEof)?;
-                frame(&mut self.unwritten, self.chunked, &piece[..bytes]);
-                self.write().await?;
+                append_framed(&mut self.unwritten, self.chunked, &chunk[..bytes]);
+                self.flush_unwritten().await?;
             }
         }
         if let Some((node, coding)) = self.rest.take() {
-            self.passes_node(&node, coding, &mut piece).await?;
+            self.forward_from_node(&node, coding, &mut chunk).await?;
         }
         self.unwritten.extend_from_slice(if self.chunked && self.open { b"0\r\n\r\n" } else { b"" });
-        self.write().await
+        self.flush_unwritten().await
     }
 
-    async fn passes_node(
+    async fn forward_from_node(
         &mut self,
         node: &TcpStream,
         mut coding: Coding,
-        piece: &mut [u8],
+        chunk: &mut [u8],
     ) -> io::Result<()> {
         while !coding.ended() {
-            let read = node.async_io(Interest::READABLE, || node.try_read(piece));
+            let read = node.async_io(Interest::READABLE, || node.try_read(chunk));
             let bytes = timeout(PEER_STALL, read).await.map_err(|_| io::ErrorKind::TimedOut)??;
             if bytes == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            let (out, chunked, mut came) = (&mut self.unwritten, self.chunked, 0);
-            let well = coding.read(&piece[..bytes], |data| {
-                came += data.len() as u64;
-                frame(out, chunked, data);
+            let (out, chunked, mut received) = (&mut self.unwritten, self.chunked, 0);
+            let is_valid = coding.read(&chunk[..bytes], |data| {
+                received += data.len() as u64;
+                append_framed(out, chunked, data);
             });
-            // Danger: an answer without end would be passed on for as long as its client reads.
-            let left = self.left.checked_sub(came).filter(|_| well);
+            // Danger: an endless response would be forwarded for as long as its client reads.
+            let left = self.left.checked_sub(received).filter(|_| is_valid);
             self.left = left.ok_or(io::ErrorKind::InvalidData)?;
-            self.write().await?;
+            self.flush_unwritten().await?;
         }
         Ok(())
     }
 
-    async fn write(&mut self) -> io::Result<()> {
+    async fn flush_unwritten(&mut self) -> io::Result<()> {
         let mut written = 0;
         while written < self.unwritten.len() {
             let unwritten = &self.unwritten[written..];
@@ -101,7 +105,8 @@
     }
 }
 
-fn frame(out: &mut Vec<u8>, chunked: bool, data: &[u8]) {
+/// Appends `data` to `out`, as a chunk if the client receives chunked encoding.
+fn append_framed(out: &mut Vec<u8>, chunked: bool, data: &[u8]) {
     if chunked {
         out.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
     }
--- a/crates/flintwell/src/nodes/link.rs
+++ b/crates/flintwell/src/nodes/link.rs
@@ -1,4 +1,5 @@
-//! One connection to a cache node, the origin or discovery: an exchange at a time, nothing sent again.
+//! One HTTP/1.1 connection to a cache node, the origin or discovery: one exchange at a time, nothing is
+//! retried here.
 
 use crate::clients::body::Outgoing;
 use crate::clients::framing::{Answers, Coding};
@@ -30,44 +31,46 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-const BUFFER: usize = 32_768; // bytes a connection reads ahead at most; some hundreds share our memory
-const HOLD: Duration = Duration::from_millis(100); // from a head, for an answer of no told length to be whole
-const SHORT: u64 = 65_536; // bytes of a body; what is longer is surely not written with its head
+const MAX_READ_BUFFER_BYTES: usize = 32_768; // for each of several hundred connections
+const UNKNOWN_LENGTH_HOLD: Duration = Duration::from_millis(100); // for a response of unknown length to end
+const MAX_SHORT_BODY_BYTES: u64 = 65_536; // a longer body is never written together with its head
 
-/// How far an exchange had come when it broke.
+/// How far an exchange had come when it failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// No connection, or nothing of this exchange written to it: it never ran.
+    /// No connection, or no byte of this exchange written to it: the node has not run the request.
     #[default]
     Unwritten,
-    /// Written whole, or a short one in part; in doubt it may have run.
+    /// A long request written whole, or a short one at least in part: the node may have run it.
     Written,
 }
 
+/// Why an exchange failed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Cause {
     TimedOut,
     Closed(String),
-    Garbage(String),
-    /// The node was taken off the list, or began to drain, while its connection came up.
+    /// The peer's response was malformed or not acceptable.
+    InvalidResponse(String),
+    /// The node was removed from the list, or began to drain, while the connection was being established.
     Unlisted,
-    /// We have no descriptor left for a connection.
-    NoRoom,
-    /// An earlier attempt took the body, which is not kept.
-    Spent,
-    /// The client has left.
+    /// No file descriptor is available for a new connection.
+    NoDescriptor,
+    /// An earlier attempt consumed the body, which is not buffered.
+    BodyConsumed,
+    /// The client has disconnected.
     Left,
-    /// It was decided on too long ago.
+    /// The attempt was chosen too long ago.
     Stale,
-    /// The list is so old that what it lacks counts as told.
+    /// The lease on the node list has lapsed.
     Lapsed,
-    /// The other machine, or the way to it, did not take the connection.
+    /// The remote host or the network path did not accept the connection.
     Unreachable(String),
-    /// Our own system had no socket, port, route or memory for a connection.
+    /// The local system had no socket, port, route or memory for a connection.
     LocalFault(String),
 }
 
-/// An exchange that broke.
+/// A failed exchange.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Broken {
     pub stage: Stage,
@@ -75,31 +78,34 @@
 }
 
 impl Broken {
-    pub fn unwritten(cause: Cause) -> Self {
+    /// A failure before any byte of the request was written.
+    pub fn before_write(cause: Cause) -> Self {
         Broken { stage: Stage::Unwritten, cause }
     }
+
+    /// The outcome that is reported for the attempt.
     pub fn ending(&self) -> Ending {
         match (self.stage, &self.cause) {
             (
                 Stage::Unwritten,
                 Cause::Unlisted
-                | Cause::NoRoom
-                | Cause::Spent
+                | Cause::NoDescriptor
+                | Cause::BodyConsumed
                 | Cause::Left
                 | Cause::Stale
                 | Cause::Lapsed
-                // Danger: a fault of our own would be held against a node that is well.
+                // Danger: a local fault reported as a failed connection would count against a healthy node.
                 | Cause::LocalFault(_),
             ) => Ending::NotSent,
             (Stage::Unwritten, _) => Ending::ConnectFailed,
             (_, Cause::TimedOut) => Ending::TimedOut,
-            (_, Cause::Garbage(_)) => Ending::Spoilt,
+            (_, Cause::InvalidResponse(_)) => Ending::Spoilt,
             (
                 _,
                 Cause::Closed(_)
                 | Cause::Unlisted
-                | Cause::NoRoom
-                | Cause::Spent
+                | Cause::NoDescriptor
+                | Cause::BodyConsumed
                 | Cause::Left
                 | Cause::Stale
                 | Cause::Lapsed
@@ -113,64 +119,65 @@
 impl fmt::Display for Broken {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let stage = match self.stage {
-            Stage::Unwritten => "before anything was written",
-            Stage::Written => "after it was written",
+            Stage::Unwritten => "before the request was written",
+            Stage::Written => "after the request was written",
         };
         match &self.cause {
             Cause::TimedOut => write!(f, "timed out {stage}"),
-            Cause::Closed(why) => write!(f, "connection broke {stage}: {why}"),
-            Cause::Garbage(why) => write!(f, "not understood: {why}"),
-            Cause::Unlisted => write!(f, "no longer listed as ready"),
-            Cause::NoRoom => write!(f, "no descriptor left"),
-            Cause::Spent => write!(f, "its body is gone"),
-            Cause::Left => write!(f, "its client has left"),
-            Cause::Stale => write!(f, "decided on too long ago"),
-            Cause::Lapsed => write!(f, "the list has grown too old"),
-            Cause::Unreachable(why) => write!(f, "no connection: {why}"),
-            Cause::LocalFault(why) => write!(f, "no connection, for a fault of our own system: {why}"),
+            Cause::Closed(why) => write!(f, "connection lost {stage}: {why}"),
+            Cause::InvalidResponse(why) => write!(f, "invalid response: {why}"),
+            Cause::Unlisted => write!(f, "node is no longer listed as ready"),
+            Cause::NoDescriptor => write!(f, "no file descriptor available for a connection"),
+            Cause::BodyConsumed => write!(f, "request body was consumed by an earlier attempt"),
+            Cause::Left => write!(f, "client has disconnected"),
+            Cause::Stale => write!(f, "attempt was chosen too long ago"),
+            Cause::Lapsed => write!(f, "lease on the node list has lapsed"),
+            Cause::Unreachable(why) => write!(f, "cannot connect: {why}"),
+            Cause::LocalFault(why) => write!(f, "cannot connect because of a local fault: {why}"),
         }
     }
 }
 
-/// Counts what is written, so that an exchange is known never to have begun; the link sees the same stream.
-struct Counted {
+/// A stream that counts the bytes written, which tells whether an exchange has begun, and tracks the framing
+/// of what is read.
+struct MeteredStream {
     stream: Shared,
-    written: Rc<Cell<u64>>,
-    message: Rc<Message>,
+    bytes_written: Rc<Cell<u64>>,
+    message: Rc<OutgoingMessage>,
     answers: Rc<RefCell<Answers>>,
 }
 
-/// The message that an exchange writes.
+/// Write progress of the request of the current exchange.
 #[derive(Default)]
-struct Message {
-    /// Its last byte is in the connection's hands.
-    ended: Cell<bool>,
-    /// And written, with all before it.
-    written: Cell<bool>,
-    /// Grows by one once that is written.
-    whole: Cell<Option<Count>>,
-    /// Called once its first bytes are written.
-    begins: Cell<Option<Box<dyn FnOnce()>>>,
+struct OutgoingMessage {
+    /// The last byte of the body was handed to the HTTP connection.
+    is_body_done: Cell<bool>,
+    /// The last byte was written to the socket.
+    is_written: Cell<bool>,
+    /// Incremented once the message is written whole.
+    written_count: Cell<Option<Count>>,
+    /// Called once the first bytes are written.
+    on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
 }
 
-/// A message's body, which marks its end.
-struct Marked {
+/// A request body that records when its last byte was handed out.
+struct TrackedBody {
     body: Outgoing,
-    message: Rc<Message>,
+    message: Rc<OutgoingMessage>,
 }
 
-impl Body for Marked {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
-        self.message.ended.set(matches!(polled, Poll::Ready(None)) || self.body.is_end_stream());
+        self.message.is_body_done.set(matches!(polled, Poll::Ready(None)) || self.body.is_end_stream());
         polled
     }
     fn is_end_stream(&self) -> bool {
         let ended = self.body.is_end_stream();
-        self.message.ended.set(ended);
+        self.message.is_body_done.set(ended);
         ended
     }
     fn size_hint(&self) -> SizeHint {
@@ -178,7 +185,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -194,21 +201,21 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for MeteredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(bytes)) = wrote {
-            self.written.set(self.written.get() + bytes as u64);
-            if let Some(check) = self.message.begins.take() {
-                check();
+            self.bytes_written.set(self.bytes_written.get() + bytes as u64);
+            if let Some(on_first_write) = self.message.on_first_write.take() {
+                on_first_write();
             }
         }
         wrote
     }
-    /// Called once all that was to be written so far is.
+    /// Called by hyper once everything that was queued so far is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.message.ended.get() && !self.message.written.replace(true) {
-            self.message.whole.take().inspect(|count| one_more(count));
+        if self.message.is_body_done.get() && !self.message.is_written.replace(true) {
+            self.message.written_count.take().inspect(|count| one_more(count));
         }
         Poll::Ready(Ok(()))
     }
@@ -217,102 +224,115 @@
     }
 }
 
-/// An exchange's mark on its connection: how far it has come, told also once the exchange was dropped.
+/// How far an exchange has come on its connection; still readable after the exchange was dropped.
 #[derive(Default)]
 pub struct Progress {
-    mark: Cell<Option<(Rc<Cell<u64>>, u64)>>,
-    /// Of a long one, which its node does not begin before its last byte.
-    long: Cell<Option<Rc<Message>>>,
-    /// Grows by one once its message is written whole.
-    whole: Option<Count>,
-    /// Called once its first bytes are written.
-    begins: Cell<Option<Box<dyn FnOnce()>>>,
-    /// An answer of no told length has begun, and is held for a moment.
-    held: Cell<bool>,
-    /// Ends that moment.
-    hurry: Notify,
+    /// The connection's counter of written bytes, and its value when the exchange began.
+    baseline: Cell<Option<(Rc<Cell<u64>>, u64)>>,
+    /// Set for a long message, which the node does not process before its last byte.
+    long_message: Cell<Option<Rc<OutgoingMessage>>>,
+    /// Incremented once the message is written whole.
+    written_count: Option<Count>,
+    /// Called once the first bytes are written.
+    on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
+    /// A response of unknown length has begun and is held back to see whether it is short.
+    is_held: Cell<bool>,
+    /// Ends that hold.
+    release: Notify,
 }
 
 impl Progress {
-    /// Lets an answer that is held go; true if there is one.
-    pub fn hurry(&self) -> bool {
-        self.hurry.notify_one();
-        self.held.get()
+    /// Releases a held response; true if there is one.
+    pub fn release_held(&self) -> bool {
+        self.release.notify_one();
+        self.is_held.get()
     }
-    pub fn counted(whole: &Count) -> Self {
-        Progress { whole: Some(whole.clone()), ..Progress::default() }
+
+    /// Progress that increments `written_count` once the message is written whole.
+    pub fn with_count(written_count: &Count) -> Self {
+        Progress { written_count: Some(written_count.clone()), ..Progress::default() }
     }
-    /// Has this called once the first bytes of the message are written.
-    pub fn checks(&self, check: impl FnOnce() + 'static) {
-        self.begins.set(Some(Box::new(check)));
+
+    /// Sets a callback for when the first bytes of the message are written.
+    pub fn set_on_first_write(&self, callback: impl FnOnce() + 'static) {
+        self.on_first_write.set(Some(Box::new(callback)));
     }
+
     fn stage(&self) -> Stage {
-        let mark = self.mark.take();
-        let begun = mark.as_ref().is_some_and(|(written, before)| written.get() > *before);
-        self.mark.set(mark);
-        let long = self.long.take();
-        let begun = begun && long.as_ref().is_none_or(|message| message.written.get());
-        self.long.set(long);
+        let baseline = self.baseline.take();
+        let begun = baseline.as_ref().is_some_and(|(written, before)| written.get() > *before);
+        self.baseline.set(baseline);
+        let long_message = self.long_message.take();
+        let begun = begun && long_message.as_ref().is_none_or(|message| message.is_written.get());
+        self.long_message.set(long_message);
         if begun { Stage::Written } else { Stage::Unwritten }
     }
-    pub fn broken(&self, cause: Cause) -> Broken {
+
+    /// A failure of the exchange at its current stage.
+    pub fn error(&self, cause: Cause) -> Broken {
         Broken { stage: self.stage(), cause }
     }
 }
 
+/// The response to an exchange.
 pub struct Reply {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    pub body: Came,
+    pub body: ReceivedBody,
 }
 
-/// The body of an answer, as far as it was waited for.
-pub enum Came {
+/// The body of a response, as far as it was waited for.
+pub enum ReceivedBody {
     Whole(Bytes),
-    /// What has come of a long one, the rest, and how many bytes may still come.
-    Long(Bytes, Incoming, u64),
+    /// The beginning of a long body, the stream of the rest, and the maximum number of bytes that may still
+    /// come.
+    Partial(Bytes, Incoming, u64),
 }
 
 /// An open connection; dropping it closes it.
 pub struct Link {
-    sender: SendRequest<Marked>,
-    /// The driver's. Danger: a share in it would hold the descriptor of a closed connection whose room is
-    /// given back already.
+    sender: SendRequest<TrackedBody>,
+    /// Owned by the driver task. Danger: a strong reference would keep the descriptor of a closed connection
+    /// open after its permit was returned, so that the process holds more descriptors than permits.
     stream: Weak<TcpStream>,
-    written: Rc<Cell<u64>>,
-    message: Rc<Message>,
+    bytes_written: Rc<Cell<u64>>,
+    message: Rc<OutgoingMessage>,
     answers: Rc<RefCell<Answers>>,
     driver: AbortHandle,
     pub idle_since: Instant,
 }
 
 impl Link {
-    /// Opens a connection; `permit` is given back when its socket is closed.
+    /// Opens a connection; `permit` is returned when its socket is closed.
     pub async fn dial(addr: SocketAddr, permit: Option<OwnedSemaphorePermit>) -> Result<Self, Broken> {
-        let closed = |error: &dyn fmt::Display| Broken::unwritten(Cause::Closed(error.to_string()));
-        let stream = TcpStream::connect(addr).await.map_err(|e| Broken::unwritten(not_connected(&e)))?;
+        let closed = |error: &dyn fmt::Display| Broken::before_write(Cause::Closed(error.to_string()));
+        let stream =
+            TcpStream::connect(addr).await.map_err(|e| Broken::before_write(connect_failure_cause(&e)))?;
         stream.set_nodelay(true).map_err(|e| closed(&e))?;
-        let (stream, written) = (Rc::new(stream), Rc::new(Cell::new(0)));
-        let shared = Rc::downgrade(&stream);
-        let message = Rc::<Message>::default();
+        let (stream, bytes_written) = (Rc::new(stream), Rc::new(Cell::new(0)));
+        let weak_stream = Rc::downgrade(&stream);
+        let message = Rc::<OutgoingMessage>::default();
         let answers = Rc::<RefCell<Answers>>::default();
-        let (stream, written_too) = (Shared(stream), written.clone());
-        let counted =
-            Counted { stream, written: written_too, message: message.clone(), answers: answers.clone() };
+        let metered = MeteredStream {
+            stream: Shared(stream),
+            bytes_written: bytes_written.clone(),
+            message: message.clone(),
+            answers: answers.clone(),
+        };
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER)
-            .handshake(TokioIo::new(counted))
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
+            .handshake(TokioIo::new(metered))
             .await
             .map_err(|e| closed(&e))?;
         let driver = tokio::task::spawn_local(async move {
-            // How an exchange ended is told to the one who waits for it.
+            // The result of an exchange is reported to the caller that waits for it.
             let _ = connection.await;
             drop(permit);
         });
         Ok(Link {
             sender,
-            stream: shared,
-            written,
+            stream: weak_stream,
+            bytes_written,
             message,
             answers,
             driver: driver.abort_handle(),
@@ -320,118 +340,129 @@
         })
     }
 
-    /// Itself, if another exchange can go out on it.
+    /// Waits until the previous exchange is over; returns the connection if it can take another one.
     pub async fn ready(mut self) -> Option<Self> {
         self.sender.ready().await.ok()?;
-        // Danger: what a node has sent behind its last answer would be read as the answer to the next request;
-        // and one that has closed its end takes nothing more.
-        let waiting = SockRef::from(&*self.stream.upgrade()?).peek(&mut [MaybeUninit::uninit()]);
-        waiting.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock).then_some(self)
+        // Danger: bytes that a node sent after its last response would be read as the response to the next
+        // request; and a connection closed by the node accepts no further request.
+        let peeked = SockRef::from(&*self.stream.upgrade()?).peek(&mut [MaybeUninit::uninit()]);
+        peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock).then_some(self)
     }
 
-    /// Nothing was ever sent on it.
-    pub fn unused(&self) -> bool {
-        self.written.get() == 0
+    /// Whether nothing was ever sent on it.
+    pub fn is_unused(&self) -> bool {
+        self.bytes_written.get() == 0
     }
 
-    pub fn closed(&self) -> bool {
+    /// Whether the connection no longer accepts requests.
+    pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// From now on nothing more is read from it.
+    /// Stops reading from the connection.
     pub fn halt(&self) {
         self.answers.borrow_mut().halted = true;
     }
 
-    pub fn halted(&self) -> bool {
+    /// Whether reading was stopped.
+    pub fn is_halted(&self) -> bool {
         self.answers.borrow().halted
     }
 
-    /// How many bytes of the answer's body were read, and how the rest of it comes, if that is known.
-    pub fn came(&self) -> Option<(u64, Coding)> {
+    /// The number of bytes read of the response's body and the framing of the rest, if that is known.
+    pub fn body_progress(&self) -> Option<(u64, Coding)> {
         let answers = self.answers.borrow();
         answers.coding.map(|coding| (answers.body, coding))
     }
 
-    /// When the first byte of the answer that was read last was read.
-    pub fn answer_begun(&self) -> Option<Instant> {
+    /// When the first byte of the most recent response was read.
+    pub fn first_byte_at(&self) -> Option<Instant> {
         self.answers.borrow().begun_at
     }
 
-    /// The socket, for one who takes over what it still brings.
-    pub fn stream(&self) -> Option<Rc<TcpStream>> {
+    /// The socket, for a process that takes over the rest of the response.
+    pub fn socket(&self) -> Option<Rc<TcpStream>> {
         self.stream.upgrade()
     }
 
-    /// Sends and waits for the whole answer, or for as much of a long one as shows that it is.
+    /// Sends the request and waits for the whole response, or for as much of a long one as shows that it is
+    /// long.
     pub async fn exchange(
         &mut self,
         request: Request<Outgoing>,
-        most: Most,
+        limits: BodyLimits,
         progress: &Progress,
     ) -> Result<Reply, Broken> {
-        progress.mark.set(Some((self.written.clone(), self.written.get())));
+        progress.baseline.set(Some((self.bytes_written.clone(), self.bytes_written.get())));
         self.answers.replace(Answers::default());
-        self.message.ended.set(false);
-        self.message.written.set(false);
-        let long = request.body().size_hint().exact().is_none_or(|length| length > SHORT);
-        progress.long.set(long.then(|| self.message.clone()));
-        self.message.whole.set(progress.whole.clone());
-        self.message.begins.set(progress.begins.take());
-        let request = request.map(|body| Marked { body, message: self.message.clone() });
-        let broken = |error: hyper::Error| progress.broken(cause(&error));
-        let (head, body) = self.sender.send_request(request).await.map_err(broken)?.into_parts();
-        let body =
-            receive(body, most, progress).await.map_err(|cause| Broken { stage: Stage::Written, cause })?;
+        self.message.is_body_done.set(false);
+        self.message.is_written.set(false);
+        let is_long = request.body().size_hint().exact().is_none_or(|length| length > MAX_SHORT_BODY_BYTES);
+        progress.long_message.set(is_long.then(|| self.message.clone()));
+        self.message.written_count.set(progress.written_count.clone());
+        self.message.on_first_write.set(progress.on_first_write.take());
+        let request = request.map(|body| TrackedBody { body, message: self.message.clone() });
+        let failed = |error: hyper::Error| progress.error(exchange_failure_cause(&error));
+        let (head, body) = self.sender.send_request(request).await.map_err(failed)?.into_parts();
+        let body = receive_body(body, limits, progress)
+            .await
+            .map_err(|cause| Broken { stage: Stage::Written, cause })?;
         self.idle_since = Instant::now();
         Ok(Reply { status: head.status, headers: head.headers, body })
     }
 }
 
-/// Bytes of an answer that are collected, and of one that is passed on as it comes.
+/// Size limits of a response body.
 #[derive(Clone, Copy)]
-pub struct Most {
-    pub collected: u64,
-    pub long: u64,
+pub struct BodyLimits {
+    /// Up to this many bytes are collected before the body is passed on.
+    pub buffered: u64,
+    /// Longer bodies are rejected.
+    pub total: u64,
 }
 
-async fn receive(mut body: Incoming, most: Most, progress: &Progress) -> Result<Came, Cause> {
-    let told = body.size_hint().exact();
-    let too_long = || Err(Cause::Garbage(format!("a body over {} bytes", most.long)));
-    if told.is_some_and(|told| told > most.long) {
+async fn receive_body(
+    mut body: Incoming,
+    limits: BodyLimits,
+    progress: &Progress,
+) -> Result<ReceivedBody, Cause> {
+    let known_length = body.size_hint().exact();
+    let too_long = || Err(Cause::InvalidResponse(format!("body longer than {} bytes", limits.total)));
+    if known_length.is_some_and(|length| length > limits.total) {
         return too_long();
     }
-    let (mut begun, expected) = (BytesMut::new(), told.unwrap_or(0));
-    let passes_on = most.long > most.collected;
-    // Danger: one of no told length may be long and come slowly, and its time would be over before it shows.
-    progress.held.set(told.is_none() && passes_on);
+    let (mut buffer, expected) = (BytesMut::new(), known_length.unwrap_or(0));
+    let may_stream = limits.total > limits.buffered;
+    // Danger: a response of unknown length may be long and slow, and the attempt would time out before that
+    // shows.
+    progress.is_held.set(known_length.is_none() && may_stream);
     let mut hold = pin!(async {
-        match progress.held.get() {
-            true => drop(timeout(HOLD, progress.hurry.notified()).await),
+        match progress.is_held.get() {
+            true => drop(timeout(UNKNOWN_LENGTH_HOLD, progress.release.notified()).await),
             false => pending().await,
         }
     });
-    while expected <= most.collected && begun.len() as u64 <= most.collected {
+    while expected <= limits.buffered && buffer.len() as u64 <= limits.buffered {
         let frame = tokio::select! {
             biased;
             frame = body.frame() => frame,
             () = hold.as_mut() => break,
         };
-        let Some(frame) = frame else { return Ok(Came::Whole(begun.freeze())) };
-        let Ok(data) = frame.map_err(|error| cause(&error))?.into_data() else { continue };
-        if begun.is_empty() && data.len() as u64 == expected && body.is_end_stream() {
-            return Ok(Came::Whole(data));
+        let Some(frame) = frame else { return Ok(ReceivedBody::Whole(buffer.freeze())) };
+        let Ok(data) = frame.map_err(|error| exchange_failure_cause(&error))?.into_data() else { continue };
+        if buffer.is_empty() && data.len() as u64 == expected && body.is_end_stream() {
+            return Ok(ReceivedBody::Whole(data));
         }
-        begun.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    match most.long.checked_sub(begun.len() as u64) {
-        Some(left) if passes_on => Ok(Came::Long(begun.freeze(), body, left)),
+    match limits.total.checked_sub(buffer.len() as u64) {
+        Some(left) if may_stream => Ok(ReceivedBody::Partial(buffer.freeze(), body, left)),
         _ => too_long(),
     }
 }
 
-/// Whose fault it is that no connection came up.
-fn not_connected(error: &io::Error) -> Cause {
+/// Tells local faults from remote ones where a connection could not be established.
+fn connect_failure_cause(error: &io::Error) -> Cause {
     let local = [
         Errno::MFILE,
         Errno::NFILE,
@@ -452,12 +483,12 @@
     }
 }
 
-/// Whether what came made no sense, or nothing more came.
-fn cause(error: &(dyn Error + 'static)) -> Cause {
+/// Tells a malformed response from a lost connection.
+fn exchange_failure_cause(error: &(dyn Error + 'static)) -> Cause {
     let parse = error.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_parse);
     let io = error.source().and_then(|source| source.downcast_ref::<io::Error>()).map(io::Error::kind);
     match parse || matches!(io, Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput)) {
-        true => Cause::Garbage(error.to_string()),
+        true => Cause::InvalidResponse(error.to_string()),
         false => Cause::Closed(error.to_string()),
     }
 }
--- a/crates/flintwell/src/nodes/mod.rs
+++ b/crates/flintwell/src/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! Cache nodes and the origin: attempts, connections, and answers on their way back.
+//! Cache nodes and the origin: attempts, the connection pool, and response bodies on their way to the client.
 
 pub mod attempt;
 pub mod carry;
--- a/crates/flintwell/src/nodes/permission.rs
+++ b/crates/flintwell/src/nodes/permission.rs
@@ -1,5 +1,5 @@
-//! The one place that says whether a request may be sent to a node now, asked directly before its first byte; and the count of
-//! requests that were sent though they might not be, which has to stay zero.
+//! The final check, directly before the first byte of a request, of whether it may be sent to its node; and
+//! counters of requests that were sent although a rule forbade it, which have to stay zero.
 
 use crate::clients::presence::Presence;
 use crate::fleet::lease::ListLease;
@@ -13,41 +13,42 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const CROSSING: Duration = Duration::from_millis(50); // from permission to the first byte; every rule has more slack than that
-const MARGIN: Duration = Duration::from_millis(30); // beyond a dial: room for the connection, and the turn of our core
+const MAX_SEND_DELAY: Duration = Duration::from_millis(50); // from check to first byte; every rule allows more
+const CHOICE_AGE_MARGIN: Duration = Duration::from_millis(30); // beyond a dial: for a permit, and to be scheduled
 
-/// What is to be sent, as far as the rules ask.
+/// A request about to be sent, as far as the rules need it.
 #[derive(Clone)]
-pub struct Sending {
+pub struct PendingSend {
     pub node: NodeId,
-    /// When the module chose it, and for how long it allowed the attempt.
+    /// When the routing policy chose the node.
     pub chosen_at: Instant,
+    /// Time limit of the attempt.
     pub allow_for: Micros,
     pub client: Presence,
 }
 
-/// Requests sent though they might not be, by the rule that they broke.
+/// Counters of requests that were sent against a rule, by rule.
 #[derive(Clone, Default)]
 pub struct Violations {
     /// To a node that was not listed as ready.
     pub unlisted: Count,
-    /// By a list so old that what it lacked counted as told.
+    /// Without a valid lease on the node list.
     pub lapsed: Count,
-    /// Beyond the time or the window that they had.
+    /// After the attempt's time limit or the window in which it had to be sent.
     pub stale: Count,
-    /// For a client that had left.
+    /// For a client that had disconnected.
     pub left: Count,
 }
 
 impl Violations {
-    /// Each count by its name.
+    /// The counters by their outer names.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
         let Violations { unlisted, lapsed, stale, left } = self;
         let named = [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", left)];
         named.into_iter().map(|(name, count)| (name, count.get())).collect()
     }
 
-    fn count(&self, cause: &Cause) {
+    fn record(&self, cause: &Cause) {
         match cause {
             Cause::Lapsed => one_more(&self.lapsed),
             Cause::Stale => one_more(&self.stale),
@@ -57,7 +58,7 @@
     }
 }
 
-/// Who may send what.
+/// Decides whether a request may be sent now.
 #[derive(Clone)]
 pub struct Permission {
     pub pool: Rc<Pool>,
@@ -66,31 +67,35 @@
 }
 
 impl Permission {
-    /// Whether this may be sent now; if not, why.
-    pub fn now(&self, sending: &Sending) -> Result<(), Broken> {
-        // Danger: a list that discovery could not renew lacks servers that have left, and what it lacks counts as told.
-        if !self.lease.holds() {
-            return Err(Broken::unwritten(Cause::Lapsed));
+    /// Returns an error with the reason if the request may not be sent now.
+    pub fn check(&self, pending: &PendingSend) -> Result<(), Broken> {
+        // Danger: a list that could not be renewed may miss that nodes have left, and a change counts as
+        // known to us from the moment at which the lease ends.
+        if !self.lease.is_valid() {
+            return Err(Broken::before_write(Cause::Lapsed));
         }
-        // Danger: the list may have changed since the module chose, and a send counts from its first byte.
-        self.pool.listed(&sending.node)?;
-        // Danger: a window for repeats, or the request's time, may be over; the module left a dial's time of either.
-        let since = sending.chosen_at.elapsed();
-        if since >= span(sending.allow_for) || since > self.pool.dial_within + MARGIN {
-            return Err(Broken::unwritten(Cause::Stale));
+        // Danger: the list may have changed since the node was chosen, and a request counts as sent at its
+        // first byte.
+        self.pool.ready_addr(&pending.node)?;
+        // Danger: the window for a repeat, or the request's time limit, may have passed; the policy reserved
+        // no more than the time of a dial for either.
+        let since = pending.chosen_at.elapsed();
+        if since >= span(pending.allow_for) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
+            return Err(Broken::before_write(Cause::Stale));
         }
-        // Danger: a client that left meanwhile would have its request carried out for nobody.
-        if sending.client.left() { Err(Broken::unwritten(Cause::Left)) } else { Ok(()) }
+        // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
+        if pending.client.left() { Err(Broken::before_write(Cause::Left)) } else { Ok(()) }
     }
 
-    /// The first bytes of what was permitted at `permitted_at` are written: counts it if it may not be sent any more.
-    pub fn check_sent(&self, sending: &Sending, permitted_at: Instant) {
-        if permitted_at.elapsed() < CROSSING {
+    /// Called when the first bytes of a request that passed the check at `permitted_at` were written: counts
+    /// a violation if it may not be sent any more.
+    pub fn check_sent(&self, pending: &PendingSend, permitted_at: Instant) {
+        if permitted_at.elapsed() < MAX_SEND_DELAY {
             return;
         }
-        if let Err(broken) = self.now(sending) {
-            self.violations.count(&broken.cause);
-            say!("a request was sent to {} against a rule: {broken}", sending.node);
+        if let Err(error) = self.check(pending) {
+            self.violations.record(&error.cause);
+            say!("request sent to {} in violation of a rule: {error}", pending.node);
         }
     }
 }
--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: who is where, what is open and idle, and room for more.
+//! Connection pool: the address of each node, its idle connections, and the limit on open connections.
 
 use crate::nodes::link::{Broken, Cause, Link};
 use crate::process::clock::span;
@@ -12,156 +12,174 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-const IDLE_SHARE: f64 = 0.85; // of the node's limit; else requests are written to closed ones
-const IDLE_LEAST: Duration = Duration::from_millis(20); // idle for less, a reset says nothing of idleness
-const IDLE_REACH: u32 = 4; // times its idle time that a connection used tells of
-const IDLE_FALL: f64 = 0.7; // factor on the limit at a reset; with the next, it falls from one in five on
-const IDLE_RISE: f64 = 1.1; // factor at an answer on a connection that stood idle for some of the limit
-const ROOM_WITHIN: Duration = Duration::from_millis(20); // for a closed connection to end, or an attempt to
-const SWEEP: Duration = Duration::from_millis(250); // between looks at idle connections; fine beside a spare's time
-const SWEEPS: u32 = 10; // looks at least while an idle one is kept, so that they come within the margin
-const SPARE_IDLE: Duration = Duration::from_secs(1); // for one more than one; past a burst's next requests
-
-struct Place {
+// Share of the nodes' keep-alive time. Closer to it, requests are written to connections that a node has just closed.
+const MAX_IDLE_FACTOR: f64 = 0.85;
+// After less idle time, a reset is not due to idleness.
+const MIN_IDLE_LIMIT: Duration = Duration::from_millis(20);
+// An exchange after idle time t is evidence about idle limits up to this many times t.
+const IDLE_EVIDENCE_FACTOR: u32 = 4;
+// Applied to the limit at a reset. Together with the increase, the limit falls from one reset in five exchanges on.
+const IDLE_LIMIT_DECREASE: f64 = 0.7;
+// Applied at a response on a connection that had been idle for a good part of the limit.
+const IDLE_LIMIT_INCREASE: f64 = 1.1;
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(20); // for a closed connection, or an attempt, to end
+const MAX_SWEEP_INTERVAL: Duration = Duration::from_millis(250); // short compared with SPARE_IDLE_TIMEOUT
+// Sweeps within the maximum idle time, so that connections are closed within the margin of MAX_IDLE_FACTOR.
+const MIN_SWEEPS_PER_IDLE_TIME: u32 = 10;
+// For connections beyond the first to a node; long enough for the next requests of a burst.
+const SPARE_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+
+struct NodeEntry {
     addr: SocketAddr,
     started_ms: f64,
     ready: bool,
-    /// The one used last at the end.
+    /// In order of last use, the most recent at the end.
     idle: Vec<Link>,
 }
 
+/// Connections to all listed nodes.
 pub struct Pool {
-    nodes: RefCell<HashMap<NodeId, Place>>,
-    room: Arc<Semaphore>,
-    pub dial_within: Duration,
-    idle_most: Duration,
-    /// How long a connection may stand idle, as far as the nodes let us see.
+    nodes: RefCell<HashMap<NodeId, NodeEntry>>,
+    permits: Arc<Semaphore>,
+    pub dial_timeout: Duration,
+    max_idle: Duration,
+    /// How long a connection may stay idle before reuse, adapted to the resets that are seen.
     idle_limit: Cell<Duration>,
 }
 
 impl Pool {
-    pub fn new(connections: usize, dial_within: Micros, idle_most: Micros) -> Rc<Self> {
-        let idle_most = span(idle_most).mul_f64(IDLE_SHARE);
+    pub fn new(connections: usize, dial_timeout: Micros, keepalive: Micros) -> Rc<Self> {
+        let max_idle = span(keepalive).mul_f64(MAX_IDLE_FACTOR);
         Rc::new(Pool {
             nodes: RefCell::default(),
-            room: Arc::new(Semaphore::new(connections)),
-            dial_within: span(dial_within),
-            idle_most,
-            idle_limit: Cell::new(idle_most),
+            permits: Arc::new(Semaphore::new(connections)),
+            dial_timeout: span(dial_timeout),
+            max_idle,
+            idle_limit: Cell::new(max_idle),
         })
     }
 
-    /// The room for connections.
+    /// The permits for open connections.
     pub fn room(&self) -> Arc<Semaphore> {
-        self.room.clone()
+        self.permits.clone()
     }
 
-    /// As the list has it. A node that moved or started anew has closed what we hold open.
-    pub fn place(&self, node: &NodeId, addr: SocketAddr, started_ms: f64, ready: bool) {
+    /// Adds or updates a node. If its address or start time changed, the node has closed our idle
+    /// connections.
+    pub fn upsert(&self, node: &NodeId, addr: SocketAddr, started_ms: f64, ready: bool) {
         let mut nodes = self.nodes.borrow_mut();
-        let place = nodes.entry(node.clone()).or_insert(Place { addr, started_ms, ready, idle: Vec::new() });
-        if (place.addr, place.started_ms) != (addr, started_ms) {
-            place.idle.clear();
+        let entry =
+            nodes.entry(node.clone()).or_insert(NodeEntry { addr, started_ms, ready, idle: Vec::new() });
+        if (entry.addr, entry.started_ms) != (addr, started_ms) {
+            entry.idle.clear();
         }
-        (place.addr, place.started_ms, place.ready) = (addr, started_ms, ready);
+        (entry.addr, entry.started_ms, entry.ready) = (addr, started_ms, ready);
     }
 
-    pub fn forget(&self, node: &NodeId) {
+    /// Removes a node and closes its idle connections.
+    pub fn remove(&self, node: &NodeId) {
         self.nodes.borrow_mut().remove(node);
     }
 
-    /// After a whole list: what it lacks is gone.
-    pub fn forget_missing(&self, listed: impl Fn(&NodeId) -> bool) {
-        self.nodes.borrow_mut().retain(|node, _| listed(node));
+    /// Removes all nodes that a complete list does not contain.
+    pub fn retain_listed(&self, is_listed: impl Fn(&NodeId) -> bool) {
+        self.nodes.borrow_mut().retain(|node, _| is_listed(node));
     }
 
+    /// Closes the idle connections to a node.
     pub fn close_idle(&self, node: &NodeId) {
-        if let Some(place) = self.nodes.borrow_mut().get_mut(node) {
-            place.idle.clear();
+        if let Some(entry) = self.nodes.borrow_mut().get_mut(node) {
+            entry.idle.clear();
         }
     }
 
-    /// An open connection that was idle, the one used last first.
-    pub fn idle(&self, node: &NodeId) -> Option<Link> {
+    /// Takes an idle connection out of the pool, the most recently used first.
+    pub fn take_idle(&self, node: &NodeId) -> Option<Link> {
         let mut nodes = self.nodes.borrow_mut();
-        let place = nodes.get_mut(node)?;
-        while let Some(link) = place.idle.pop() {
-            if self.fresh(&link) {
+        let entry = nodes.get_mut(node)?;
+        while let Some(link) = entry.idle.pop() {
+            if self.is_reusable(&link) {
                 return Some(link);
             }
         }
         None
     }
 
-    fn fresh(&self, link: &Link) -> bool {
-        !link.closed() && link.idle_since.elapsed() < self.idle_limit.get()
+    fn is_reusable(&self, link: &Link) -> bool {
+        !link.is_closed() && link.idle_since.elapsed() < self.idle_limit.get()
     }
 
-    /// What became of an exchange on a connection that had been idle. Danger: nodes, or what stands between,
-    /// that drop idle connections sooner than agreed break off every request written to one.
-    pub fn used_after(&self, idle: Duration, reset: bool) {
-        let (reach, limit) = (idle * IDLE_REACH, self.idle_limit.get());
+    /// Adapts the idle limit to the result of an exchange on a connection that had been idle. Danger: nodes
+    /// or middleboxes that drop idle connections sooner than configured reset every request written to one.
+    pub fn record_reuse(&self, idle: Duration, reset: bool) {
+        let (evidence, limit) = (idle * IDLE_EVIDENCE_FACTOR, self.idle_limit.get());
         let limit = match reset {
-            _ if idle < IDLE_LEAST => return,
-            true => limit.min(reach).mul_f64(IDLE_FALL).max(IDLE_LEAST),
-            false if reach > limit => limit.mul_f64(IDLE_RISE).min(self.idle_most),
+            _ if idle < MIN_IDLE_LIMIT => return,
+            true => limit.min(evidence).mul_f64(IDLE_LIMIT_DECREASE).max(MIN_IDLE_LIMIT),
+            false if evidence > limit => limit.mul_f64(IDLE_LIMIT_INCREASE).min(self.max_idle),
             false => return,
         };
         self.idle_limit.set(limit);
     }
 
+    /// Opens a new connection to a node that is listed as ready.
     pub async fn dial(&self, node: &NodeId) -> Result<Link, Broken> {
-        let addr = self.listed(node)?;
-        if self.room.available_permits() == 0 {
-            self.close_oldest();
+        let addr = self.ready_addr(node)?;
+        if self.permits.available_permits() == 0 {
+            self.close_longest_idle();
         }
-        // Danger: a node that we have no room for would pass for one that can't be reached.
-        let room = timeout(ROOM_WITHIN, self.room.clone().acquire_owned());
-        let permit = room.await.map_err(|_| Broken::unwritten(Cause::NoRoom))?.ok();
-        let dialled = timeout(self.dial_within, Link::dial(addr, permit));
-        let link = dialled.await.unwrap_or(Err(Broken::unwritten(Cause::TimedOut)))?;
-        // Danger: a node that began to drain while its connection came up would get a request past the grace.
-        if self.listed(node)? == addr { Ok(link) } else { Err(Broken::unwritten(Cause::Unlisted)) }
+        // Danger: a node that only our own connection limit keeps us from reaching would count as
+        // unreachable.
+        let permit = timeout(PERMIT_TIMEOUT, self.permits.clone().acquire_owned());
+        let permit = permit.await.map_err(|_| Broken::before_write(Cause::NoDescriptor))?.ok();
+        let dialled = timeout(self.dial_timeout, Link::dial(addr, permit));
+        let link = dialled.await.unwrap_or(Err(Broken::before_write(Cause::TimedOut)))?;
+        // Danger: a node that began to drain while the connection was being established would receive a
+        // request after its drain grace period.
+        if self.ready_addr(node)? == addr { Ok(link) } else { Err(Broken::before_write(Cause::Unlisted)) }
     }
 
-    /// Where it is, as long as it is listed as ready.
-    pub fn listed(&self, node: &NodeId) -> Result<SocketAddr, Broken> {
+    /// The address of a node, provided that it is listed as ready.
+    pub fn ready_addr(&self, node: &NodeId) -> Result<SocketAddr, Broken> {
         let nodes = self.nodes.borrow();
-        let ready = nodes.get(node).filter(|place| place.ready);
-        ready.map(|place| place.addr).ok_or(Broken::unwritten(Cause::Unlisted))
+        let ready = nodes.get(node).filter(|entry| entry.ready);
+        ready.map(|entry| entry.addr).ok_or(Broken::before_write(Cause::Unlisted))
     }
 
-    /// Takes back a connection whose exchange is done.
-    pub fn give_back(&self, node: &NodeId, link: Link) {
-        if let Some(place) = self.nodes.borrow_mut().get_mut(node) {
-            place.idle.push(link);
+    /// Returns a connection to the pool after its exchange.
+    pub fn release(&self, node: &NodeId, link: Link) {
+        if let Some(entry) = self.nodes.borrow_mut().get_mut(node) {
+            entry.idle.push(link);
         }
     }
 
-    /// Danger: idle connections to some nodes hold all the room there is.
-    fn close_oldest(&self) {
+    /// Closes the connection that has been idle longest. Danger: idle connections to some nodes could hold
+    /// all permits, and the other nodes could not be reached.
+    fn close_longest_idle(&self) {
         let mut nodes = self.nodes.borrow_mut();
-        let oldest = nodes.values_mut().filter(|p| !p.idle.is_empty()).min_by_key(|p| p.idle[0].idle_since);
-        if let Some(place) = oldest {
-            place.idle.remove(0);
+        let oldest = nodes.values_mut().filter(|e| !e.idle.is_empty()).min_by_key(|e| e.idle[0].idle_since);
+        if let Some(entry) = oldest {
+            entry.idle.remove(0);
         }
     }
 
-    /// Closes what has been idle for too long, before the node does.
+    /// Periodically closes connections that have been idle for too long, before the node does.
     pub async fn sweep(&self) {
         loop {
-            tokio::time::sleep(SWEEP.min(self.idle_most / SWEEPS)).await;
-            self.nodes.borrow_mut().values_mut().for_each(|place| self.trim(&mut place.idle));
+            tokio::time::sleep(MAX_SWEEP_INTERVAL.min(self.max_idle / MIN_SWEEPS_PER_IDLE_TIME)).await;
+            self.nodes.borrow_mut().values_mut().for_each(|entry| self.close_expired(&mut entry.idle));
         }
     }
 
-    /// Danger: what a hundred proxies opened for a burst and keep fills a node's table, and one that comes with
-    /// nothing open is refused though the node is idle. One is kept as long as may be, the others while in use.
-    fn trim(&self, idle: &mut Vec<Link>) {
+    /// Keeps one connection up to the idle limit and the others only for a short time. Danger: connections
+    /// that a hundred proxies opened for a burst and keep idle fill a node's connection table, and a proxy
+    /// that has no open connection is refused although the node is idle.
+    fn close_expired(&self, idle: &mut Vec<Link>) {
         let spares = idle.len().saturating_sub(1);
-        let spare = idle.iter().take(spares).filter(|link| link.idle_since.elapsed() >= SPARE_IDLE).count();
-        idle.drain(..spare);
-        idle.retain(|link| self.fresh(link));
+        let expired =
+            idle.iter().take(spares).filter(|link| link.idle_since.elapsed() >= SPARE_IDLE_TIMEOUT).count();
+        idle.drain(..expired);
+        idle.retain(|link| self.is_reusable(link));
     }
 }
 
--- a/crates/flintwell/src/nodes/pool/tests.rs
+++ b/crates/flintwell/src/nodes/pool/tests.rs
@@ -1,42 +1,42 @@
 use super::*;
 
 #[tokio::test]
-async fn connections_opened_for_a_burst_close_soon_and_one_stays() {
+async fn spare_connections_of_a_burst_are_closed_and_one_is_kept() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let addr = listener.local_addr().expect("its address");
     let work = async {
         let (pool, node) = (Pool::new(8, 1_000_000, 10_000_000), NodeId::from("n"));
-        pool.place(&node, addr, 0.0, true);
+        pool.upsert(&node, addr, 0.0, true);
         let mut links = Vec::new();
         let mut ends = Vec::new();
         for _ in 0..4 {
             links.push(pool.dial(&node).await.expect("a connection"));
             ends.push(listener.accept().await.expect("accepted"));
         }
-        links.into_iter().for_each(|link| pool.give_back(&node, link));
+        links.into_iter().for_each(|link| pool.release(&node, link));
         let open = || pool.nodes.borrow()[&node].idle.len();
         let before = open();
-        let _ = timeout(SPARE_IDLE + SWEEP * 2, pool.sweep()).await;
+        let _ = timeout(SPARE_IDLE_TIMEOUT + MAX_SWEEP_INTERVAL * 2, pool.sweep()).await;
         (before, open())
     };
     assert_eq!(tokio::task::LocalSet::new().run_until(work).await, (4, 1));
 }
 
 #[test]
-fn idle_times_that_nodes_cut_short_are_found_and_single_resets_are_forgotten() {
+fn idle_limit_adapts_to_early_closes_and_recovers_from_single_resets() {
     let pool = Pool::new(1, 1, 10_000_000);
-    let use_at = |idle: u64, reset| pool.used_after(Duration::from_millis(idle), reset);
+    let record = |idle: u64, reset| pool.record_reuse(Duration::from_millis(idle), reset);
     let limit = || pool.idle_limit.get().as_millis();
     for n in 0..200 {
         let idle = n * 37 % 400;
-        // As it does, only what is within the limit is used.
+        // The pool reuses only connections within the limit.
         if u128::from(idle) < limit() {
-            use_at(idle, idle > 100);
+            record(idle, idle > 100);
         }
     }
     assert!((50..250).contains(&limit()), "{}", limit());
     for n in 0..400 {
-        use_at(limit() as u64 * 3 / 4, n % 15 == 0);
+        record(limit() as u64 * 3 / 4, n % 15 == 0);
     }
-    assert_eq!(limit(), 8_500, "one in fifteen is no sign");
+    assert_eq!(limit(), 8_500, "one reset in fifteen does not lower the limit");
 }
--- a/crates/flintwell/src/nodes/relay.rs
+++ b/crates/flintwell/src/nodes/relay.rs
@@ -1,4 +1,4 @@
-//! A node's answer on its way to the client: whole, or a long one passed on piece by piece.
+//! Response bodies on their way from a node to the client: buffered whole, or streamed as they are received.
 
 use crate::clients::body::{Budget, Kept};
 use crate::nodes::carry::Rest;
@@ -17,8 +17,10 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
+/// The body of a response to a client.
 pub enum Content {
     Whole(Full<Bytes>),
+    /// Forwarded as it is received.
     Long(Box<Relay>),
 }
 
@@ -41,7 +43,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Content::Whole(body) => body.is_end_stream(),
-            Content::Long(relay) => relay.way.ended(),
+            Content::Long(relay) => relay.way.is_ended(),
         }
     }
     fn size_hint(&self) -> SizeHint {
@@ -52,50 +54,54 @@
     }
 }
 
-/// What lasts as long as the request that is answered.
+/// Keeps a request registered and counted as in flight until its response has been sent.
 pub struct Carried {
     counts: Rc<Counts>,
+    /// Index of the request class.
     pub case: usize,
     _handle: RequestHandle,
     _in_hand: InHand,
 }
 
 impl Carried {
-    /// It has ended here; who left is not counted.
+    /// Counts the outcome of the request: whether the response was sent whole.
     pub fn ended(self, whole: bool) {
         self.counts.ended(self.case, End::passed_on(whole));
     }
 }
 
-/// A long answer's way from its node to its client's connection. What the client is not ready for is read
-/// ahead while there is room. Danger: a client that reads for seconds would hold its node's connection for as long,
-/// and those of a whole fleet fill the origin's table, so that nobody can fetch.
+/// A long response between its node and its client's connection. What the client is not ready for is read
+/// ahead within a memory budget. Danger: a client that reads for seconds would occupy a connection to the
+/// node for as long; those of a whole fleet would fill the origin's connection table, so that no proxy can
+/// fetch.
 pub struct Way {
-    /// Its length was told at its head.
+    /// Whether its head declared the body's length.
     pub told: bool,
     source: RefCell<Source>,
     carried: RefCell<Option<Carried>>,
-    /// Bytes of it given to the client's connection.
-    given: Cell<u64>,
-    over: Cell<bool>,
-    broken: Cell<bool>,
-    /// It goes on elsewhere: nothing more is given.
-    halted: Cell<bool>,
+    /// Body bytes passed to the client's connection.
+    bytes_sent: Cell<u64>,
+    /// The end was passed to the client's connection.
+    is_complete: Cell<bool>,
+    is_truncated: Cell<bool>,
+    /// Another process continues it: nothing more is passed on here.
+    is_halted: Cell<bool>,
 }
 
+/// The receiving side of a long response.
 struct Source {
-    /// Bytes of it that have come.
-    read: u64,
-    kept: Kept,
-    room: Rc<Budget>,
-    /// Behind what is kept.
+    /// Body bytes received.
+    bytes_received: u64,
+    buffered: Kept,
+    budget: Rc<Budget>,
+    /// Received data that follows the buffered data.
     next: Bytes,
-    /// None once all has come, or nothing more will.
-    rest: Option<Incoming>,
-    failed: Option<&'static str>,
-    /// Bytes that may still come.
-    left: u64,
-    patience: Patience,
+    /// None once the body has ended or failed.
+    incoming: Option<Incoming>,
+    failure: Option<&'static str>,
+    /// Maximum number of bytes that the node may still send.
+    max_remaining: u64,
+    stall_timer: Patience,
     node: NodeId,
     pool: Rc<Pool>,
     link: Option<Link>,
@@ -104,178 +110,190 @@
 impl Source {
     fn read(&mut self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
         loop {
-            let Some(rest) = self.rest.as_mut() else { return Poll::Ready(None) };
-            match ready!(Pin::new(&mut *rest).poll_frame(cx)) {
+            let Some(incoming) = self.incoming.as_mut() else { return Poll::Ready(None) };
+            match ready!(Pin::new(&mut *incoming).poll_frame(cx)) {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.patience.renew();
-                    let ends = rest.is_end_stream();
-                    // Danger: an answer without end would be passed on for as long as its client reads.
-                    let Some(left) = self.left.checked_sub(data.len() as u64) else {
-                        self.fails("longer than any answer");
+                    self.stall_timer.renew();
+                    let is_last = incoming.is_end_stream();
+                    // Danger: an endless response would be forwarded for as long as its client reads.
+                    let Some(max_remaining) = self.max_remaining.checked_sub(data.len() as u64) else {
+                        self.fail("response exceeds the maximum length");
                         continue;
                     };
-                    (self.left, self.read) = (left, self.read + data.len() as u64);
-                    if ends {
-                        self.ends();
+                    self.max_remaining = max_remaining;
+                    self.bytes_received += data.len() as u64;
+                    if is_last {
+                        self.finish();
                     }
                     return Poll::Ready(Some(data));
                 }
-                Some(Err(_)) => self.fails("broken off by its node"),
-                None => self.ends(),
+                Some(Err(_)) => self.fail("node closed the connection before the end of the response"),
+                None => self.finish(),
             }
         }
     }
-    fn fails(&mut self, why: &'static str) {
-        (self.failed, self.rest, self.link) = (Some(why), None, None);
+    fn fail(&mut self, why: &'static str) {
+        (self.failure, self.incoming, self.link) = (Some(why), None, None);
     }
-    fn ends(&mut self) {
-        self.rest = None;
-        // One that is halted takes nothing more.
-        if let Some(link) = self.link.take().filter(|link| !link.halted()) {
-            self.pool.give_back(&self.node, link);
+    fn finish(&mut self) {
+        self.incoming = None;
+        // A halted connection can't be reused.
+        if let Some(link) = self.link.take().filter(|link| !link.is_halted()) {
+            self.pool.release(&self.node, link);
         }
     }
 }
 
 impl Way {
     fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        if self.halted.get() {
+        if self.is_halted.get() {
             return Poll::Pending;
         }
         let mut source = self.source.borrow_mut();
-        let kept = source.kept.pop().unwrap_or_else(|| std::mem::take(&mut source.next));
-        let polled = if kept.is_empty() { source.read(cx) } else { Poll::Ready(Some(kept)) };
+        let data = source.buffered.pop().unwrap_or_else(|| std::mem::take(&mut source.next));
+        let polled = if data.is_empty() { source.read(cx) } else { Poll::Ready(Some(data)) };
         match polled {
             Poll::Ready(Some(data)) => {
-                self.given.set(self.given.get() + data.len() as u64);
+                self.bytes_sent.set(self.bytes_sent.get() + data.len() as u64);
                 return Poll::Ready(Some(Ok(data)));
             }
             Poll::Ready(None) => {}
-            Poll::Pending if source.patience.poll(cx).is_ready() => source.fails("its node stands still"),
+            Poll::Pending if source.stall_timer.poll(cx).is_ready() => source.fail("node stopped sending the response"),
             Poll::Pending => return Poll::Pending,
         }
-        // Danger: a client must not take a part for the whole; so its framing stays open, and its connection ends.
-        self.broken.set(source.failed.is_some());
-        self.over.set(source.failed.is_none());
-        Poll::Ready(source.failed.map(|why| Err(io::Error::other(why))))
+        // Danger: a client could take a truncated response for a complete one; so its framing is left without
+        // an end, and its connection is closed.
+        self.is_truncated.set(source.failure.is_some());
+        self.is_complete.set(source.failure.is_none());
+        Poll::Ready(source.failure.map(|why| Err(io::Error::other(why))))
     }
 
-    /// Reads on behind what the client has taken; its connection's task has to call this after that.
+    /// Reads ahead of what the client has taken. The task of the client's connection has to call this after
+    /// the client has taken data.
     pub fn reads_ahead(&self, cx: &mut Context<'_>) {
         let mut source = self.source.borrow_mut();
-        // Danger: room spread over many answers ends none of them sooner; so those go first that fit as a whole.
-        let fits = |rest: &Incoming| rest.size_hint().exact().is_none_or(|rest| rest <= source.room.left());
-        if !self.halted.get() && !source.rest.as_ref().is_some_and(fits) {
+        // Danger: a budget spread over many responses completes none of them sooner; so only responses whose
+        // rest fits as a whole, or is of unknown length, are read ahead.
+        let fits = |body: &Incoming| body.size_hint().exact().is_none_or(|rest| rest <= source.budget.left());
+        if !self.is_halted.get() && !source.incoming.as_ref().is_some_and(fits) {
             return;
         }
-        // What the parser still holds of one that goes on elsewhere is little, and has to go with it.
-        while (source.next.is_empty() || self.halted.get())
+        // Of a halted response, only what the HTTP parser still holds is left to read; it is little, and has
+        // to be handed over as well.
+        while (source.next.is_empty() || self.is_halted.get())
             && let Poll::Ready(Some(data)) = source.read(cx)
         {
             source.next = match source.next.is_empty() {
                 true => data,
                 false => [&source.next[..], &data[..]].concat().into(),
             };
-            let Source { kept, next, .. } = &mut *source;
-            kept.push(next, None);
+            let Source { buffered, next, .. } = &mut *source;
+            buffered.push(next, None);
         }
     }
 
-    fn ended(&self) -> bool {
+    fn is_ended(&self) -> bool {
         let source = self.source.borrow();
-        self.over.get() || source.rest.is_none() && source.failed.is_none() && source.read == self.given.get()
+        self.is_complete.get()
+            || source.incoming.is_none()
+                && source.failure.is_none()
+                && source.bytes_received == self.bytes_sent.get()
     }
 
     fn size_hint(&self) -> SizeHint {
         let source = self.source.borrow();
-        let rest = source.rest.as_ref().map_or(Some(0), |rest| rest.size_hint().exact());
-        let rest = rest.filter(|_| self.told).map(|rest| source.read - self.given.get() + rest);
+        let rest = source.incoming.as_ref().map_or(Some(0), |body| body.size_hint().exact());
+        let rest =
+            rest.filter(|_| self.told).map(|rest| source.bytes_received - self.bytes_sent.get() + rest);
         rest.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 
-    /// Reads nothing more from the node, and gives nothing more; whether the rest can be handed over.
+    /// Stops reading from the node and passing on, if the rest can be handed over; returns whether it can.
     pub fn halt(&self) -> bool {
         let source = self.source.borrow();
-        let known = match &source.link {
-            Some(link) => link.came().is_some(),
-            None => source.failed.is_none(),
+        let can_hand_over = match &source.link {
+            Some(link) => link.body_progress().is_some(),
+            None => source.failure.is_none(),
         };
-        if known {
+        if can_hand_over {
             source.link.iter().for_each(Link::halt);
         }
-        self.halted.set(known);
-        known
+        self.is_halted.set(can_hand_over);
+        can_hand_over
     }
 
-    /// All that was read for it has come to us.
+    /// Whether everything read from the node's connection has passed through the HTTP parser.
     pub fn through(&self) -> bool {
         let source = self.source.borrow();
-        let came = source.link.as_ref().and_then(Link::came);
-        source.rest.is_none() || came.is_some_and(|(body, coding)| body == source.read && !coding.ended())
+        let progress = source.link.as_ref().and_then(Link::body_progress);
+        source.incoming.is_none()
+            || progress.is_some_and(|(body, coding)| body == source.bytes_received && !coding.ended())
     }
 
-    /// What its node still gives, and how many bytes that may be; the connection there is another's from now on.
-    /// None if it broke.
+    /// Takes the node's socket with the framing of the rest, and the maximum number of remaining bytes. The
+    /// caller owns the connection from then on. None if the response failed.
     pub fn rest(&self) -> Option<(Option<Rest>, u64)> {
         let mut source = self.source.borrow_mut();
         let link = source.link.take();
-        let rest = link.and_then(|link| Some((link.stream()?, link.came()?.1)));
-        (source.failed.is_none() && rest.is_some() == source.rest.take().is_some())
-            .then_some((rest, source.left))
+        let rest = link.and_then(|link| Some((link.socket()?, link.body_progress()?.1)));
+        (source.failure.is_none() && rest.is_some() == source.incoming.take().is_some())
+            .then_some((rest, source.max_remaining))
     }
 
-    /// What has come and was not given to the connection, piece by piece.
+    /// Takes the data that was received and not passed to the client's connection, block by block.
     pub fn kept(&self) -> impl Iterator<Item = Bytes> {
         std::iter::from_fn(|| {
             let mut source = self.source.borrow_mut();
             source
-                .kept
+                .buffered
                 .pop()
                 .or_else(|| Some(std::mem::take(&mut source.next)).filter(|next| !next.is_empty()))
         })
     }
 
-    /// What its client has of it is a part.
+    /// Whether the response failed after a part of it was passed on.
     pub fn broken(&self) -> bool {
-        self.broken.get()
+        self.is_truncated.get()
     }
 
-    /// Its end is not with the connection yet.
+    /// Whether its end has not been passed to the client's connection yet.
     pub fn open(&self) -> bool {
-        !self.over.get()
+        !self.is_complete.get()
     }
 
+    /// Takes the request that is kept open until the response ends.
     pub fn carried(&self) -> Option<Carried> {
         self.carried.take()
     }
 }
 
-/// A long answer in its connection's hands.
+/// The owner of a streamed response body; dropping it ends the response.
 pub struct Relay {
+    /// The state shared with the task of the client's connection.
     pub way: Rc<Way>,
 }
 
 impl Relay {
     pub fn new(
         begun: Bytes,
-        rest: Incoming,
-        left: u64,
+        incoming: Incoming,
+        max_remaining: u64,
         node: NodeId,
         pool: Rc<Pool>,
         link: Link,
-        room: &Rc<Budget>,
+        budget: &Rc<Budget>,
     ) -> Self {
-        let told = rest.size_hint().exact().is_some();
+        let told = incoming.size_hint().exact().is_some();
         let source = Source {
-            read: begun.len() as u64,
-            kept: Kept::new(room.clone()),
-            room: room.clone(),
+            bytes_received: begun.len() as u64,
+            buffered: Kept::new(budget.clone()),
+            budget: budget.clone(),
             next: begun,
-            rest: Some(rest),
-            failed: None,
-            left,
-            patience: Patience::new(PEER_STALL),
+            incoming: Some(incoming),
+            failure: None,
+            max_remaining,
+            stall_timer: Patience::new(PEER_STALL),
             node,
             pool,
             link: Some(link),
@@ -284,29 +302,29 @@
             told,
             source: RefCell::new(source),
             carried: RefCell::default(),
-            given: Cell::default(),
-            over: Cell::default(),
-            broken: Cell::default(),
-            halted: Cell::default(),
+            bytes_sent: Cell::default(),
+            is_complete: Cell::default(),
+            is_truncated: Cell::default(),
+            is_halted: Cell::default(),
         };
         Relay { way: Rc::new(way) }
     }
 
-    /// Its request ends with it.
+    /// Keeps the request open until the body ends.
     pub fn carries(&self, handle: RequestHandle, in_hand: InHand, counts: Rc<Counts>, case: usize) {
         self.way.carried.replace(Some(Carried { counts, case, _handle: handle, _in_hand: in_hand }));
     }
 }
 
 impl Drop for Relay {
-    /// Passed on whole, broken by its node, or left by its client; who left is not counted.
+    /// Counts the outcome, unless the client disconnected before the response was sent whole or failed.
     fn drop(&mut self) {
-        let (way, whole) = (&self.way, self.way.ended());
-        way.over.set(whole);
+        let (way, whole) = (&self.way, self.way.is_ended());
+        way.is_complete.set(whole);
         let mut source = way.source.borrow_mut();
-        (source.rest, source.link, source.next) = (None, None, Bytes::new());
-        while source.kept.pop().is_some() {}
-        if let Some(carried) = way.carried.take().filter(|_| whole || way.broken.get()) {
+        (source.incoming, source.link, source.next) = (None, None, Bytes::new());
+        while source.buffered.pop().is_some() {}
+        if let Some(carried) = way.carried.take().filter(|_| whole || way.is_truncated.get()) {
             carried.ended(whole);
         }
     }
--- a/crates/flintwell/src/nodes/stream.rs
+++ b/crates/flintwell/src/nodes/stream.rs
@@ -1,4 +1,5 @@
-//! A socket that a connection's driver reads and writes, while somebody else holds it too.
+//! A TCP stream with shared ownership: a connection's driver reads and writes it while another owner holds
+//! the socket.
 
 use socket2::SockRef;
 use std::io;
@@ -9,6 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+/// A reference-counted TCP stream.
 pub struct Shared(pub Rc<TcpStream>);
 
 impl AsyncRead for Shared {
