--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -2,9 +2,9 @@
 
 use crate::clients::framing::Scanner;
 use crate::clients::presence::Presence;
-use crate::nodes::carry::Carry;
-use crate::nodes::relay::{Carried, Content, Way};
-use crate::nodes::stream::Shared;
+use crate::nodes::response_transfer::ResponseTransfer;
+use crate::nodes::response_body::{RequestGuard, ResponseBody, ResponseStream};
+use crate::nodes::stream::SharedStream;
 use crate::process::clock::PEER_STALL;
 use crate::process::handover::{self, Successor};
 use crate::requests::front::Front;
@@ -96,7 +96,7 @@
     makes_room: Cell<bool>,
     stream: Rc<TcpStream>,
     /// The long answer that is on its way to it, and a word when one is.
-    long: RefCell<Option<Rc<Way>>>,
+    long: RefCell<Option<Rc<ResponseStream>>>,
     begins: Notify,
     /// It takes answers in chunks.
     chunks: Cell<bool>,
@@ -205,28 +205,28 @@
     async fn cut<C: Future<Output = hyper::Result<()>>>(
         &self,
         mut connection: Pin<&mut C>,
-        way: &Way,
+        way: &ResponseStream,
         successor: &Successor,
-    ) -> Option<(Carry, Option<Carried>)> {
+    ) -> Option<(ResponseTransfer, Option<RequestGuard>)> {
         self.unwritten.replace(Some(Vec::new()));
         for _ in 0..CUT_TURNS {
             let polled = poll_fn(|cx| {
-                way.reads_ahead(cx);
+                way.poll_read_ahead(cx);
                 Poll::Ready(connection.as_mut().poll(cx))
             });
             if let Poll::Ready(Err(_)) = polled.await {
                 return None;
             }
             // What the connection has was written now, as nothing holds that up.
-            if way.through() {
+            if way.is_drained() {
                 let unwritten = self.unwritten.borrow_mut().as_mut().map(std::mem::take)?;
-                let (rest, left) = way.rest()?;
+                let (rest, left) = way.take_upstream()?;
                 let kept =
-                    successor.keeps(way.kept()).inspect_err(|error| say!("hand-over: {error}")).ok()?;
+                    successor.keeps(way.drain_buffered()).inspect_err(|error| say!("hand-over: {error}")).ok()?;
                 let client = self.stream.clone();
                 return Some((
-                    Carry { client, unwritten, kept, rest, chunked: !way.told, open: way.open(), left },
-                    way.carried(),
+                    ResponseTransfer { client, unwritten, buffered: kept, upstream: rest, chunked: !way.has_known_length, is_end_pending: way.is_end_pending(), max_remaining_bytes: left },
+                    way.take_request(),
                 ));
             }
             tokio::task::yield_now().await;
@@ -243,7 +243,7 @@
         }
         let socket = SockRef::from(&*self.stream);
         let cut =
-            self.long.borrow().as_ref().is_some_and(|way| way.broken() && !way.told && !self.chunks.get());
+            self.long.borrow().as_ref().is_some_and(|way| way.is_truncated() && !way.has_known_length && !self.chunks.get());
         if cut {
             // Danger: where only the end of the connection ends an answer, a clean one makes a part look whole. What fails
             // here has failed already.
@@ -279,7 +279,7 @@
     /// Reads ahead of it, for as long as it is asked.
     async fn reads_ahead(&self) {
         poll_fn(|cx| {
-            self.long.borrow().iter().for_each(|way| way.reads_ahead(cx));
+            self.long.borrow().iter().for_each(|way| way.poll_read_ahead(cx));
             Poll::Pending
         })
         .await
@@ -294,7 +294,7 @@
 
 /// An answer's body, until the last byte of which is written its client counts as busy.
 struct Answering {
-    content: Content,
+    content: ResponseBody,
     client: Rc<Client>,
 }
 
@@ -324,7 +324,7 @@
 
 /// A client's stream, which tells when a head begins.
 struct Listened {
-    stream: Shared,
+    stream: SharedStream,
     client: Rc<Client>,
 }
 
@@ -453,10 +453,10 @@
     let stack = ServiceBuilder::new()
         .map_response({
             let client = client.clone();
-            move |answer: Response<Content>| {
+            move |answer: Response<ResponseBody>| {
                 let client = client.clone();
-                if let Content::Long(relay) = answer.body() {
-                    client.long.replace(Some(relay.way.clone()));
+                if let ResponseBody::Streamed(relay) = answer.body() {
+                    client.long.replace(Some(relay.stream.clone()));
                     client.begins.notify_one();
                 }
                 answer.map(|content| Answering { content, client })
@@ -476,7 +476,7 @@
     http.timer(TokioTimer::new()).header_read_timeout(IDLE_MOST).max_buf_size(BUFFER);
     let ending = client.clone();
     let served = async move {
-        let heard = TokioIo::new(Listened { stream: Shared(client.stream.clone()), client: client.clone() });
+        let heard = TokioIo::new(Listened { stream: SharedStream(client.stream.clone()), client: client.clone() });
         let mut connection = pin!(http.serve_connection(heard, TowerToHyperService::new(stack)));
         // A successor takes over the long answers that have begun, and those that begin from now on.
         let mut handed = pin!(async {
@@ -532,7 +532,7 @@
     successor: &Successor,
 ) {
     let way = client.long.borrow().clone();
-    match way.filter(|way| (way.told || client.chunks.get()) && way.halt()) {
+    match way.filter(|way| (way.has_known_length || client.chunks.get()) && way.halt()) {
         Some(way) => {
             if let Some((carry, carried)) = client.cut(connection.as_mut(), &way, successor).await {
                 handover::hand_over(successor, carry, carried).await;
--- a/crates/flintwell/src/clients/accept/tests.rs
+++ b/crates/flintwell/src/clients/accept/tests.rs
@@ -5,7 +5,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let stream = TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a stream");
     let client = Rc::new(Clients::default()).enter(stream);
-    let mut listened = Listened { stream: Shared(client.stream.clone()), client: client.clone() };
+    let mut listened = Listened { stream: SharedStream(client.stream.clone()), client: client.clone() };
     client.busy();
     let (content, answered) = (Bytes::from_static(b"value").into(), client.clone());
     drop(Answering { content, client: answered });
--- a/crates/flintwell/src/clients/answer.rs
+++ b/crates/flintwell/src/clients/answer.rs
@@ -1,7 +1,7 @@
 //! The answer to a client, encoded once.
 
 use crate::clients::malformed::Malformed;
-use crate::nodes::relay::Content;
+use crate::nodes::response_body::ResponseBody;
 use crate::staff::counts::End;
 use bytes::Bytes;
 use flintwell_core::interface::Micros;
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 
 pub enum Answer {
-    Served(Content),
+    Served(ResponseBody),
     Refused {
         stay_away: Micros,
     },
@@ -26,19 +26,19 @@
     /// How its request has ended; not yet, if it is still passed on, and none if it never was one.
     pub fn end(&self) -> Option<End> {
         match self {
-            Answer::Served(Content::Whole(_)) => Some(End::Served),
+            Answer::Served(ResponseBody::Buffered(_)) => Some(End::Served),
             Answer::Refused { .. } => Some(End::Refused),
             Answer::Failed => Some(End::Failed),
-            Answer::Served(Content::Long(_)) => None,
+            Answer::Served(ResponseBody::Streamed(_)) => None,
             Answer::Malformed(_) | Answer::InHand | Answer::Ready(_) | Answer::Left => None,
         }
     }
 
-    pub fn encode(self, last: bool) -> Response<Content> {
+    pub fn encode(self, last: bool) -> Response<ResponseBody> {
         // Danger: behind what is malformed, what comes next may be no message of its own.
         let last = last || matches!(self, Answer::Malformed(_) | Answer::Left);
         let stay_away = if let Answer::Refused { stay_away } = self { stay_away } else { 0 };
-        let text = |words: &'static [u8]| Content::from(Bytes::from_static(words));
+        let text = |words: &'static [u8]| ResponseBody::from(Bytes::from_static(words));
         let (status, body) = match self {
             Answer::Served(body) => (StatusCode::OK, body),
             Answer::Refused { .. } => (StatusCode::SERVICE_UNAVAILABLE, text(b"")),
@@ -62,7 +62,7 @@
     }
 }
 
-fn malformed(why: &Malformed) -> (StatusCode, Content) {
+fn malformed(why: &Malformed) -> (StatusCode, ResponseBody) {
     let (status, words) = match why {
         Malformed::Method => (StatusCode::METHOD_NOT_ALLOWED, "GET reads, PUT writes\n".into()),
         Malformed::Header(name) => {
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -2,11 +2,11 @@
 //! `flintwell-list-watch` decides when each call is due, how long it may take, and how long the lease on the
 //! list lasts.
 
-use crate::fleet::calls::{Answer, CallError, CallNumber, Calls, Completion};
+use crate::fleet::discovery_calls::{Answer, CallError, CallNumber, DiscoveryCalls, Completion};
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
 use crate::fleet::registry::Registry;
-use crate::nodes::link::{Broken, Cause, Link, Stage};
+use crate::nodes::connection::{ExchangeError, FailureCause, Link, Stage};
 use crate::requests::dispatcher::Dispatcher;
 use crate::say;
 use flintwell_core::interface::{ListKind, Micros};
@@ -39,14 +39,14 @@
 }
 
 /// The client of discovery.
-pub struct Discovery {
+pub struct DiscoveryClient {
     /// Discovery's address; changes when the configuration is reloaded.
     addr: watch::Receiver<SocketAddr>,
     registry: Rc<Registry>,
     lease: Rc<ListLease>,
     status: Rc<ListStatus>,
     watch: Watch,
-    calls: Calls,
+    calls: DiscoveryCalls,
     /// Version of the last list; none if the current address has not sent one.
     version: Option<u64>,
     /// When the current call was sent.
@@ -56,16 +56,16 @@
     consecutive_failures: u64,
 }
 
-impl Discovery {
+impl DiscoveryClient {
     pub fn new(
         addr: watch::Receiver<SocketAddr>,
         registry: Rc<Registry>,
         lease: Rc<ListLease>,
         status: Rc<ListStatus>,
         watch: Watch,
-        calls: Calls,
+        calls: DiscoveryCalls,
     ) -> Self {
-        Discovery {
+        DiscoveryClient {
             addr,
             registry,
             lease,
@@ -80,12 +80,12 @@
     }
 
     /// Publishes the list that is known at startup.
-    pub fn start(&mut self, known: &Listing) {
+    pub fn load_initial(&mut self, known: &Listing) {
         self.publish(known, ListKind::Kept);
     }
 
     /// Calls discovery in an endless loop, at the times given by `flintwell-list-watch`.
-    pub async fn watch(&mut self, dispatcher: &Dispatcher) {
+    pub async fn run(&mut self, dispatcher: &Dispatcher) {
         let mut addr_changes = self.addr.clone();
         // When this loop is restarted after a panic, earlier calls are discarded.
         self.calls.abort_all();
@@ -153,7 +153,7 @@
             Phase::Connecting => Phase::Connecting,
             Phase::Connected(link, _) => self.call(dispatcher, link),
             Phase::Calling(..) => {
-                let broken = Broken { stage: Stage::Written, cause: Cause::TimedOut };
+                let broken = ExchangeError { stage: Stage::Written, cause: FailureCause::TimedOut };
                 self.on_failure(dispatcher, &CallError::timed_out(broken))
             }
         }
--- a/crates/flintwell/src/fleet/calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -3,7 +3,7 @@
 //! waste the work of that call for nothing.
 
 use crate::clients::body::Outgoing;
-use crate::nodes::link::{BodyLimits, Broken, Cause, Link, Progress, ReceivedBody};
+use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Link, Progress, ReceivedBody};
 use crate::process::clock::Clock;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::Failure;
@@ -31,27 +31,27 @@
 #[derive(Debug)]
 pub struct CallError {
     pub failure: Failure,
-    pub broken: Broken,
+    pub broken: ExchangeError,
 }
 
 impl CallError {
-    fn from_exchange(broken: Broken) -> Self {
+    fn from_exchange(broken: ExchangeError) -> Self {
         let failure = match &broken.cause {
-            Cause::LocalFault(_) | Cause::NoDescriptor => Failure::Local,
-            Cause::Unreachable(_) => Failure::Unreachable,
+            FailureCause::LocalFault(_) | FailureCause::NoDescriptor => Failure::Local,
+            FailureCause::Unreachable(_) => Failure::Unreachable,
             _ => Failure::Broken,
         };
         CallError { failure, broken }
     }
 
     /// No response came in time.
-    pub fn timed_out(broken: Broken) -> Self {
+    pub fn timed_out(broken: ExchangeError) -> Self {
         CallError { failure: Failure::Silent, broken }
     }
 
     /// The response was not acceptable.
     pub fn invalid_response(why: String) -> Self {
-        CallError { failure: Failure::Broken, broken: Broken::before_write(Cause::InvalidResponse(why)) }
+        CallError { failure: Failure::Broken, broken: ExchangeError::before_write(FailureCause::InvalidResponse(why)) }
     }
 }
 
@@ -72,16 +72,16 @@
 }
 
 /// The calls in flight.
-pub struct Calls {
+pub struct DiscoveryCalls {
     clock: Clock,
     tasks: JoinSet<Completion>,
     open: VecDeque<(CallNumber, AbortHandle)>,
     next_number: CallNumber,
 }
 
-impl Calls {
+impl DiscoveryCalls {
     pub fn new(clock: Clock) -> Self {
-        Calls { clock, tasks: JoinSet::new(), open: VecDeque::new(), next_number: 0 }
+        DiscoveryCalls { clock, tasks: JoinSet::new(), open: VecDeque::new(), next_number: 0 }
     }
 
     /// Starts to establish a connection to `addr`: `previous`, if it can still take a call, or a new one.
@@ -156,7 +156,7 @@
 /// Opens a new connection. Danger: a slow connection, or one whose SYN was lost, would make discovery count
 /// as unreachable, and its last list would be used for longer than allowed; so further connections are tried
 /// in parallel before that is reported.
-async fn dial(addr: SocketAddr) -> Result<Link, Broken> {
+async fn dial(addr: SocketAddr) -> Result<Link, ExchangeError> {
     let dials = (0..MAX_PARALLEL_DIALS).map(|n| {
         Box::pin(async move {
             sleep(PARALLEL_DIAL_DELAY * n).await;
@@ -166,7 +166,7 @@
     let first = async { select_all(dials).await.0 };
     let unreachable = |_| {
         let why = format!("no connection within {DIAL_TIMEOUT:?}");
-        Err(Broken::before_write(Cause::Unreachable(why)))
+        Err(ExchangeError::before_write(FailureCause::Unreachable(why)))
     };
     timeout(DIAL_TIMEOUT, first).await.unwrap_or_else(unreachable)
 }
@@ -174,7 +174,7 @@
 async fn exchange(link: &mut Link, since: Option<u64>, wait: Micros) -> Result<Listing, CallError> {
     let progress = Progress::default();
     let invalid =
-        |why| CallError { failure: Failure::Broken, broken: progress.error(Cause::InvalidResponse(why)) };
+        |why| CallError { failure: Failure::Broken, broken: progress.error(FailureCause::InvalidResponse(why)) };
     let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
     let path = format!("/registry/instances{query}");
     let mut request = Request::new(Outgoing::Empty);
--- a/crates/flintwell/src/fleet/calls/tests.rs
+++ b/crates/flintwell/src/fleet/discovery_calls/tests.rs
@@ -1,4 +1,4 @@
-use super::Calls;
+use super::DiscoveryCalls;
 use crate::process::clock::Clock;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -13,7 +13,7 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let mut calls = Calls::new(Clock::start());
+        let mut calls = DiscoveryCalls::new(Clock::start());
         calls.connect(addr, None);
         sleep(CONNECT_TIMEOUT).await;
         calls.abort_all();
--- a/crates/flintwell/src/fleet/lease.rs
+++ b/crates/flintwell/src/fleet/lease.rs
@@ -58,7 +58,7 @@
     }
 
     /// Waits until the lease has been valid once, for at most `max_wait`.
-    pub async fn first_in_force(&self, max_wait: Duration) {
+    pub async fn wait_until_first_valid(&self, max_wait: Duration) {
         let notified = self.first_valid.notified();
         if !self.was_valid.get() {
             // After a time-out the caller continues without a valid lease.
@@ -67,7 +67,7 @@
     }
 
     /// Whether the proxy accepts clients: the lease has been valid once, or was waited for long enough.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.was_valid.get() || self.clock.now() - self.started_at >= MAX_READY_DELAY_US
     }
 
--- a/crates/flintwell/src/fleet/list_status.rs
+++ b/crates/flintwell/src/fleet/list_status.rs
@@ -13,7 +13,7 @@
 /// Where the list at process start came from.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Source {
+pub enum ListSource {
     Configuration,
     /// The folder in which an earlier process of this proxy stored it.
     Folder,
@@ -23,7 +23,7 @@
 pub struct ListStatus {
     lease: Rc<ListLease>,
     started_at: Micros,
-    source: Source,
+    source: ListSource,
     version: Cell<u64>,
     first_call_at: Cell<Option<Micros>>,
     first_answer_at: Cell<Option<Micros>>,
@@ -35,7 +35,7 @@
 pub struct ListFigures {
     version: u64,
     /// Where the list at process start came from.
-    source: Source,
+    source: ListSource,
     /// Whether the lease on the list is valid.
     in_force: bool,
     /// What the lease is based on.
@@ -54,7 +54,7 @@
 
 impl ListStatus {
     /// Status of a process that starts with this list; logs the list.
-    pub fn start(lease: Rc<ListLease>, now: Micros, source: Source, list: &Listing) -> Rc<Self> {
+    pub fn new(lease: Rc<ListLease>, now: Micros, source: ListSource, list: &Listing) -> Rc<Self> {
         let (version, servers) = (list.version, list.len());
         let age = lease.age().map_or("age unknown".to_owned(), |age| format!("{:.3} s old", seconds(age)));
         say!("starting with node list {version}: {servers} servers, source {source:?}, {age}");
@@ -96,7 +96,7 @@
     }
 
     /// The current status.
-    pub fn figures(&self) -> ListFigures {
+    pub fn report(&self) -> ListFigures {
         let since_start = |at: Micros| seconds(at - self.started_at);
         ListFigures {
             version: self.version.get(),
--- a/crates/flintwell/src/fleet/kept_list.rs
+++ b/crates/flintwell/src/fleet/list_store.rs
@@ -13,14 +13,14 @@
 const CONFIRMATION_FILE: &str = "list-confirmed"; // holds the age of the list in LIST_FILE
 
 /// The list that an earlier process stored.
-pub struct Left {
+pub struct StoredList {
     pub listing: Listing,
     /// How long ago discovery confirmed it; none if unknown.
     pub age: Option<Micros>,
 }
 
 /// Stores the most recent list of discovery.
-pub struct KeptList {
+pub struct ListStore {
     store: Store,
     /// None where the system has no boot identifier; then the list is stored without its age.
     boot_clock: Option<BootClock>,
@@ -34,9 +34,9 @@
     is_failing: Cell<bool>,
 }
 
-impl KeptList {
+impl ListStore {
     pub fn new(store: Store) -> Self {
-        KeptList {
+        ListStore {
             store,
             boot_clock: BootClock::open(),
             version: Cell::default(),
@@ -47,7 +47,7 @@
     }
 
     /// Reads the list that an earlier process of this proxy stored.
-    pub fn left(&self) -> Option<Left> {
+    pub fn load(&self) -> Option<StoredList> {
         let read = serde_json::from_slice::<Listing>(&self.store.read(LIST_FILE)?);
         let read = read.map_err(|error| say!("cannot decode the stored node list: {error}"));
         let listing = read.ok().filter(|listing| listing.full)?;
@@ -55,7 +55,7 @@
         let confirmation = confirmation.and_then(|text| serde_json::from_slice::<Confirmation>(&text).ok());
         let clock = self.boot_clock.as_ref();
         let age = clock.zip(confirmation).and_then(|(clock, record)| clock.age(listing.version, &record));
-        Some(Left { listing, age })
+        Some(StoredList { listing, age })
     }
 
     /// Marks the list as changed, now with this version.
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -31,11 +31,11 @@
 
 /// Why an override was rejected.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OverrideError {
     /// No node has this id.
-    Unknown,
+    UnknownNode,
     /// The override could not be stored, and nothing has changed.
-    NotRecorded,
+    NotPersisted,
 }
 
 /// All overrides, by node id.
@@ -78,26 +78,26 @@
     }
 
     /// Excludes a node.
-    pub fn exclude(&self, node: &str, now_ms: f64) -> Result<(), Refused> {
+    pub fn exclude(&self, node: &str, now_ms: f64) -> Result<(), OverrideError> {
         self.persist(Override { node: node.into(), excluded_ms: now_ms, included_ms: None })
     }
 
     /// Includes an excluded node again.
-    pub fn include(&self, node: &str, now_ms: f64) -> Result<(), Refused> {
-        let found = self.nodes.borrow().get(node).cloned().ok_or(Refused::Unknown)?;
+    pub fn include(&self, node: &str, now_ms: f64) -> Result<(), OverrideError> {
+        let found = self.nodes.borrow().get(node).cloned().ok_or(OverrideError::UnknownNode)?;
         self.persist(Override { included_ms: Some(now_ms), ..found })
     }
 
     /// Stores an override before it takes effect, so that an acknowledged one is not lost with this process.
-    fn persist(&self, new: Override) -> Result<(), Refused> {
+    fn persist(&self, new: Override) -> Result<(), OverrideError> {
         let node = new.node.clone();
         if self.nodes.borrow().len() >= MAX_OVERRIDES && !self.contains(&node) {
-            return Err(Refused::NotRecorded);
+            return Err(OverrideError::NotPersisted);
         }
-        let text = serde_json::to_vec(&new).map_err(|_| Refused::NotRecorded)?;
+        let text = serde_json::to_vec(&new).map_err(|_| OverrideError::NotPersisted)?;
         if let Err(error) = self.store.write(&file_name(&node), &text) {
             say!("cannot store the override of node {node}: {error}");
-            return Err(Refused::NotRecorded);
+            return Err(OverrideError::NotPersisted);
         }
         say!("node {node} {} by an operator", if new.is_excluded() { "excluded" } else { "included again" });
         self.nodes.borrow_mut().insert(node, new);
--- a/crates/flintwell/src/fleet/words.rs
+++ b/crates/flintwell/src/fleet/peer_messaging.rs
@@ -29,7 +29,7 @@
 /// Status of the fleet as this proxy sees it: served by the management address, and printed by `flintwell
 /// fleet status`.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct FleetStatus {
     pub name: String,
     pub number: u32,
     /// The other proxies that are known.
@@ -46,7 +46,7 @@
 }
 
 /// Exchange of messages with the other proxies of the fleet.
-pub struct Words {
+pub struct PeerMessaging {
     name: String,
     addr: SocketAddr,
     clock: Clock,
@@ -76,7 +76,7 @@
     }
 }
 
-impl Words {
+impl PeerMessaging {
     pub fn new(
         config: Config,
         name: String,
@@ -91,7 +91,7 @@
         let settings =
             Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet, seed };
         let mut share = Share::start(now, now, fleet, seed);
-        Words {
+        PeerMessaging {
             name,
             addr: config.listen,
             clock,
@@ -107,7 +107,7 @@
     }
 
     /// Sends and receives until `leave` is called.
-    pub async fn speak(&self) {
+    pub async fn run(&self) {
         let socket = self.bind().await;
         let mut buffer = [0; RECV_BUFFER_BYTES];
         let mut next_tick_ms = 0;
@@ -221,12 +221,12 @@
     }
 
     /// The current status of the fleet.
-    pub fn fleet(&self) -> Fleet {
+    pub fn status(&self) -> FleetStatus {
         let member = self.member.borrow();
         let silent = self.dispatcher.silent();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
         let others: Vec<u32> = member.others().iter().map(|other| other.number).collect();
-        Fleet {
+        FleetStatus {
             name: self.name.clone(),
             number: member.id().number,
             members: member.standings(),
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -1,9 +1,9 @@
 //! The node list as published to the routing policy and the connection pool: discovery's list with the
 //! operators' overrides applied.
 
-use crate::fleet::kept_list::KeptList;
+use crate::fleet::list_store::ListStore;
 use crate::fleet::lease::ListLease;
-use crate::fleet::overrides::{Overrides, Refused};
+use crate::fleet::overrides::{Overrides, OverrideError};
 use crate::nodes::pool::Pool;
 use crate::process::live::Live;
 use crate::process::store::Store;
@@ -36,7 +36,7 @@
     lease: Rc<ListLease>,
     /// The lease has lapsed, and the list was published accordingly.
     is_lapsed: Cell<bool>,
-    list_store: KeptList,
+    list_store: ListStore,
 }
 
 impl Registry {
@@ -46,7 +46,7 @@
         pool: Rc<Pool>,
         dispatcher: Rc<Dispatcher>,
         store: Store,
-        list_store: KeptList,
+        list_store: ListStore,
         lease: Rc<ListLease>,
     ) -> Rc<Self> {
         let overrides = Overrides::open(store.clone());
@@ -109,7 +109,7 @@
     }
 
     /// Publishes the list anew whenever its lease lapses or becomes valid.
-    pub async fn keep_lease(&self) {
+    pub async fn follow_lease(&self) {
         loop {
             self.check_lease();
             self.lease.changed().await;
@@ -181,14 +181,14 @@
     }
 
     /// The list as published now.
-    pub fn listing(&self) -> Listing {
+    pub fn effective_list(&self) -> Listing {
         let servers = self.lines.borrow().values().map(|line| self.effective_line(line)).collect();
         Listing { version: 0, full: true, servers }
     }
 
     /// Publishes the whole list again after the settings that give meaning to its names and sizes have
     /// changed.
-    pub fn retell(&self) {
+    pub fn republish(&self) {
         self.publish_all(&[]);
     }
 
@@ -201,12 +201,12 @@
     }
 
     /// Excludes a node until it is included again; idempotent.
-    pub fn exclude(&self, node: &str) -> Result<(), Refused> {
+    pub fn exclude(&self, node: &str) -> Result<(), OverrideError> {
         if self.overrides.is_excluded(node) {
             return Ok(());
         }
         if !self.lists_cache(node) {
-            return Err(Refused::Unknown);
+            return Err(OverrideError::UnknownNode);
         }
         self.overrides.exclude(node, self.now_ms())?;
         self.publish_all(&[NodeId::from(node)]);
@@ -214,10 +214,10 @@
     }
 
     /// Includes a node again; no effect on a node that is not excluded.
-    pub fn include(&self, node: &str) -> Result<(), Refused> {
+    pub fn include(&self, node: &str) -> Result<(), OverrideError> {
         if !self.overrides.is_excluded(node) {
             let is_known = self.overrides.contains(node) || self.lists_cache(node);
-            return if is_known { Ok(()) } else { Err(Refused::Unknown) };
+            return if is_known { Ok(()) } else { Err(OverrideError::UnknownNode) };
         }
         self.overrides.include(node, self.now_ms())?;
         self.publish_all(&[NodeId::from(node)]);
@@ -230,7 +230,7 @@
 
     /// Periodically applies overrides that another running process of this proxy has stored, and stores the
     /// list for a later process.
-    pub async fn follow(&self) {
+    pub async fn sync_store(&self) {
         loop {
             sleep(SYNC_INTERVAL).await;
             if self.store.keeps() {
@@ -259,7 +259,7 @@
     }
 
     /// The number of caches in the list.
-    pub fn known(&self) -> usize {
+    pub fn cache_count(&self) -> usize {
         self.lines.borrow().values().filter(|line| self.is_cache(line)).count()
     }
 }
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -2,10 +2,10 @@
 
 use crate::clients::body::{Budget, LONGEST, Outgoing};
 use crate::clients::decode::ClientRequest;
-use crate::nodes::link::{BodyLimits, Broken, Cause, Link, Progress, ReceivedBody};
-use crate::nodes::permission::{PendingSend, Permission};
+use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Link, Progress, ReceivedBody};
+use crate::nodes::send_guard::{PendingSend, SendGuard};
 use crate::nodes::pool::Pool;
-use crate::nodes::relay::{Content, Relay};
+use crate::nodes::response_body::{ResponseBody, StreamedBody};
 use crate::process::clock::span;
 use crate::staff::counts::Counts;
 use flintwell_core::interface::{Ending, Micros, NodeId};
@@ -29,7 +29,7 @@
     pub request: Rc<ClientRequest>,
     pub node: NodeId,
     /// Time limit of the attempt.
-    pub allow_for: Micros,
+    pub timeout: Micros,
     /// When the routing policy chose the node.
     pub chosen_at: Instant,
 }
@@ -39,46 +39,46 @@
         PendingSend {
             node: self.node.clone(),
             chosen_at: self.chosen_at,
-            allow_for: self.allow_for,
+            timeout: self.timeout,
             client: self.request.client.clone(),
         }
     }
 }
 
 /// The response of a node.
-pub struct Answered {
+pub struct NodeResponse {
     pub ending: Ending,
     /// Whether it is the first response on its connection.
-    pub first: bool,
-    pub body: Content,
+    pub first_on_connection: bool,
+    pub body: ResponseBody,
 }
 
 /// A tower service that runs attempts.
 #[derive(Clone)]
-pub struct Attempts {
-    permission: Permission,
+pub struct AttemptService {
+    permission: SendGuard,
     counts: Rc<Counts>,
     /// Memory for reading ahead of long responses.
     read_ahead_budget: Rc<Budget>,
 }
 
-impl Attempts {
-    pub fn new(permission: Permission, counts: Rc<Counts>, read_ahead_budget: Rc<Budget>) -> Self {
-        Attempts { permission, counts, read_ahead_budget }
+impl AttemptService {
+    pub fn new(permission: SendGuard, counts: Rc<Counts>, read_ahead_budget: Rc<Budget>) -> Self {
+        AttemptService { permission, counts, read_ahead_budget }
     }
 }
 
-impl Service<Attempt> for Attempts {
-    type Response = Answered;
-    type Error = Broken;
-    type Future = LocalBoxFuture<'static, Result<Answered, Broken>>;
+impl Service<Attempt> for AttemptService {
+    type Response = NodeResponse;
+    type Error = ExchangeError;
+    type Future = LocalBoxFuture<'static, Result<NodeResponse, ExchangeError>>;
 
-    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Broken>> {
+    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), ExchangeError>> {
         Poll::Ready(Ok(()))
     }
 
     fn call(&mut self, attempt: Attempt) -> Self::Future {
-        let Attempts { permission, counts, read_ahead_budget } = self.clone();
+        let AttemptService { permission, counts, read_ahead_budget } = self.clone();
         Box::pin(async move {
             let progress = Progress::with_count(&counts.attempts);
             let mut exchange = pin!(send(&permission, &attempt, &progress, &read_ahead_budget));
@@ -90,7 +90,7 @@
                     () = sleep(attempt.request.body.takes()) => {}
                 }
             }
-            if let Ok(ended) = timeout(span(attempt.allow_for), exchange.as_mut()).await {
+            if let Ok(ended) = timeout(span(attempt.timeout), exchange.as_mut()).await {
                 return ended;
             }
             // Danger: a response that the node has begun and may stream for a long time would be cut off.
@@ -103,17 +103,17 @@
                 tokio::task::yield_now().await;
             }
             // On a time-out the exchange is dropped, which closes its connection.
-            exchange.now_or_never().unwrap_or_else(|| Err(progress.error(Cause::TimedOut)))
+            exchange.now_or_never().unwrap_or_else(|| Err(progress.error(FailureCause::TimedOut)))
         })
     }
 }
 
 async fn send(
-    permission: &Permission,
+    permission: &SendGuard,
     attempt: &Attempt,
     progress: &Progress,
     read_ahead_budget: &Rc<Budget>,
-) -> Result<Answered, Broken> {
+) -> Result<NodeResponse, ExchangeError> {
     let pool = &permission.pool;
     let mut link = acquire_connection(pool, &attempt.node).await?;
     // Time has passed since the node was chosen: a dial, a wait for a permit, a stall of this process.
@@ -121,8 +121,8 @@
     permission.check(&pending)?;
     let (permitted_at, checker) = (Instant::now(), permission.clone());
     progress.set_on_first_write(move || checker.check_sent(&pending, permitted_at));
-    let (idle, first) = (link.idle_since.elapsed(), link.is_unused());
-    let body = attempt.request.body.hand_out().ok_or(Broken::before_write(Cause::BodyConsumed))?;
+    let (idle, first_on_connection) = (link.idle_since.elapsed(), link.is_unused());
+    let body = attempt.request.body.hand_out().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
     let reply = link.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
     pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == Ending::Reset));
     let reply = reply?;
@@ -134,14 +134,14 @@
         }
         ReceivedBody::Partial(begun, rest, left) => {
             let (node, pool) = (attempt.node.clone(), pool.clone());
-            Content::Long(Box::new(Relay::new(begun, rest, left, node, pool, link, read_ahead_budget)))
+            ResponseBody::Streamed(Box::new(StreamedBody::new(begun, rest, left, node, pool, link, read_ahead_budget)))
         }
     };
-    Ok(Answered { ending, first, body })
+    Ok(NodeResponse { ending, first_on_connection, body })
 }
 
 /// An idle connection that can take another exchange, or a new one.
-async fn acquire_connection(pool: &Pool, node: &NodeId) -> Result<Link, Broken> {
+async fn acquire_connection(pool: &Pool, node: &NodeId) -> Result<Link, ExchangeError> {
     while let Some(link) = pool.take_idle(node) {
         if let Some(link) = link.ready().await {
             return Ok(link);
@@ -161,7 +161,7 @@
     if let Some(mark) = &request.repeat_mark {
         headers.insert("idempotency-key", mark.clone());
     }
-    let deadline = format!("{:.6}", attempt.allow_for as f64 / 1e6);
+    let deadline = format!("{:.6}", attempt.timeout as f64 / 1e6);
     if let Ok(deadline) = HeaderValue::from_str(&deadline) {
         headers.insert("x-deadline", deadline);
     }
--- a/crates/flintwell/src/nodes/link.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -3,7 +3,7 @@
 
 use crate::clients::body::Outgoing;
 use crate::clients::framing::{Answers, Coding};
-use crate::nodes::stream::Shared;
+use crate::nodes::stream::SharedStream;
 use crate::process::count::{Count, one_more};
 use bytes::{Bytes, BytesMut};
 use flintwell_core::interface::Ending;
@@ -47,7 +47,7 @@
 
 /// Why an exchange failed.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailureCause {
     TimedOut,
     Closed(String),
     /// The peer's response was malformed or not acceptable.
@@ -59,7 +59,7 @@
     /// An earlier attempt consumed the body, which is not buffered.
     BodyConsumed,
     /// The client has disconnected.
-    Left,
+    ClientDisconnected,
     /// The attempt was chosen too long ago.
     Stale,
     /// The lease on the node list has lapsed.
@@ -72,15 +72,15 @@
 
 /// A failed exchange.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct ExchangeError {
     pub stage: Stage,
-    pub cause: Cause,
+    pub cause: FailureCause,
 }
 
-impl Broken {
+impl ExchangeError {
     /// A failure before any byte of the request was written.
-    pub fn before_write(cause: Cause) -> Self {
-        Broken { stage: Stage::Unwritten, cause }
+    pub fn before_write(cause: FailureCause) -> Self {
+        ExchangeError { stage: Stage::Unwritten, cause }
     }
 
     /// The outcome that is reported for the attempt.
@@ -88,52 +88,52 @@
         match (self.stage, &self.cause) {
             (
                 Stage::Unwritten,
-                Cause::Unlisted
-                | Cause::NoDescriptor
-                | Cause::BodyConsumed
-                | Cause::Left
-                | Cause::Stale
-                | Cause::Lapsed
+                FailureCause::Unlisted
+                | FailureCause::NoDescriptor
+                | FailureCause::BodyConsumed
+                | FailureCause::ClientDisconnected
+                | FailureCause::Stale
+                | FailureCause::Lapsed
                 // Danger: a local fault reported as a failed connection would count against a healthy node.
-                | Cause::LocalFault(_),
+                | FailureCause::LocalFault(_),
             ) => Ending::NotSent,
             (Stage::Unwritten, _) => Ending::ConnectFailed,
-            (_, Cause::TimedOut) => Ending::TimedOut,
-            (_, Cause::InvalidResponse(_)) => Ending::Spoilt,
+            (_, FailureCause::TimedOut) => Ending::TimedOut,
+            (_, FailureCause::InvalidResponse(_)) => Ending::Spoilt,
             (
                 _,
-                Cause::Closed(_)
-                | Cause::Unlisted
-                | Cause::NoDescriptor
-                | Cause::BodyConsumed
-                | Cause::Left
-                | Cause::Stale
-                | Cause::Lapsed
-                | Cause::Unreachable(_)
-                | Cause::LocalFault(_),
+                FailureCause::Closed(_)
+                | FailureCause::Unlisted
+                | FailureCause::NoDescriptor
+                | FailureCause::BodyConsumed
+                | FailureCause::ClientDisconnected
+                | FailureCause::Stale
+                | FailureCause::Lapsed
+                | FailureCause::Unreachable(_)
+                | FailureCause::LocalFault(_),
             ) => Ending::Reset,
         }
     }
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let stage = match self.stage {
             Stage::Unwritten => "before the request was written",
             Stage::Written => "after the request was written",
         };
         match &self.cause {
-            Cause::TimedOut => write!(f, "timed out {stage}"),
-            Cause::Closed(why) => write!(f, "connection lost {stage}: {why}"),
-            Cause::InvalidResponse(why) => write!(f, "invalid response: {why}"),
-            Cause::Unlisted => write!(f, "node is no longer listed as ready"),
-            Cause::NoDescriptor => write!(f, "no file descriptor available for a connection"),
-            Cause::BodyConsumed => write!(f, "request body was consumed by an earlier attempt"),
-            Cause::Left => write!(f, "client has disconnected"),
-            Cause::Stale => write!(f, "attempt was chosen too long ago"),
-            Cause::Lapsed => write!(f, "lease on the node list has lapsed"),
-            Cause::Unreachable(why) => write!(f, "cannot connect: {why}"),
-            Cause::LocalFault(why) => write!(f, "cannot connect because of a local fault: {why}"),
+            FailureCause::TimedOut => write!(f, "timed out {stage}"),
+            FailureCause::Closed(why) => write!(f, "connection lost {stage}: {why}"),
+            FailureCause::InvalidResponse(why) => write!(f, "invalid response: {why}"),
+            FailureCause::Unlisted => write!(f, "node is no longer listed as ready"),
+            FailureCause::NoDescriptor => write!(f, "no file descriptor available for a connection"),
+            FailureCause::BodyConsumed => write!(f, "request body was consumed by an earlier attempt"),
+            FailureCause::ClientDisconnected => write!(f, "client has disconnected"),
+            FailureCause::Stale => write!(f, "attempt was chosen too long ago"),
+            FailureCause::Lapsed => write!(f, "lease on the node list has lapsed"),
+            FailureCause::Unreachable(why) => write!(f, "cannot connect: {why}"),
+            FailureCause::LocalFault(why) => write!(f, "cannot connect because of a local fault: {why}"),
         }
     }
 }
@@ -141,7 +141,7 @@
 /// A stream that counts the bytes written, which tells whether an exchange has begun, and tracks the framing
 /// of what is read.
 struct MeteredStream {
-    stream: Shared,
+    stream: SharedStream,
     bytes_written: Rc<Cell<u64>>,
     message: Rc<OutgoingMessage>,
     answers: Rc<RefCell<Answers>>,
@@ -269,8 +269,8 @@
     }
 
     /// A failure of the exchange at its current stage.
-    pub fn error(&self, cause: Cause) -> Broken {
-        Broken { stage: self.stage(), cause }
+    pub fn error(&self, cause: FailureCause) -> ExchangeError {
+        ExchangeError { stage: self.stage(), cause }
     }
 }
 
@@ -304,17 +304,17 @@
 
 impl Link {
     /// Opens a connection; `permit` is returned when its socket is closed.
-    pub async fn dial(addr: SocketAddr, permit: Option<OwnedSemaphorePermit>) -> Result<Self, Broken> {
-        let closed = |error: &dyn fmt::Display| Broken::before_write(Cause::Closed(error.to_string()));
+    pub async fn dial(addr: SocketAddr, permit: Option<OwnedSemaphorePermit>) -> Result<Self, ExchangeError> {
+        let closed = |error: &dyn fmt::Display| ExchangeError::before_write(FailureCause::Closed(error.to_string()));
         let stream =
-            TcpStream::connect(addr).await.map_err(|e| Broken::before_write(connect_failure_cause(&e)))?;
+            TcpStream::connect(addr).await.map_err(|e| ExchangeError::before_write(connect_failure_cause(&e)))?;
         stream.set_nodelay(true).map_err(|e| closed(&e))?;
         let (stream, bytes_written) = (Rc::new(stream), Rc::new(Cell::new(0)));
         let weak_stream = Rc::downgrade(&stream);
         let message = Rc::<OutgoingMessage>::default();
         let answers = Rc::<RefCell<Answers>>::default();
         let metered = MeteredStream {
-            stream: Shared(stream),
+            stream: SharedStream(stream),
             bytes_written: bytes_written.clone(),
             message: message.clone(),
             answers: answers.clone(),
@@ -392,7 +392,7 @@
         request: Request<Outgoing>,
         limits: BodyLimits,
         progress: &Progress,
-    ) -> Result<Reply, Broken> {
+    ) -> Result<Reply, ExchangeError> {
         progress.baseline.set(Some((self.bytes_written.clone(), self.bytes_written.get())));
         self.answers.replace(Answers::default());
         self.message.is_body_done.set(false);
@@ -406,7 +406,7 @@
         let (head, body) = self.sender.send_request(request).await.map_err(failed)?.into_parts();
         let body = receive_body(body, limits, progress)
             .await
-            .map_err(|cause| Broken { stage: Stage::Written, cause })?;
+            .map_err(|cause| ExchangeError { stage: Stage::Written, cause })?;
         self.idle_since = Instant::now();
         Ok(Reply { status: head.status, headers: head.headers, body })
     }
@@ -425,9 +425,9 @@
     mut body: Incoming,
     limits: BodyLimits,
     progress: &Progress,
-) -> Result<ReceivedBody, Cause> {
+) -> Result<ReceivedBody, FailureCause> {
     let known_length = body.size_hint().exact();
-    let too_long = || Err(Cause::InvalidResponse(format!("body longer than {} bytes", limits.total)));
+    let too_long = || Err(FailureCause::InvalidResponse(format!("body longer than {} bytes", limits.total)));
     if known_length.is_some_and(|length| length > limits.total) {
         return too_long();
     }
@@ -462,7 +462,7 @@
 }
 
 /// Tells local faults from remote ones where a connection could not be established.
-fn connect_failure_cause(error: &io::Error) -> Cause {
+fn connect_failure_cause(error: &io::Error) -> FailureCause {
     let local = [
         Errno::MFILE,
         Errno::NFILE,
@@ -478,18 +478,18 @@
         Errno::PERM,
     ];
     match Errno::from_io_error(error) {
-        Some(code) if local.contains(&code) => Cause::LocalFault(error.to_string()),
-        _ => Cause::Unreachable(error.to_string()),
+        Some(code) if local.contains(&code) => FailureCause::LocalFault(error.to_string()),
+        _ => FailureCause::Unreachable(error.to_string()),
     }
 }
 
 /// Tells a malformed response from a lost connection.
-fn exchange_failure_cause(error: &(dyn Error + 'static)) -> Cause {
+fn exchange_failure_cause(error: &(dyn Error + 'static)) -> FailureCause {
     let parse = error.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_parse);
     let io = error.source().and_then(|source| source.downcast_ref::<io::Error>()).map(io::Error::kind);
     match parse || matches!(io, Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput)) {
-        true => Cause::InvalidResponse(error.to_string()),
-        false => Cause::Closed(error.to_string()),
+        true => FailureCause::InvalidResponse(error.to_string()),
+        false => FailureCause::Closed(error.to_string()),
     }
 }
 
--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -1,6 +1,6 @@
 //! Connection pool: the address of each node, its idle connections, and the limit on open connections.
 
-use crate::nodes::link::{Broken, Cause, Link};
+use crate::nodes::connection::{ExchangeError, FailureCause, Link};
 use crate::process::clock::span;
 use flintwell_core::interface::{Micros, NodeId};
 use std::cell::{Cell, RefCell};
@@ -60,7 +60,7 @@
     }
 
     /// The permits for open connections.
-    pub fn room(&self) -> Arc<Semaphore> {
+    pub fn connection_permits(&self) -> Arc<Semaphore> {
         self.permits.clone()
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Opens a new connection to a node that is listed as ready.
-    pub async fn dial(&self, node: &NodeId) -> Result<Link, Broken> {
+    pub async fn dial(&self, node: &NodeId) -> Result<Link, ExchangeError> {
         let addr = self.ready_addr(node)?;
         if self.permits.available_permits() == 0 {
             self.close_longest_idle();
@@ -131,19 +131,19 @@
         // Danger: a node that only our own connection limit keeps us from reaching would count as
         // unreachable.
         let permit = timeout(PERMIT_TIMEOUT, self.permits.clone().acquire_owned());
-        let permit = permit.await.map_err(|_| Broken::before_write(Cause::NoDescriptor))?.ok();
+        let permit = permit.await.map_err(|_| ExchangeError::before_write(FailureCause::NoDescriptor))?.ok();
         let dialled = timeout(self.dial_timeout, Link::dial(addr, permit));
-        let link = dialled.await.unwrap_or(Err(Broken::before_write(Cause::TimedOut)))?;
+        let link = dialled.await.unwrap_or(Err(ExchangeError::before_write(FailureCause::TimedOut)))?;
         // Danger: a node that began to drain while the connection was being established would receive a
         // request after its drain grace period.
-        if self.ready_addr(node)? == addr { Ok(link) } else { Err(Broken::before_write(Cause::Unlisted)) }
+        if self.ready_addr(node)? == addr { Ok(link) } else { Err(ExchangeError::before_write(FailureCause::Unlisted)) }
     }
 
     /// The address of a node, provided that it is listed as ready.
-    pub fn ready_addr(&self, node: &NodeId) -> Result<SocketAddr, Broken> {
+    pub fn ready_addr(&self, node: &NodeId) -> Result<SocketAddr, ExchangeError> {
         let nodes = self.nodes.borrow();
         let ready = nodes.get(node).filter(|entry| entry.ready);
-        ready.map(|entry| entry.addr).ok_or(Broken::before_write(Cause::Unlisted))
+        ready.map(|entry| entry.addr).ok_or(ExchangeError::before_write(FailureCause::Unlisted))
     }
 
     /// Returns a connection to the pool after its exchange.
@@ -164,7 +164,7 @@
     }
 
     /// Periodically closes connections that have been idle for too long, before the node does.
-    pub async fn sweep(&self) {
+    pub async fn run_idle_sweeper(&self) {
         loop {
             tokio::time::sleep(MAX_SWEEP_INTERVAL.min(self.max_idle / MIN_SWEEPS_PER_IDLE_TIME)).await;
             self.nodes.borrow_mut().values_mut().for_each(|entry| self.close_expired(&mut entry.idle));
--- a/crates/flintwell/src/nodes/pool/tests.rs
+++ b/crates/flintwell/src/nodes/pool/tests.rs
@@ -16,7 +16,7 @@
         links.into_iter().for_each(|link| pool.release(&node, link));
         let open = || pool.nodes.borrow()[&node].idle.len();
         let before = open();
-        let _ = timeout(SPARE_IDLE_TIMEOUT + MAX_SWEEP_INTERVAL * 2, pool.sweep()).await;
+        let _ = timeout(SPARE_IDLE_TIMEOUT + MAX_SWEEP_INTERVAL * 2, pool.run_idle_sweeper()).await;
         (before, open())
     };
     assert_eq!(tokio::task::LocalSet::new().run_until(work).await, (4, 1));
--- a/crates/flintwell/src/nodes/relay.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -1,8 +1,8 @@
 //! Response bodies on their way from a node to the client: buffered whole, or streamed as they are received.
 
 use crate::clients::body::{Budget, Kept};
-use crate::nodes::carry::Rest;
-use crate::nodes::link::Link;
+use crate::nodes::response_transfer::Rest;
+use crate::nodes::connection::Link;
 use crate::nodes::pool::Pool;
 use crate::process::clock::{PEER_STALL, Patience};
 use crate::requests::dispatcher::RequestHandle;
@@ -18,55 +18,55 @@
 use std::task::{Context, Poll, ready};
 
 /// The body of a response to a client.
-pub enum Content {
-    Whole(Full<Bytes>),
+pub enum ResponseBody {
+    Buffered(Full<Bytes>),
     /// Forwarded as it is received.
-    Long(Box<Relay>),
+    Streamed(Box<StreamedBody>),
 }
 
-impl From<Bytes> for Content {
+impl From<Bytes> for ResponseBody {
     fn from(bytes: Bytes) -> Self {
-        Content::Whole(Full::new(bytes))
+        ResponseBody::Buffered(Full::new(bytes))
     }
 }
 
-impl Body for Content {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            Content::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Content::Long(relay) => relay.way.poll(cx).map_ok(Frame::data),
+            ResponseBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            ResponseBody::Streamed(relay) => relay.stream.poll(cx).map_ok(Frame::data),
         }
     }
     fn is_end_stream(&self) -> bool {
         match self {
-            Content::Whole(body) => body.is_end_stream(),
-            Content::Long(relay) => relay.way.is_ended(),
+            ResponseBody::Buffered(body) => body.is_end_stream(),
+            ResponseBody::Streamed(relay) => relay.stream.is_ended(),
         }
     }
     fn size_hint(&self) -> SizeHint {
         match self {
-            Content::Whole(body) => body.size_hint(),
-            Content::Long(relay) => relay.way.size_hint(),
+            ResponseBody::Buffered(body) => body.size_hint(),
+            ResponseBody::Streamed(relay) => relay.stream.size_hint(),
         }
     }
 }
 
 /// Keeps a request registered and counted as in flight until its response has been sent.
-pub struct Carried {
+pub struct RequestGuard {
     counts: Rc<Counts>,
     /// Index of the request class.
-    pub case: usize,
+    pub class_index: usize,
     _handle: RequestHandle,
     _in_hand: InHand,
 }
 
-impl Carried {
+impl RequestGuard {
     /// Counts the outcome of the request: whether the response was sent whole.
-    pub fn ended(self, whole: bool) {
-        self.counts.ended(self.case, End::passed_on(whole));
+    pub fn record_end(self, whole: bool) {
+        self.counts.ended(self.class_index, End::passed_on(whole));
     }
 }
 
@@ -74,11 +74,11 @@
 /// ahead within a memory budget. Danger: a client that reads for seconds would occupy a connection to the
 /// node for as long; those of a whole fleet would fill the origin's connection table, so that no proxy can
 /// fetch.
-pub struct Way {
+pub struct ResponseStream {
     /// Whether its head declared the body's length.
-    pub told: bool,
+    pub has_known_length: bool,
     source: RefCell<Source>,
-    carried: RefCell<Option<Carried>>,
+    request: RefCell<Option<RequestGuard>>,
     /// Body bytes passed to the client's connection.
     bytes_sent: Cell<u64>,
     /// The end was passed to the client's connection.
@@ -145,7 +145,7 @@
     }
 }
 
-impl Way {
+impl ResponseStream {
     fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         if self.is_halted.get() {
             return Poll::Pending;
@@ -171,7 +171,7 @@
 
     /// Reads ahead of what the client has taken. The task of the client's connection has to call this after
     /// the client has taken data.
-    pub fn reads_ahead(&self, cx: &mut Context<'_>) {
+    pub fn poll_read_ahead(&self, cx: &mut Context<'_>) {
         let mut source = self.source.borrow_mut();
         // Danger: a budget spread over many responses completes none of them sooner; so only responses whose
         // rest fits as a whole, or is of unknown length, are read ahead.
@@ -205,7 +205,7 @@
         let source = self.source.borrow();
         let rest = source.incoming.as_ref().map_or(Some(0), |body| body.size_hint().exact());
         let rest =
-            rest.filter(|_| self.told).map(|rest| source.bytes_received - self.bytes_sent.get() + rest);
+            rest.filter(|_| self.has_known_length).map(|rest| source.bytes_received - self.bytes_sent.get() + rest);
         rest.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 
@@ -224,7 +224,7 @@
     }
 
     /// Whether everything read from the node's connection has passed through the HTTP parser.
-    pub fn through(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         let source = self.source.borrow();
         let progress = source.link.as_ref().and_then(Link::body_progress);
         source.incoming.is_none()
@@ -233,7 +233,7 @@
 
     /// Takes the node's socket with the framing of the rest, and the maximum number of remaining bytes. The
     /// caller owns the connection from then on. None if the response failed.
-    pub fn rest(&self) -> Option<(Option<Rest>, u64)> {
+    pub fn take_upstream(&self) -> Option<(Option<Rest>, u64)> {
         let mut source = self.source.borrow_mut();
         let link = source.link.take();
         let rest = link.and_then(|link| Some((link.socket()?, link.body_progress()?.1)));
@@ -242,7 +242,7 @@
     }
 
     /// Takes the data that was received and not passed to the client's connection, block by block.
-    pub fn kept(&self) -> impl Iterator<Item = Bytes> {
+    pub fn drain_buffered(&self) -> impl Iterator<Item = Bytes> {
         std::iter::from_fn(|| {
             let mut source = self.source.borrow_mut();
             source
@@ -253,28 +253,28 @@
     }
 
     /// Whether the response failed after a part of it was passed on.
-    pub fn broken(&self) -> bool {
+    pub fn is_truncated(&self) -> bool {
         self.is_truncated.get()
     }
 
     /// Whether its end has not been passed to the client's connection yet.
-    pub fn open(&self) -> bool {
+    pub fn is_end_pending(&self) -> bool {
         !self.is_complete.get()
     }
 
     /// Takes the request that is kept open until the response ends.
-    pub fn carried(&self) -> Option<Carried> {
-        self.carried.take()
+    pub fn take_request(&self) -> Option<RequestGuard> {
+        self.request.take()
     }
 }
 
 /// The owner of a streamed response body; dropping it ends the response.
-pub struct Relay {
+pub struct StreamedBody {
     /// The state shared with the task of the client's connection.
-    pub way: Rc<Way>,
+    pub stream: Rc<ResponseStream>,
 }
 
-impl Relay {
+impl StreamedBody {
     pub fn new(
         begun: Bytes,
         incoming: Incoming,
@@ -284,7 +284,7 @@
         link: Link,
         budget: &Rc<Budget>,
     ) -> Self {
-        let told = incoming.size_hint().exact().is_some();
+        let has_known_length = incoming.size_hint().exact().is_some();
         let source = Source {
             bytes_received: begun.len() as u64,
             buffered: Kept::new(budget.clone()),
@@ -298,34 +298,34 @@
             pool,
             link: Some(link),
         };
-        let way = Way {
-            told,
+        let stream = ResponseStream {
+            has_known_length,
             source: RefCell::new(source),
-            carried: RefCell::default(),
+            request: RefCell::default(),
             bytes_sent: Cell::default(),
             is_complete: Cell::default(),
             is_truncated: Cell::default(),
             is_halted: Cell::default(),
         };
-        Relay { way: Rc::new(way) }
+        StreamedBody { stream: Rc::new(stream) }
     }
 
     /// Keeps the request open until the body ends.
-    pub fn carries(&self, handle: RequestHandle, in_hand: InHand, counts: Rc<Counts>, case: usize) {
-        self.way.carried.replace(Some(Carried { counts, case, _handle: handle, _in_hand: in_hand }));
+    pub fn attach_request(&self, handle: RequestHandle, in_hand: InHand, counts: Rc<Counts>, class_index: usize) {
+        self.stream.request.replace(Some(RequestGuard { counts, class_index, _handle: handle, _in_hand: in_hand }));
     }
 }
 
-impl Drop for Relay {
+impl Drop for StreamedBody {
     /// Counts the outcome, unless the client disconnected before the response was sent whole or failed.
     fn drop(&mut self) {
-        let (way, whole) = (&self.way, self.way.is_ended());
-        way.is_complete.set(whole);
-        let mut source = way.source.borrow_mut();
+        let (stream, whole) = (&self.stream, self.stream.is_ended());
+        stream.is_complete.set(whole);
+        let mut source = stream.source.borrow_mut();
         (source.incoming, source.link, source.next) = (None, None, Bytes::new());
         while source.buffered.pop().is_some() {}
-        if let Some(carried) = way.carried.take().filter(|_| whole || way.is_truncated.get()) {
-            carried.ended(whole);
+        if let Some(request) = stream.request.take().filter(|_| whole || stream.is_truncated.get()) {
+            request.record_end(whole);
         }
     }
 }
--- a/crates/flintwell/src/nodes/carry.rs
+++ b/crates/flintwell/src/nodes/response_transfer.rs
@@ -18,26 +18,26 @@
 pub type Rest = (Rc<TcpStream>, Coding);
 
 /// A long response that was interrupted between two bytes.
-pub struct Carry {
+pub struct ResponseTransfer {
     /// The client's socket.
     pub client: Rc<TcpStream>,
     /// Bytes framed for the client that are not written to it yet.
     pub unwritten: Vec<u8>,
     /// The unframed bytes that follow, in a file, and their number.
-    pub kept: Option<(File, u64)>,
+    pub buffered: Option<(File, u64)>,
     /// The source of the remaining bytes; none if all were received.
-    pub rest: Option<Rest>,
+    pub upstream: Option<Rest>,
     /// Whether the client receives it in chunked encoding.
     pub chunked: bool,
     /// Whether the final chunk is not among the unwritten bytes and has yet to be sent.
-    pub open: bool,
+    pub is_end_pending: bool,
     /// Maximum number of bytes that the node may still send.
-    pub left: u64,
+    pub max_remaining_bytes: u64,
 }
 
-impl Carry {
+impl ResponseTransfer {
     /// Forwards the remainder to the client; returns whether the response was completed.
-    pub async fn pass_on(mut self) -> bool {
+    pub async fn run(mut self) -> bool {
         let whole = self.forward().await.is_ok();
         // Danger: a client could take a truncated response for a complete one; so after a failure its framing
         // is left without an end. An error here means that the client has disconnected.
@@ -48,7 +48,7 @@
     async fn forward(&mut self) -> io::Result<()> {
         let mut chunk = vec![0; CHUNK_BYTES];
         self.flush_unwritten().await?;
-        if let Some((mut file, mut left)) = self.kept.take() {
+        if let Some((mut file, mut left)) = self.buffered.take() {
             while left > 0 {
                 // The file was just written and is in the page cache, so a blocking read does not stall the
                 // runtime.
@@ -61,10 +61,10 @@
                 self.flush_unwritten().await?;
             }
         }
-        if let Some((node, coding)) = self.rest.take() {
+        if let Some((node, coding)) = self.upstream.take() {
             self.forward_from_node(&node, coding, &mut chunk).await?;
         }
-        self.unwritten.extend_from_slice(if self.chunked && self.open { b"0\r\n\r\n" } else { b"" });
+        self.unwritten.extend_from_slice(if self.chunked && self.is_end_pending { b"0\r\n\r\n" } else { b"" });
         self.flush_unwritten().await
     }
 
@@ -86,8 +86,8 @@
                 append_framed(out, chunked, data);
             });
             // Danger: an endless response would be forwarded for as long as its client reads.
-            let left = self.left.checked_sub(received).filter(|_| is_valid);
-            self.left = left.ok_or(io::ErrorKind::InvalidData)?;
+            let left = self.max_remaining_bytes.checked_sub(received).filter(|_| is_valid);
+            self.max_remaining_bytes = left.ok_or(io::ErrorKind::InvalidData)?;
             self.flush_unwritten().await?;
         }
         Ok(())
--- a/crates/flintwell/src/nodes/permission.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -3,7 +3,7 @@
 
 use crate::clients::presence::Presence;
 use crate::fleet::lease::ListLease;
-use crate::nodes::link::{Broken, Cause};
+use crate::nodes::connection::{ExchangeError, FailureCause};
 use crate::nodes::pool::Pool;
 use crate::process::clock::span;
 use crate::process::count::{Count, one_more};
@@ -23,7 +23,7 @@
     /// When the routing policy chose the node.
     pub chosen_at: Instant,
     /// Time limit of the attempt.
-    pub allow_for: Micros,
+    pub timeout: Micros,
     pub client: Presence,
 }
 
@@ -48,11 +48,11 @@
         named.into_iter().map(|(name, count)| (name, count.get())).collect()
     }
 
-    fn record(&self, cause: &Cause) {
+    fn record(&self, cause: &FailureCause) {
         match cause {
-            Cause::Lapsed => one_more(&self.lapsed),
-            Cause::Stale => one_more(&self.stale),
-            Cause::Left => one_more(&self.left),
+            FailureCause::Lapsed => one_more(&self.lapsed),
+            FailureCause::Stale => one_more(&self.stale),
+            FailureCause::ClientDisconnected => one_more(&self.left),
             _ => one_more(&self.unlisted),
         }
     }
@@ -60,19 +60,19 @@
 
 /// Decides whether a request may be sent now.
 #[derive(Clone)]
-pub struct Permission {
+pub struct SendGuard {
     pub pool: Rc<Pool>,
     pub lease: Rc<ListLease>,
     pub violations: Violations,
 }
 
-impl Permission {
+impl SendGuard {
     /// Returns an error with the reason if the request may not be sent now.
-    pub fn check(&self, pending: &PendingSend) -> Result<(), Broken> {
+    pub fn check(&self, pending: &PendingSend) -> Result<(), ExchangeError> {
         // Danger: a list that could not be renewed may miss that nodes have left, and a change counts as
         // known to us from the moment at which the lease ends.
         if !self.lease.is_valid() {
-            return Err(Broken::before_write(Cause::Lapsed));
+            return Err(ExchangeError::before_write(FailureCause::Lapsed));
         }
         // Danger: the list may have changed since the node was chosen, and a request counts as sent at its
         // first byte.
@@ -80,11 +80,11 @@
         // Danger: the window for a repeat, or the request's time limit, may have passed; the policy reserved
         // no more than the time of a dial for either.
         let since = pending.chosen_at.elapsed();
-        if since >= span(pending.allow_for) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
-            return Err(Broken::before_write(Cause::Stale));
+        if since >= span(pending.timeout) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
+            return Err(ExchangeError::before_write(FailureCause::Stale));
         }
         // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
-        if pending.client.left() { Err(Broken::before_write(Cause::Left)) } else { Ok(()) }
+        if pending.client.left() { Err(ExchangeError::before_write(FailureCause::ClientDisconnected)) } else { Ok(()) }
     }
 
     /// Called when the first bytes of a request that passed the check at `permitted_at` were written: counts
--- a/crates/flintwell/src/nodes/stream.rs
+++ b/crates/flintwell/src/nodes/stream.rs
@@ -11,9 +11,9 @@
 use tokio::net::TcpStream;
 
 /// A reference-counted TCP stream.
-pub struct Shared(pub Rc<TcpStream>);
+pub struct SharedStream(pub Rc<TcpStream>);
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -29,7 +29,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
--- a/crates/flintwell/src/process/handover.rs
+++ b/crates/flintwell/src/process/handover.rs
@@ -3,8 +3,8 @@
 //! the new one has said that it takes it, and nothing is written by the new one before that.
 
 use crate::clients::framing::Coding;
-use crate::nodes::carry::Carry;
-use crate::nodes::relay::Carried;
+use crate::nodes::response_transfer::ResponseTransfer;
+use crate::nodes::response_body::RequestGuard;
 use crate::say;
 use crate::staff::counts::{Counts, End};
 use bytes::Bytes;
@@ -96,7 +96,7 @@
 
     /// Whether the successor has it now. Danger: one that does not say so may have it all the same, and a byte
     /// would go out twice; so it is waited for until it says something or is gone.
-    async fn takes(&self, carry: &Carry, case: Option<usize>) -> bool {
+    async fn takes(&self, carry: &ResponseTransfer, case: Option<usize>) -> bool {
         let mut socket = loop {
             match timeout(ANSWERS, self.socket.lock()).await {
                 Ok(socket) => break socket,
@@ -119,11 +119,11 @@
     }
 }
 
-async fn offer(socket: &UnixSeqpacket, carry: &Carry, case: Option<usize>) -> io::Result<bool> {
-    let rest = carry.rest.as_ref().map(|rest| rest.1);
+async fn offer(socket: &UnixSeqpacket, carry: &ResponseTransfer, case: Option<usize>) -> io::Result<bool> {
+    let rest = carry.upstream.as_ref().map(|rest| rest.1);
     let unwritten = carry.unwritten.len();
-    let kept = carry.kept.as_ref().map_or(0, |kept| kept.1);
-    let Carry { chunked, open, left, .. } = *carry;
+    let kept = carry.buffered.as_ref().map_or(0, |kept| kept.1);
+    let ResponseTransfer { chunked, is_end_pending: open, max_remaining_bytes: left, .. } = *carry;
     let note = Note { case, rest, chunked, open, left, unwritten, kept };
     let mut head = serde_json::to_vec(&note)?;
     head.push(b'\n');
@@ -131,8 +131,8 @@
         return Ok(false);
     }
     let mut descriptors = vec![carry.client.as_fd()];
-    descriptors.extend(carry.rest.iter().map(|rest| rest.0.as_fd()));
-    descriptors.extend(carry.kept.iter().map(|kept| kept.0.as_fd()));
+    descriptors.extend(carry.upstream.iter().map(|rest| rest.0.as_fd()));
+    descriptors.extend(carry.buffered.iter().map(|kept| kept.0.as_fd()));
     let mut ancillary = [0; ANCILLARY];
     let mut ancillary = AncillaryMessageWriter::new(&mut ancillary);
     ancillary.add_fds(descriptors.iter()).map_err(|_| io::Error::other("no room for descriptors"))?;
@@ -148,12 +148,12 @@
 }
 
 /// Hands an answer over; what the successor does not take is passed on here, as without one.
-pub async fn hand_over(successor: &Successor, carry: Carry, carried: Option<Carried>) {
-    if successor.takes(&carry, carried.as_ref().map(|carried| carried.case)).await {
+pub async fn hand_over(successor: &Successor, carry: ResponseTransfer, carried: Option<RequestGuard>) {
+    if successor.takes(&carry, carried.as_ref().map(|carried| carried.class_index)).await {
         return;
     }
-    let whole = carry.pass_on().await;
-    carried.into_iter().for_each(|carried| carried.ended(whole));
+    let whole = carry.run().await;
+    carried.into_iter().for_each(|carried| carried.record_end(whole));
 }
 
 /// What a process needs to take over.
@@ -254,7 +254,7 @@
         let (rest, left) = (node.zip(note.rest), note.left);
         let kept = file.map(|file| (file, note.kept));
         let (chunked, open) = (note.chunked, note.open);
-        let carry = Carry { client, unwritten, kept, rest, chunked, open, left };
+        let carry = ResponseTransfer { client, unwritten, buffered: kept, upstream: rest, chunked, is_end_pending: open, max_remaining_bytes: left };
         Ok(Taken { carry, case: note.case, permits })
     }
 
@@ -262,7 +262,7 @@
         let counts = self.counts.clone();
         spawn_local(async move {
             let _in_hand = case.map(|_| counts.takes());
-            let whole = carry.pass_on().await;
+            let whole = carry.run().await;
             case.into_iter().for_each(|case| counts.ended(case, End::passed_on(whole)));
             drop(permits);
         });
@@ -271,7 +271,7 @@
 
 /// An answer that is ours now.
 struct Taken {
-    carry: Carry,
+    carry: ResponseTransfer,
     case: Option<usize>,
     permits: Vec<OwnedSemaphorePermit>,
 }
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -3,15 +3,15 @@
 use crate::clients::accept;
 use crate::clients::body::Budget;
 use crate::clients::presence::Presence;
-use crate::fleet::calls::Calls;
-use crate::fleet::discovery::Discovery;
-use crate::fleet::kept_list::{KeptList, Left};
+use crate::fleet::discovery_calls::DiscoveryCalls;
+use crate::fleet::discovery::DiscoveryClient;
+use crate::fleet::list_store::{ListStore, StoredList};
 use crate::fleet::lease::ListLease;
-use crate::fleet::list_status::{ListStatus, Source};
+use crate::fleet::list_status::{ListStatus, ListSource};
 use crate::fleet::registry::Registry;
-use crate::fleet::words::Words;
-use crate::nodes::attempt::Attempts;
-use crate::nodes::permission::Permission;
+use crate::fleet::peer_messaging::PeerMessaging;
+use crate::nodes::attempt::AttemptService;
+use crate::nodes::send_guard::SendGuard;
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, span};
 use crate::process::config::{Config, SOCKETS_LEAST};
@@ -145,10 +145,10 @@
     }
     let succession = Succession::open(store.clone(), dispatcher.clock.now());
     let succession = Rc::new(succession.map_err(|e| format!("folder for temporary files: {e}"))?);
-    let kept = KeptList::new(store.clone());
-    let (source, begins_with, age) = match kept.left() {
-        Some(Left { listing, age }) => (Source::Folder, listing, age),
-        None => (Source::Configuration, config.known, None),
+    let kept = ListStore::new(store.clone());
+    let (source, begins_with, age) = match kept.load() {
+        Some(StoredList { listing, age }) => (ListSource::Folder, listing, age),
+        None => (ListSource::Configuration, config.known, None),
     };
     let now = clock.now();
     let list_watch = ListWatch::new(
@@ -168,20 +168,20 @@
         lease.clone(),
     );
     let (moves, discovery_at) = watch::channel(config.discovery);
-    let list_status = ListStatus::start(lease.clone(), now, source, &begins_with);
-    let mut discovery = Discovery::new(
+    let list_status = ListStatus::new(lease.clone(), now, source, &begins_with);
+    let mut discovery = DiscoveryClient::new(
         discovery_at,
         registry.clone(),
         lease.clone(),
         list_status.clone(),
         list_watch,
-        Calls::new(clock),
+        DiscoveryCalls::new(clock),
     );
-    discovery.start(&begins_with);
+    discovery.load_initial(&begins_with);
     let watched = dispatcher.clone();
-    spawn_local(lasting("discovery", async move || discovery.watch(&watched).await));
+    spawn_local(lasting("discovery", async move || discovery.run(&watched).await));
     let leased = registry.clone();
-    spawn_local(lasting("lease", async move || leased.keep_lease().await));
+    spawn_local(lasting("lease", async move || leased.follow_lease().await));
     let reloading = async move || reload::on_signal(&mut hangup, &path, &moves).await;
     spawn_local(lasting("reload", reloading));
     let timed = dispatcher.clone();
@@ -189,12 +189,12 @@
     let beating = dispatcher.clone();
     spawn_local(lasting("pulse", async move || beating.pulse.beat().await));
     let followed = registry.clone();
-    spawn_local(lasting("registry", async move || followed.follow().await));
+    spawn_local(lasting("registry", async move || followed.sync_store().await));
     let swept = pool.clone();
-    spawn_local(lasting("sweep", async move || swept.sweep().await));
+    spawn_local(lasting("sweep", async move || swept.run_idle_sweeper().await));
     let (stop, shutdown) = shutdown::new();
     let room = Arc::new(Semaphore::new(connections));
-    let rooms = [(room.clone(), connections), (pool.room(), connections)];
+    let rooms = [(room.clone(), connections), (pool.connection_permits(), connections)];
     let (sharing, stopping) = (succession.clone(), shutdown.clone());
     spawn_local(lasting("shares", async move || sharing.share(&rooms, &stopping).await));
     let rollout = changes.map(|(disk, member)| {
@@ -206,7 +206,7 @@
                 put_counts.knows(&network.classes);
                 put_network.set(network);
                 put_dispatcher.change(settings);
-                put_registry.retell();
+                put_registry.republish();
             }
             // They were checked when they were staged.
             (Err(error), _) | (_, Err(error)) => say!("settings not in force: {error}"),
@@ -228,10 +228,10 @@
     }
     let words = config.words.take().map(|words| {
         let (dispatcher, counts) = (dispatcher.clone(), counts.clone());
-        Rc::new(Words::new(words, config.name.clone(), place, seed, dispatcher, counts))
+        Rc::new(PeerMessaging::new(words, config.name.clone(), place, seed, dispatcher, counts))
     });
     if let Some(words) = words.clone() {
-        spawn_local(lasting("words", async move || words.speak().await));
+        spawn_local(lasting("words", async move || words.run().await));
     }
     if let (Some(words), shutdown) = (words.clone(), shutdown.clone()) {
         spawn_local(async move {
@@ -251,14 +251,14 @@
         // Danger: one that can't be reached so would be no reason not to serve.
         match UnixSeqpacketListener::bind(&path) {
             Ok(mut listener) => {
-                let takeover = Inheritance { rooms: [room.clone(), pool.room()], counts: counts.clone() };
+                let takeover = Inheritance { rooms: [room.clone(), pool.connection_permits()], counts: counts.clone() };
                 spawn_local(lasting("hand-over", async move || takeover.take_over(&mut listener).await));
             }
             Err(error) => say!("long answers can't be taken over: {error}"),
         }
     }
-    let permission = Permission { pool, lease: lease.clone(), violations: counts.violations.clone() };
-    let attempts = Attempts::new(permission, counts.clone(), Budget::new(config.answers));
+    let permission = SendGuard { pool, lease: lease.clone(), violations: counts.violations.clone() };
+    let attempts = AttemptService::new(permission, counts.clone(), Budget::new(config.answers));
     let budget = Budget::new(config.bodies);
     let longest_now = network.clone();
     let front =
--- a/crates/flintwell/src/requests/front.rs
+++ b/crates/flintwell/src/requests/front.rs
@@ -6,8 +6,8 @@
 use crate::clients::framing::Framing;
 use crate::clients::presence::Presence;
 use crate::fleet::lease::ListLease;
-use crate::nodes::attempt::Attempts;
-use crate::nodes::relay::Content;
+use crate::nodes::attempt::AttemptService;
+use crate::nodes::response_body::ResponseBody;
 use crate::process::live::Live;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 pub struct Front {
     pub dispatcher: Rc<Dispatcher>,
-    pub attempts: Attempts,
+    pub attempts: AttemptService,
     pub counts: Rc<Counts>,
     pub network: Rc<Live<Network>>,
     pub budget: Rc<Budget>,
@@ -41,7 +41,7 @@
     async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Answer {
         if request.uri().path() == "/health/ready" {
             // Danger: clients that come before any list is in force are refused, where others could serve them.
-            return Answer::Ready(self.lease.ready() && !self.shutdown.begun());
+            return Answer::Ready(self.lease.is_ready() && !self.shutdown.begun());
         }
         let client = self.client.clone();
         match ClientRequest::decode(request, framing, &self.network.get(), &self.budget, client).await {
@@ -60,7 +60,7 @@
 }
 
 impl Service<Request<Incoming>> for Front {
-    type Response = Response<Content>;
+    type Response = Response<ResponseBody>;
     type Error = Infallible;
     type Future = LocalBoxFuture<'static, Result<Self::Response, Infallible>>;
 
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -3,9 +3,9 @@
 use crate::clients::answer::Answer;
 use crate::clients::decode::ClientRequest;
 use crate::fleet::lease::ListLease;
-use crate::nodes::attempt::{Attempt, Attempts};
-use crate::nodes::link::Cause;
-use crate::nodes::relay::Content;
+use crate::nodes::attempt::{Attempt, AttemptService};
+use crate::nodes::connection::FailureCause;
+use crate::nodes::response_body::ResponseBody;
 use crate::process::clock::span;
 use crate::process::count::one_more;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
@@ -22,7 +22,7 @@
     request: ClientRequest,
     dispatcher: &Rc<Dispatcher>,
     lease: &ListLease,
-    attempts: &Attempts,
+    attempts: &AttemptService,
     counts: &Rc<Counts>,
 ) -> Answer {
     let (in_hand, case) = (counts.takes(), request.class);
@@ -30,12 +30,12 @@
     // Danger: what waits while the process stands still is read late; counted from then on, it would look quick.
     let began = dispatcher.pulse.waited_from();
     let wait = (request.deadline(began) - dispatcher.clock.now()) / LIST_WAIT_PARTS;
-    lease.first_in_force(span(wait.min(LIST_WAIT_MOST))).await;
+    lease.wait_until_first_valid(span(wait.min(LIST_WAIT_MOST))).await;
     let mut answer = decide(request, began, &mut handle, dispatcher, attempts, counts).await;
     counts.took(dispatcher.clock.now() - began);
     answer.end().inspect(|&end| counts.ended(case, end));
-    if let Answer::Served(Content::Long(relay)) = &mut answer {
-        relay.carries(handle, in_hand, counts.clone(), case);
+    if let Answer::Served(ResponseBody::Streamed(relay)) = &mut answer {
+        relay.attach_request(handle, in_hand, counts.clone(), case);
     }
     answer
 }
@@ -45,7 +45,7 @@
     began: Micros,
     handle: &mut RequestHandle,
     dispatcher: &Rc<Dispatcher>,
-    attempts: &Attempts,
+    attempts: &AttemptService,
     counts: &Counts,
 ) -> Answer {
     let request = Rc::new(request);
@@ -64,7 +64,7 @@
                 let sent_at = dispatcher.clock.now();
                 let fetch = dispatcher.is_origin(&node);
                 let chosen_at = Instant::now();
-                let attempt = Attempt { request: request.clone(), node, allow_for, chosen_at };
+                let attempt = Attempt { request: request.clone(), node, timeout: allow_for, chosen_at };
                 let ended = attempts.clone().oneshot(attempt).await;
                 let wait = dispatcher.clock.now() - sent_at;
                 // What the origin refused has cost it something, too.
@@ -77,7 +77,7 @@
                         if fetch && answered.ending == Ending::Full {
                             one_more(&counts.refused);
                         }
-                        handle.ended(answered.ending, wait, answered.first);
+                        handle.ended(answered.ending, wait, answered.first_on_connection);
                         if answered.ending == Ending::Served {
                             return Answer::Served(answered.body);
                         }
@@ -87,7 +87,7 @@
                         if let Some(why) = request.body.passing().and_then(|end| end.broken.take()) {
                             return Answer::Malformed(why);
                         }
-                        if broken.cause == Cause::Left {
+                        if broken.cause == FailureCause::ClientDisconnected {
                             return Answer::Left;
                         }
                         handle.ended(broken.ending(), wait, false);
--- a/crates/flintwell/src/staff/counts.rs
+++ b/crates/flintwell/src/staff/counts.rs
@@ -1,6 +1,6 @@
 //! The figures that the second address tells, counted where the thing happens.
 
-use crate::nodes::permission::Violations;
+use crate::nodes::send_guard::Violations;
 use crate::process::count::{Count, one_more};
 use flintwell_core::interface::Micros;
 use flintwell_rollout::wire::{self, encode_times, new_times};
--- a/crates/flintwell/src/staff/fleet_status.rs
+++ b/crates/flintwell/src/staff/fleet_status.rs
@@ -1,6 +1,6 @@
 //! `flintwell fleet status`: what one proxy knows of its fleet, for people and as JSON.
 
-use crate::fleet::words::Fleet;
+use crate::fleet::peer_messaging::FleetStatus;
 use clap::Subcommand;
 use hyper::{Method, StatusCode};
 use std::net::SocketAddr;
@@ -34,13 +34,13 @@
         print!("{}", String::from_utf8_lossy(&text));
         return Ok(());
     }
-    let fleet: Fleet = serde_json::from_slice(&text).map_err(|e| format!("{at}: {e}"))?;
+    let fleet: FleetStatus = serde_json::from_slice(&text).map_err(|e| format!("{at}: {e}"))?;
     print!("{}", shown(&fleet));
     Ok(())
 }
 
-fn shown(fleet: &Fleet) -> String {
-    let Fleet { name, number, members, share, dropped, .. } = fleet;
+fn shown(fleet: &FleetStatus) -> String {
+    let FleetStatus { name, number, members, share, dropped, .. } = fleet;
     let rate = share.rate.map_or("no limit known".into(), |rate| format!("{rate:.1} fetches a second"));
     let mut text = format!(
         "{name}, number {number}: {rate}, {} units, {} of them borrowed\n",
--- a/crates/flintwell/src/staff/management.rs
+++ b/crates/flintwell/src/staff/management.rs
@@ -2,9 +2,9 @@
 
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
-use crate::fleet::overrides::Refused;
+use crate::fleet::overrides::OverrideError;
 use crate::fleet::registry::Registry;
-use crate::fleet::words::Words;
+use crate::fleet::peer_messaging::PeerMessaging;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::say;
@@ -45,7 +45,7 @@
     /// Changes of settings, where the configuration says how.
     pub rollout: Option<Rc<Rollout>>,
     /// Words with other proxies, where the configuration names some.
-    pub words: Option<Rc<Words>>,
+    pub words: Option<Rc<PeerMessaging>>,
 }
 
 #[derive(Deserialize)]
@@ -118,7 +118,7 @@
         return rolls(request, rollout).await;
     }
     if let Some(words) = office.words.as_deref().filter(|_| request.uri().path() == FLEET) {
-        let text = serde_json::to_string(&words.fleet()).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
+        let text = serde_json::to_string(&words.status()).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
         return Ok((StatusCode::OK, text));
     }
     let wanted = match request.uri().path() {
@@ -131,12 +131,12 @@
     }
     let (head, body) = request.into_parts();
     match head.uri.path() {
-        "/api/ready" => match office.lease.ready() && !office.shutdown.begun() {
+        "/api/ready" => match office.lease.is_ready() && !office.shutdown.begun() {
             true => Ok((StatusCode::OK, r#"{"ready":true}"#.into())),
             false => Ok((StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#.into())),
         },
         "/api/telemetry" => {
-            let figures = office.counts.figures(office.registry.known(), office.dispatcher.avoided());
+            let figures = office.counts.figures(office.registry.cache_count(), office.dispatcher.avoided());
             let text = serde_json::to_string(&figures).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
             Ok((StatusCode::OK, text))
         }
@@ -145,7 +145,7 @@
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
         LIST => {
-            let text = serde_json::to_string(&office.list_status.figures());
+            let text = serde_json::to_string(&office.list_status.report());
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
         path => {
@@ -157,8 +157,8 @@
             let done = if out { office.registry.exclude(&who) } else { office.registry.include(&who) };
             match done {
                 Ok(()) => Ok((StatusCode::OK, format!(r#"{{"out":{out}}}"#))),
-                Err(Refused::Unknown) => Err(StatusCode::NOT_FOUND),
-                Err(Refused::NotRecorded) => Err(StatusCode::INSUFFICIENT_STORAGE),
+                Err(OverrideError::UnknownNode) => Err(StatusCode::NOT_FOUND),
+                Err(OverrideError::NotPersisted) => Err(StatusCode::INSUFFICIENT_STORAGE),
             }
         }
     }
--- a/crates/flintwell/src/staff/rollout.rs
+++ b/crates/flintwell/src/staff/rollout.rs
@@ -63,7 +63,7 @@
         match what {
             "status" => self.told(),
             "settings" => serde_json::to_string(&self.member.borrow().in_force().settings).map_err(wrong),
-            "nodes" => serde_json::to_string(&self.registry.listing()).map_err(wrong),
+            "nodes" => serde_json::to_string(&self.registry.effective_list()).map_err(wrong),
             "figures" => {
                 let epoch = self.member.borrow().in_force().epoch;
                 serde_json::to_string(&self.counts.compared(epoch, self.started_ms)).map_err(wrong)
