--- a/crates/flintwell/src/process/clock.rs
+++ b/crates/flintwell/src/process/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock: the wall clock read once at start, carried on by the monotonic one.
+//! Process clock (wall-clock time at start plus monotonic elapsed time), stall detection and idle timeouts.
 
 use flintwell_core::interface::Micros;
 use std::cell::Cell;
@@ -7,10 +7,12 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::time::{Sleep, sleep};
 
-const BEAT: Micros = 10_000; // us; fine beside deadlines, and nothing beside a request's work
-pub const PEER_STALL: Duration = Duration::from_secs(10); // of either side; peers take seconds
-const STALL: Micros = 40_000; // us since the beat before last; twice what it is while all goes well
+const BEAT: Micros = 10_000; // short compared with deadlines, negligible CPU cost
+/// Longest time without progress on a client or node connection; healthy peers may pause for seconds.
+pub const PEER_STALL: Duration = Duration::from_secs(10);
+const STALL: Micros = 40_000; // since the beat before last; twice the normal value of two beats
 
+/// Source of the current time for the whole process.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -22,21 +24,22 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), started_at: since.as_micros() as Micros }
     }
-    /// Unix time, so that starts told by the list compare, but never going back.
+    /// Unix time that never goes backwards. It is comparable with the node start times in the server list.
     pub fn now(&self) -> Micros {
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
-    /// A moment of the monotonic clock, by this one.
+    /// Converts an `Instant` to Unix time on this clock.
     pub fn at(&self, instant: Instant) -> Micros {
         let since = instant.saturating_duration_since(self.started).as_micros() as Micros;
         self.started_at + since
     }
+    /// Converts Unix time on this clock to an `Instant`.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.started + span(at - self.started_at)).into()
     }
 }
 
-/// Beats while our core gets its turns.
+/// Detects stalls of the runtime thread with a periodic task that records when it last ran.
 pub struct Pulse {
     clock: Clock,
     last: Cell<Micros>,
@@ -54,15 +57,16 @@
             self.before.set(self.last.replace(self.clock.now()));
         }
     }
-    /// From when on something may have waited for us that is read now. Danger: what comes while the process
-    /// stands still looks new when it is read, and would be answered past its deadline.
+    /// Earliest time at which input that is read now may have arrived: the current time, or the last beat before a
+    /// stall. Input that arrives while the process is stalled looks new when it is read, so a deadline counted from
+    /// the read would be exceeded.
     pub fn waited_from(&self) -> Micros {
         let (now, before) = (self.clock.now(), self.before.get());
         if now - before > STALL { before } else { now }
     }
 }
 
-/// How long a peer may bring nothing while it is waited for.
+/// Idle timer for a peer: limits how long we wait for it without receiving data.
 pub struct Patience {
     most: Duration,
     ends: Pin<Box<Sleep>>,
@@ -73,13 +77,13 @@
     pub fn new(most: Duration) -> Self {
         Patience { most, ends: Box::pin(sleep(most)), waits: false }
     }
-    /// Something has come.
+    /// Stops the timer; call when data has been received.
     pub fn renew(&mut self) {
         self.waits = false;
     }
-    /// Nothing has come: ready once the peer has been waited for too long.
+    /// Starts the timer if it is not running; ready once it has expired. Call when no data is available.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        // Only the time in which it is waited for counts.
+        // Counts only the time spent waiting for the peer.
         if !std::mem::replace(&mut self.waits, true) {
             self.ends.as_mut().reset(tokio::time::Instant::now() + self.most);
         }
@@ -87,6 +91,7 @@
     }
 }
 
+/// Converts microseconds to a `Duration`; negative values become zero.
 pub fn span(time: Micros) -> Duration {
     Duration::from_micros(time.max(0) as u64)
 }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file: read once at start, checked whole before anything is opened.
+//! Configuration file: read at start (and again on SIGHUP) and validated completely before any socket is opened.
 
 use flintwell_core::interface::Settings;
 use flintwell_settings::listing::Listing;
@@ -8,14 +8,15 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const SOCKETS: usize = 1_024; // descriptors; the usual limit of a process, where none is given
-const MANAGEMENT: &str = "EDGE_MGMT"; // names the second address
-const MEMORY: f64 = 64.0; // MB; where none is given
-const MEGABYTE: f64 = 1_048_576.0; // bytes
-const BODIES: f64 = 0.25; // of the memory, for bodies of requests
-const ANSWERS: f64 = 0.375; // of the memory, for answers read ahead; the rest for connections and ourselves
-const KEY_LEAST: usize = 16; // bytes; a shorter one can be guessed
-pub const SOCKETS_LEAST: usize = 64; // descriptors; under this nothing is left for clients and nodes
+const SOCKETS: usize = 1_024; // the usual soft limit on descriptors of a process
+const MANAGEMENT: &str = "EDGE_MGMT"; // overrides `mgmt` of the file
+const MEMORY: f64 = 64.0;
+const MEGABYTE: f64 = 1_048_576.0;
+const BODIES: f64 = 0.25; // share of the memory limit
+const ANSWERS: f64 = 0.375; // share of the memory limit; the rest is for connections and the process itself
+const KEY_LEAST: usize = 16; // shorter keys can be guessed
+/// Smallest usable descriptor limit; below it none would be left for clients and nodes.
+pub const SOCKETS_LEAST: usize = 64;
 
 #[derive(Deserialize)]
 struct Limits {
@@ -25,37 +26,39 @@
     memory_mb: Option<f64>,
 }
 
-/// Where changes of settings come from and are kept.
+/// Settings rollout: the fleet this proxy belongs to and where it persists the settings in force.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// The fleet's name; words of another's are refused.
+    /// Name of the fleet; rollout messages for another fleet are refused.
     pub fleet: String,
-    /// A folder of this proxy's own that outlives the process.
+    /// State directory, used by this proxy only; it must outlive the process.
     pub state: PathBuf,
 }
 
-/// Words with the other proxies.
+/// Messages between the proxies of the fleet, as configured.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WordsTold {
     cluster: String,
     listen: SocketAddr,
-    /// Where others reach that; the same address where it is not told.
+    /// Address at which other proxies reach `listen`, if it differs.
     #[serde(default)]
     advertise: Option<SocketAddr>,
     peers: Vec<SocketAddr>,
-    /// Signs each datagram; without one they are not signed.
+    /// Key that signs each datagram; datagrams are not signed without one.
     #[serde(default)]
     key_file: Option<PathBuf>,
 }
 
+/// Messages between the proxies of the fleet, validated, with defaults applied and the key loaded.
 #[derive(Clone, Debug)]
 pub struct Words {
     pub cluster: String,
     pub listen: SocketAddr,
     pub advertise: SocketAddr,
     pub peers: Vec<SocketAddr>,
+    /// Empty if datagrams are not signed.
     pub key: Vec<u8>,
 }
 
@@ -64,7 +67,7 @@
     #[serde(default)]
     name: String,
     listen: SocketAddr,
-    /// The second address, for the staff; none without it.
+    /// Address of the management API, which is off without it.
     #[serde(default)]
     mgmt: Option<SocketAddr>,
     discovery: SocketAddr,
@@ -74,17 +77,19 @@
     limits: Option<Limits>,
     known: Listing,
     settings: Value,
-    /// How settings are changed while we run; not at all without it.
+    /// Settings cannot be changed at run time without it.
     #[serde(default)]
     rollout: Option<Rollout>,
-    /// Whom to speak with; nobody without it.
+    /// The proxy exchanges no messages with other proxies without it.
     #[serde(default)]
     words: Option<WordsTold>,
-    /// What other settings to watch with, laid over the ones in force.
+    /// Settings of a second, passive policy instance whose decisions are compared with those taken; overrides on top
+    /// of `settings`.
     #[serde(default)]
     watch_with: Option<Value>,
 }
 
+/// Validated configuration.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
@@ -92,9 +97,9 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub sockets: usize,
-    /// Bytes of bodies that may be kept.
+    /// Bytes of request bodies that may be buffered.
     pub bodies: usize,
-    /// Bytes of long answers that may be read ahead of their clients.
+    /// Bytes of streamed responses that may be read ahead of their clients.
     pub answers: usize,
     pub known: Listing,
     pub settings: Settings,
@@ -102,10 +107,11 @@
     pub network: Network,
     pub rollout: Option<Rollout>,
     pub words: Option<Words>,
-    /// The settings as they stand in the file.
+    /// The settings as JSON, unchanged from the file.
     pub told: Value,
 }
 
+/// Reads and validates the configuration file; the error names the file.
 pub fn read(path: &Path) -> Result<Config, String> {
     let place = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let text = std::fs::read(path).map_err(|e| place(&e))?;
@@ -117,17 +123,17 @@
     let sockets = file.limits.as_ref().and_then(|limits| limits.sockets).unwrap_or(SOCKETS);
     let memory = file.limits.and_then(|limits| limits.memory_mb).unwrap_or(MEMORY).max(0.0);
     if sockets < SOCKETS_LEAST {
-        return Err(format!("limits.sockets is {sockets}; {SOCKETS_LEAST} are the least"));
+        return Err(format!("limits.sockets is {sockets}; the minimum is {SOCKETS_LEAST}"));
     }
     check(&file.settings)?;
     let settings = decode(&file.settings)?;
     let management = management_told()?.or(file.mgmt);
     if let Some(rollout) = &file.rollout {
         if rollout.fleet.is_empty() || rollout.state.as_os_str().is_empty() {
-            return Err("rollout: fleet and state need a name each".into());
+            return Err("rollout: fleet and state must not be empty".into());
         }
         if management.is_none() {
-            return Err("rollout: settings are changed at the second address, and mgmt gives none".into());
+            return Err("rollout: needs the management API, but mgmt is not set".into());
         }
     }
     let words = file.words.map(|told| words(told, &settings, &file.settings)).transpose()?;
@@ -158,23 +164,23 @@
     let WordsTold { cluster, listen, advertise, peers, key_file } = told;
     let advertise = advertise.unwrap_or(listen);
     if file["limits"]["peer_messages"] == Value::Bool(false) {
-        return Err("words: limits.peer_messages bars words between proxies".into());
+        return Err("words: limits.peer_messages forbids messages between proxies".into());
     }
     if cluster.is_empty() || listen.port() == 0 || advertise.ip().is_unspecified() {
-        return Err("words: cluster needs a name, listen a port, and others an address to reach".into());
+        return Err("words: cluster needs a name, listen a port, and advertise an address to reach".into());
     }
     if !peers.iter().any(|peer| *peer != advertise) {
-        return Err("words: peers names nobody but this proxy".into());
+        return Err("words: peers lists nobody but this proxy".into());
     }
     if settings.index >= settings.fleet_size {
         let (index, size) = (settings.index, settings.fleet_size);
-        return Err(format!("words: index {index} is not under fleet_size {size}"));
+        return Err(format!("words: index {index} must be less than fleet_size {size}"));
     }
     let key = match key_file {
         Some(file) => {
             let key = std::fs::read(&file).map_err(|e| format!("words: key_file {}: {e}", file.display()))?;
             if key.len() < KEY_LEAST {
-                return Err(format!("words: key_file {} holds under {KEY_LEAST} bytes", file.display()));
+                return Err(format!("words: key_file {} has fewer than {KEY_LEAST} bytes", file.display()));
             }
             key
         }
@@ -183,7 +189,8 @@
     Ok(Words { cluster, listen, advertise, peers, key })
 }
 
-/// The second address as the environment tells it, which is this process's own.
+/// Management address from the environment. It takes precedence over the file, because versions that run side by side
+/// share the file but need an address each.
 fn management_told() -> Result<Option<SocketAddr>, String> {
     let told = std::env::var(MANAGEMENT).ok().filter(|told| !told.is_empty());
     told.map(|told| told.parse().map_err(|e| format!("{MANAGEMENT} is {told}: {e}"))).transpose()
@@ -194,14 +201,14 @@
         let cases = self.network.classes.join(", ");
         writeln!(f, "{} listens on {}, discovery at {}", self.name, self.listen, self.discovery)?;
         if let Some(management) = self.management {
-            writeln!(f, "second address {management}")?;
+            writeln!(f, "management address {management}")?;
         }
         writeln!(
             f,
-            "number {} of {}, {} descriptors",
+            "proxy {} of {}, {} descriptors",
             self.settings.index, self.settings.fleet_size, self.sockets
         )?;
-        let watched = if self.watch_with.is_some() { "; other settings are watched" } else { "" };
-        write!(f, "classes: {cases}; nodes known: {}{watched}", self.known.len())
+        let watched = if self.watch_with.is_some() { "; settings of watch_with are compared" } else { "" };
+        write!(f, "classes: {cases}; initial nodes: {}{watched}", self.known.len())
     }
 }
--- a/crates/flintwell/src/process/count.rs
+++ b/crates/flintwell/src/process/count.rs
@@ -1,10 +1,12 @@
-//! A count that grows where its thing happens.
+//! Shared counter for use on one thread.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
+/// Counter shared between the code that increments it and the code that reports it.
 pub type Count = Rc<Cell<u64>>;
 
+/// Adds one to the counter.
 pub fn one_more(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/flintwell/src/process/handover.rs
+++ b/crates/flintwell/src/process/handover.rs
@@ -1,6 +1,7 @@
-//! Long answers handed to the next version: both their sockets, what is not written yet and how the rest comes,
-//! from one process to another over a socket of the two. Each has one owner at any time: the old process until
-//! the new one has said that it takes it, and nothing is written by the new one before that.
+//! Handover of streamed responses to the successor process, e.g. the next version. Over a Unix socket the old process
+//! sends the client and node sockets of each response, the bytes not yet written and the state of its framing. Every
+//! response has exactly one owner: the old process until the new one has acknowledged it. The new process writes
+//! nothing before that.
 
 use crate::clients::framing::Coding;
 use crate::nodes::carry::Carry;
@@ -25,37 +26,41 @@
 use tokio_seqpacket::ancillary::{AncillaryMessageWriter, OwnedAncillaryMessage};
 use tokio_seqpacket::{UnixSeqpacket, UnixSeqpacketListener};
 
-const HELLO: &[u8] = b"flintwell hand-over 1"; // with the version of what follows
+const HELLO: &[u8] = b"flintwell hand-over 1"; // ends in the protocol version
 const TAKEN: &[u8] = b"taken";
 const REFUSED: &[u8] = b"refused";
-const ANSWERS: Duration = Duration::from_millis(500); // a process that serves answers within its turns
-const MOST: usize = 196_608; // bytes of a message; under what a socket takes at once (212,992)
-const ANCILLARY: usize = 128; // bytes; room for more descriptors than we send, so that too many are seen
+const ANSWERS: Duration = Duration::from_millis(500); // ample for a process that is not stalled
+const MOST: usize = 196_608; // less than the default send buffer of a socket (212,992)
+const ANCILLARY: usize = 128; // room for more descriptors than are ever sent, so that excess ones are detected
 
-/// What is said of a long answer; the bytes not written follow.
+/// Header of a handover message: one line of JSON, followed by the bytes not yet written to the client.
 #[derive(Serialize, Deserialize)]
 struct Note {
-    /// The place of its class, where it is not counted yet.
+    /// Index of the request's class, if its outcome has not been counted yet.
     case: Option<usize>,
-    /// How the rest comes from its node, if anything still comes.
+    /// Framing state of the data still to come from the node; `None` if the node has sent everything.
     rest: Option<Coding>,
+    /// Whether the client gets the response in chunked coding.
     chunked: bool,
+    /// Whether the final chunk still has to be written.
     open: bool,
+    /// Maximum number of bytes still accepted from the node.
     left: u64,
+    /// Number of bytes that follow the header.
     unwritten: usize,
-    /// Bytes that have come behind those, in a file.
+    /// Length of the file with data that comes after those bytes; 0 if there is no file.
     kept: u64,
 }
 
-/// The successor, as the one who hands over sees it.
+/// Connection of the old process to its successor.
 pub struct Successor {
     socket: Mutex<Option<UnixSeqpacket>>,
-    /// Its last word.
+    /// Time of the last reply or error.
     heard_at: Cell<Instant>,
     folder: PathBuf,
 }
 
-/// Finds the successor that takes over at this path; one line in the log where there is none.
+/// Connects to the successor that listens at this path; logs one line if that fails.
 pub async fn successor(path: Option<&Path>) -> Option<Successor> {
     let folder = path.and_then(Path::parent).map(Path::to_owned);
     let meets = async {
@@ -65,21 +70,22 @@
         let mut hello = [0; HELLO.len() + 1];
         let said = socket.recv(&mut hello).await?.bytes_read();
         if &hello[..said] != HELLO {
-            return Err(io::Error::other("it is of another version"));
+            return Err(io::Error::other("it speaks another version of the protocol"));
         }
         Ok(Successor { socket: Mutex::new(Some(socket)), heard_at: Cell::new(Instant::now()), folder })
     };
     match timeout(ANSWERS, meets).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(successor) => Some(successor),
         Err(error) => {
-            say!("the successor takes over no long answers: {error}");
+            say!("the successor takes over no long responses: {error}");
             None
         }
     }
 }
 
 impl Successor {
-    /// Puts pieces of an answer into a file without a name, which goes with it: they are too long for a message.
+    /// Writes buffered parts of a response to an unnamed temporary file, which is sent along as a descriptor, since
+    /// they may exceed the maximum message size. Returns the file and its length, or `None` without any parts.
     pub fn keeps(&self, pieces: impl Iterator<Item = Bytes>) -> io::Result<Option<(File, u64)>> {
         let (mut file, mut length) = (None, 0);
         for piece in pieces {
@@ -94,13 +100,14 @@
         Ok(file.map(|file| (file, length)))
     }
 
-    /// Whether the successor has it now. Danger: one that does not say so may have it all the same, and a byte
-    /// would go out twice; so it is waited for until it says something or is gone.
+    /// Offers a response to the successor; returns whether the successor owns it now. A successor that has not replied
+    /// may have accepted the response all the same, and if both processes wrote, bytes would be sent twice. So this
+    /// waits without a timeout until the successor replies or the connection ends.
     async fn takes(&self, carry: &Carry, case: Option<usize>) -> bool {
         let mut socket = loop {
             match timeout(ANSWERS, self.socket.lock()).await {
                 Ok(socket) => break socket,
-                // Those that wait behind one that gets no word go on with theirs.
+                // Responses queued behind one without a reply stay in this process.
                 Err(_) if self.heard_at.get().elapsed() > ANSWERS => return false,
                 Err(_) => {}
             }
@@ -111,7 +118,7 @@
         match offered {
             Ok(taken) => taken,
             Err(error) => {
-                say!("a long answer was not handed over: {error}");
+                say!("handover of a response failed: {error}");
                 *socket = None;
                 false
             }
@@ -135,7 +142,7 @@
     descriptors.extend(carry.kept.iter().map(|kept| kept.0.as_fd()));
     let mut ancillary = [0; ANCILLARY];
     let mut ancillary = AncillaryMessageWriter::new(&mut ancillary);
-    ancillary.add_fds(descriptors.iter()).map_err(|_| io::Error::other("no room for descriptors"))?;
+    ancillary.add_fds(descriptors.iter()).map_err(|_| io::Error::other("descriptors exceed the ancillary buffer"))?;
     let parts = [IoSlice::new(&head), IoSlice::new(&carry.unwritten)];
     socket.send_vectored_with_ancillary(&parts, &mut ancillary).await?;
     let mut word = [0; 16];
@@ -147,7 +154,7 @@
     }
 }
 
-/// Hands an answer over; what the successor does not take is passed on here, as without one.
+/// Hands a response over to the successor. If the successor does not accept it, this process relays the rest itself.
 pub async fn hand_over(successor: &Successor, carry: Carry, carried: Option<Carried>) {
     if successor.takes(&carry, carried.as_ref().map(|carried| carried.case)).await {
         return;
@@ -156,25 +163,26 @@
     carried.into_iter().for_each(|carried| carried.ended(whole));
 }
 
-/// What a process needs to take over.
+/// Receiving side of the handover in the successor.
 pub struct Inheritance {
-    /// Room for connections of clients, and to nodes.
+    /// Connection limits for clients and for nodes.
     pub rooms: [Arc<Semaphore>; 2],
     pub counts: Rc<Counts>,
 }
 
 impl Inheritance {
+    /// Accepts predecessors and their responses; runs until the process ends.
     pub async fn take_over(&self, listener: &mut UnixSeqpacketListener) {
         loop {
             match listener.accept().await {
-                // One forerunner at a time; another waits.
+                // One predecessor at a time; others wait in the listen queue.
                 Ok(forerunner) => {
                     if let Err(error) = self.hear(&forerunner).await {
-                        say!("the hand-over was cut short: {error}");
+                        say!("handover interrupted: {error}");
                     }
                 }
                 Err(error) => {
-                    say!("hand-over: {error}");
+                    say!("handover: accept failed: {error}");
                     tokio::time::sleep(ANSWERS).await;
                 }
             }
@@ -185,10 +193,10 @@
         let mut hello = [0; HELLO.len() + 1];
         let said = timeout(ANSWERS, forerunner.recv(&mut hello)).await;
         let said = said.map_err(|_| io::ErrorKind::TimedOut)??.bytes_read();
-        // Of another version: it hears ours, and goes on by itself.
+        // A predecessor with another protocol version learns ours from this and keeps its responses.
         forerunner.send(HELLO).await?;
         if &hello[..said] != HELLO {
-            return Err(io::Error::other("it is of another version"));
+            return Err(io::Error::other("the predecessor speaks another version of the protocol"));
         }
         let mut message = vec![0; MOST];
         loop {
@@ -205,15 +213,15 @@
                 return Ok(());
             }
             let taken =
-                if cut { Err("it is too long") } else { self.read(&message[..info.bytes_read()], sockets) };
+                if cut { Err("message too long") } else { self.read(&message[..info.bytes_read()], sockets) };
             let word = match &taken {
                 Ok(_) => TAKEN,
                 Err(why) => {
-                    say!("a long answer was not taken over: {why}");
+                    say!("a response was not taken over: {why}");
                     REFUSED
                 }
             };
-            // One that is killed before it hears this has left the answer to us all the same.
+            // If the predecessor is killed before it reads the reply, the response is still ours.
             let heard = forerunner.send(word).await;
             if let Ok(taken) = taken {
                 self.goes_on(taken);
@@ -222,34 +230,34 @@
         }
     }
 
-    /// What a message holds, and room for it.
+    /// Decodes a message, checks its descriptors and reserves room for its connections.
     fn read(&self, message: &[u8], mut sockets: Vec<OwnedFd>) -> Result<Taken, &'static str> {
-        let end = message.iter().position(|byte| *byte == b'\n').ok_or("it has no end")?;
-        let note: Note = serde_json::from_slice(&message[..end]).map_err(|_| "it is not understood")?;
+        let end = message.iter().position(|byte| *byte == b'\n').ok_or("header has no end")?;
+        let note: Note = serde_json::from_slice(&message[..end]).map_err(|_| "header is invalid")?;
         let unwritten = message[end + 1..].to_vec();
         let descriptors = 1 + usize::from(note.rest.is_some()) + usize::from(note.kept > 0);
         if unwritten.len() != note.unwritten || sockets.len() != descriptors {
-            return Err("it is not whole");
+            return Err("bytes or descriptors are missing or in excess");
         }
         let file = sockets.pop_if(|_| note.kept > 0).map(File::from);
         let as_told =
             |file: &File| file.metadata().is_ok_and(|data| data.is_file() && data.len() == note.kept);
         if !file.iter().all(as_told) {
-            return Err("it holds another file");
+            return Err("buffered data is not a file of the announced length");
         }
         let mut sockets = sockets.into_iter().map(|socket| {
             let stream = TcpStream::from(socket);
-            // Danger: what is no connection, and would be read and written for ever, or never.
+            // Reading or writing a descriptor that is not a connected socket could go on for ever or never complete.
             stream
                 .peer_addr()
                 .and_then(|_| stream.set_nonblocking(true))
-                .map_err(|_| "it holds no connection")?;
-            Stream::from_std(stream).map(Rc::new).map_err(|_| "it holds no connection")
+                .map_err(|_| "descriptor is not a connected socket")?;
+            Stream::from_std(stream).map(Rc::new).map_err(|_| "descriptor is not a connected socket")
         });
-        let client = sockets.next().ok_or("it is not whole")??;
+        let client = sockets.next().ok_or("client socket is missing")??;
         let node = sockets.next().transpose()?;
         let rooms = self.rooms.iter().take(1 + usize::from(node.is_some()));
-        let permits = rooms.map(|room| room.clone().try_acquire_owned().map_err(|_| "there is no room"));
+        let permits = rooms.map(|room| room.clone().try_acquire_owned().map_err(|_| "connection limit reached"));
         let permits = permits.collect::<Result<Vec<_>, _>>()?;
         let (rest, left) = (node.zip(note.rest), note.left);
         let kept = file.map(|file| (file, note.kept));
@@ -269,7 +277,7 @@
     }
 }
 
-/// An answer that is ours now.
+/// A response received from the predecessor.
 struct Taken {
     carry: Carry,
     case: Option<usize>,
--- a/crates/flintwell/src/process/log.rs
+++ b/crates/flintwell/src/process/log.rs
@@ -1,4 +1,4 @@
-//! One macro for every log line, rate-limited: a fault that repeats must not become a flood.
+//! Log output to standard error, rate-limited so that a recurring fault does not flood the log.
 
 use std::cell::Cell;
 use std::fmt::Arguments;
@@ -7,22 +7,23 @@
 use std::sync::mpsc::{SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-const LINES: u32 = 20; // lines a window; enough to see what goes on
-const WAITING: usize = 64; // lines not written yet; some seconds' worth
+const LINES: u32 = 20; // per window
+const WAITING: usize = 64; // queued for the writer thread; some seconds of output
 const WINDOW: Duration = Duration::from_secs(1);
 
 thread_local! {
     static WRITTEN: Cell<(Option<Instant>, u32)> = const { Cell::new((None, 0)) };
 }
 
-/// Whether another line may be written now; tells at a window's end how many were not.
+/// Whether another line may be logged in the current window. The first call after a window logs how many lines the
+/// window suppressed.
 pub fn allowed() -> bool {
     WRITTEN.with(|written| {
         let (start, lines) = written.get();
         let now = Instant::now();
         if start.is_none_or(|start| now - start >= WINDOW) {
             if lines > LINES {
-                line(format_args!("{} lines left out", lines - LINES));
+                line(format_args!("rate limit suppressed {} log lines", lines - LINES));
             }
             written.set((Some(now), 1));
             return true;
@@ -32,8 +33,9 @@
     })
 }
 
-/// Danger: a log whose reader stands still blocks whoever writes, and one whose reader is gone makes eprintln
-/// panic. So a thread of its own writes, and what it has no room for is lost.
+/// Queues a line for the writer thread, unconditionally. Standard error is written by a separate thread because a
+/// reader that stops reading would block the caller, and a closed pipe makes `eprintln!` panic. Lines that do not
+/// fit into the queue are dropped.
 pub fn line(words: Arguments) {
     static WRITER: OnceLock<SyncSender<String>> = OnceLock::new();
     let writer = WRITER.get_or_init(|| {
@@ -48,6 +50,7 @@
     let _ = writer.try_send(words.to_string());
 }
 
+/// Logs a formatted line, subject to the rate limit.
 #[macro_export]
 macro_rules! say {
     ($($words:tt)*) => {
--- a/crates/flintwell/src/process/mod.rs
+++ b/crates/flintwell/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! The process: its start and end, its successor, its configuration, files, clock and log.
+//! Process life cycle and shared services: startup, shutdown, handover to a new version, configuration, persistent
+//! files, clock and log.
 
 pub mod clock;
 pub mod config;
--- a/crates/flintwell/src/process/reload.rs
+++ b/crates/flintwell/src/process/reload.rs
@@ -1,4 +1,5 @@
-//! SIGHUP: the configuration file is read anew, and what may change while we serve is passed on.
+//! Reloads the configuration file on SIGHUP and applies the discovery address, the only value that may change while
+//! serving.
 
 use crate::process::config;
 use crate::say;
@@ -9,35 +10,36 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-const AGAIN: Duration = Duration::from_millis(200); // between readings of a file that can't be used; well within a list's lease
+const AGAIN: Duration = Duration::from_millis(200); // well within the lease on the server list
 
-/// Reads the file at each signal. Requests in hand, connections and all that was learned are kept.
+/// Reloads the file at each signal. In-flight requests, connections and learned state are kept.
 pub async fn on_signal(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
     while hangup.recv().await.is_some() {
         read_anew(hangup, path, discovery).await;
     }
 }
 
-/// Danger: a file half written, or wrong, would take a proxy down that serves well; and one that could not be read just then,
-/// for a rename or for want of a descriptor, would leave it with the old discovery for good.
+/// Retries until the file can be read. An invalid or partly written file must not stop a proxy that is serving, and a
+/// read that fails only for a moment (file being renamed, no free descriptor) must not leave the proxy with the old
+/// discovery address for good.
 async fn read_anew(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
     let mut told = false;
     loop {
         match config::read(path) {
             Ok(config) => {
-                say!("configuration read anew, discovery at {}", config.discovery);
+                say!("configuration reloaded; discovery at {}", config.discovery);
                 discovery
                     .send_if_modified(|addr| std::mem::replace(addr, config.discovery) != config.discovery);
                 return;
             }
             Err(error) if !told => {
-                say!("configuration not read anew, the old one stays until it can be: {error}");
+                say!("configuration reload failed, keeping the previous one and retrying: {error}");
                 told = true;
             }
             Err(_) => {}
         }
         tokio::select! {
-            // Whoever sends it once more is told once more.
+            // Log the error again for each further SIGHUP.
             _ = hangup.recv() => told = false,
             () = sleep(AGAIN) => {}
         }
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them on one core.
+//! Builds the components of the proxy and runs them on one thread.
 
 use crate::clients::accept;
 use crate::clients::body::Budget;
@@ -48,41 +48,43 @@
 use tokio::time::sleep;
 use tokio_seqpacket::UnixSeqpacketListener;
 
-const AGAIN: Duration = Duration::from_millis(100); // before a part starts again; well within a watch
-const SUPERVISED: &str = "EDGE_SUPERVISED"; // set by a supervisor: we end with it
-const DESCRIPTORS_MOST: u64 = 65_536; // room for them takes half a MB
-const OWN_SOCKETS: usize = 32; // descriptors; runtime, signals, log, listener, discovery; some spare
+const AGAIN: Duration = Duration::from_millis(100); // well within a discovery long poll
+const SUPERVISED: &str = "EDGE_SUPERVISED"; // set by a supervisor; the process then ends with it
+const DESCRIPTORS_MOST: u64 = 65_536; // a table of this size takes half a MB
+const OWN_SOCKETS: usize = 32; // runtime, signals, log, listener and discovery, with some reserve
 
-/// Does a part's work to its end. Danger: a part that panics would be missed for as long as we run, with no
-/// sign of it: a list grown old, a listener shut.
+/// Runs a background task to its end and restarts it after a panic. A task that ended with a panic would otherwise be
+/// missing for the rest of the process's life without any sign but its effects: a stale server list, a closed listener.
 async fn lasting(part: &str, mut work: impl AsyncFnMut()) {
     while AssertUnwindSafe(work()).catch_unwind().await.is_err() {
-        say!("{part} panicked, and starts again");
+        say!("task {part} panicked; restarting it");
         sleep(AGAIN).await;
     }
 }
 
-/// Room for descriptors, while we are one thread. Danger: the kernel grows a table of descriptors that threads share (the
-/// log has one) only after all cores have passed a quiet state; meanwhile our one core opens nothing and stands still, on a
-/// busy machine for a second, and those of a fleet that starts as one all at the same number of connections.
+/// Grows the descriptor table to its full size while the process has only one thread. Once threads share the table (the
+/// log has its own), the kernel waits for an RCU grace period before it grows the table. Until then `open` and `accept`
+/// block the only runtime thread, for up to a second on a busy machine, and in a fleet whose proxies start together at
+/// the same number of connections in all of them.
 fn makes_room(sockets: usize) {
     let most = (sockets as u64).min(DESCRIPTORS_MOST);
-    // Where that is barred, the table grows as it did.
+    // If this fails, the table grows on demand.
     let _ = fcntl_dupfd_cloexec(std::io::stderr(), most as i32 - 1);
 }
 
+/// Serves requests until SIGTERM or SIGINT.
 pub fn serve(mut config: Config, path: PathBuf) -> Result<(), String> {
-    // Danger: with a limit of the system below what was told, idle clients would take the last descriptor, and discovery,
-    // servers and the kept files would have none.
+    // With a system limit below the configured one, idle clients would take the last descriptors and leave none for
+    // discovery, nodes and files.
     let limit = getrlimit(Resource::Nofile)
         .current
         .map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX));
     if limit < config.sockets {
-        say!("limits.sockets is {}, but this process may hold {limit}; that counts", config.sockets);
+        say!("limits.sockets is {}, but RLIMIT_NOFILE is {limit}; using {limit}", config.sockets);
         config.sockets = limit;
     }
     if limit < SOCKETS_LEAST {
-        return Err(format!("this process may hold {limit} descriptors; {SOCKETS_LEAST} are the least"));
+        return Err(format!("RLIMIT_NOFILE is {limit}; the minimum is {SOCKETS_LEAST}"));
     }
     makes_room(config.sockets);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -91,9 +93,9 @@
 }
 
 async fn run(mut config: Config, path: PathBuf) -> Result<(), String> {
-    // First, since until it is taken SIGHUP ends the process.
+    // Comes first, since SIGHUP ends the process until the handler is installed.
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    // A request holds a client's connection and one to a node at most: half of the room for each.
+    // A request holds one client connection and at most one node connection, so each side gets half.
     let connections = (config.sockets - OWN_SOCKETS) / 2;
     let inherited = inherit::listener()?;
     let inherits = inherited.is_some();
@@ -102,17 +104,18 @@
         None => accept::listen(config.listen).await.map_err(|e| format!("listen {}: {e}", config.listen))?,
     };
     if std::env::var_os(SUPERVISED).is_some() {
-        // Danger: left behind by a supervisor that was killed, it would hold the socket against the next one.
+        // If the supervisor is killed, this process must not survive it: it would keep the listening socket occupied
+        // when the next supervisor starts.
         let ends = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::TERM));
         ends.map_err(|e| format!("signals: {e}"))?;
     }
     let management = match config.management {
-        Some(addr) => Some(accept::listen(addr).await.map_err(|e| format!("second address {addr}: {e}"))?),
+        Some(addr) => Some(accept::listen(addr).await.map_err(|e| format!("management address {addr}: {e}"))?),
         None => None,
     };
     let temporary = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from);
     let store = Store::open(temporary.as_deref(), &config.name);
-    let store = store.map_err(|e| format!("folder for temporary files: {e}"))?;
+    let store = store.map_err(|e| format!("directory for temporary files: {e}"))?;
     let changes = match &config.rollout {
         Some(rollout) => {
             let disk = Disk::open(&rollout.state)?;
@@ -121,7 +124,7 @@
                 None
             });
             let member = Member::start(&rollout.fleet, left, &config.told);
-            // What was confirmed last goes before the file.
+            // The settings confirmed last take precedence over the file.
             let in_force = &member.in_force().settings;
             (config.settings, config.network) = (decode(in_force)?, decode_network(in_force)?);
             disk.write(member.record()).map_err(|e| format!("rollout.state: {e}"))?;
@@ -141,10 +144,10 @@
     let watch = config.watch_with.map(|other| Rc::new(Watch::new(clock.now(), other, seed)));
     let dispatcher = Rc::new(Dispatcher::new(clock, config.settings, seed, pool.clone(), watch.clone()));
     if let Some(watch) = watch {
-        spawn_local(lasting("watch", async move || watch.tell().await));
+        spawn_local(lasting("settings comparison", async move || watch.tell().await));
     }
     let succession = Succession::open(store.clone(), dispatcher.clock.now());
-    let succession = Rc::new(succession.map_err(|e| format!("folder for temporary files: {e}"))?);
+    let succession = Rc::new(succession.map_err(|e| format!("directory for temporary files: {e}"))?);
     let kept = KeptList::new(store.clone());
     let (source, begins_with, age) = match kept.left() {
         Some(Left { listing, age }) => (Source::Folder, listing, age),
@@ -181,35 +184,35 @@
     let watched = dispatcher.clone();
     spawn_local(lasting("discovery", async move || discovery.watch(&watched).await));
     let leased = registry.clone();
-    spawn_local(lasting("lease", async move || leased.keep_lease().await));
+    spawn_local(lasting("list lease", async move || leased.keep_lease().await));
     let reloading = async move || reload::on_signal(&mut hangup, &path, &moves).await;
     spawn_local(lasting("reload", reloading));
     let timed = dispatcher.clone();
-    spawn_local(lasting("timer", async move || timed.keep_time().await));
+    spawn_local(lasting("timers", async move || timed.keep_time().await));
     let beating = dispatcher.clone();
-    spawn_local(lasting("pulse", async move || beating.pulse.beat().await));
+    spawn_local(lasting("stall detector", async move || beating.pulse.beat().await));
     let followed = registry.clone();
     spawn_local(lasting("registry", async move || followed.follow().await));
     let swept = pool.clone();
-    spawn_local(lasting("sweep", async move || swept.sweep().await));
+    spawn_local(lasting("pool sweep", async move || swept.sweep().await));
     let (stop, shutdown) = shutdown::new();
     let room = Arc::new(Semaphore::new(connections));
     let rooms = [(room.clone(), connections), (pool.room(), connections)];
     let (sharing, stopping) = (succession.clone(), shutdown.clone());
-    spawn_local(lasting("shares", async move || sharing.share(&rooms, &stopping).await));
+    spawn_local(lasting("connection limits", async move || sharing.share(&rooms, &stopping).await));
     let rollout = changes.map(|(disk, member)| {
         let (put_dispatcher, put_network) = (dispatcher.clone(), network.clone());
         let (put_counts, put_registry) = (counts.clone(), registry.clone());
         let put = move |settings: &serde_json::Value| match (decode(settings), decode_network(settings)) {
-            // One turn of our one thread: nothing sees the parts at odds.
+            // No await in between: no other task sees the components with different settings.
             (Ok(settings), Ok(network)) => {
                 put_counts.knows(&network.classes);
                 put_network.set(network);
                 put_dispatcher.change(settings);
                 put_registry.retell();
             }
-            // They were checked when they were staged.
-            (Err(error), _) | (_, Err(error)) => say!("settings not in force: {error}"),
+            // Not expected: settings are validated when they are staged.
+            (Err(error), _) | (_, Err(error)) => say!("settings not applied: {error}"),
         };
         Rc::new(Rollout {
             name: config.name.clone(),
@@ -231,7 +234,7 @@
         Rc::new(Words::new(words, config.name.clone(), place, seed, dispatcher, counts))
     });
     if let Some(words) = words.clone() {
-        spawn_local(lasting("words", async move || words.speak().await));
+        spawn_local(lasting("peer messages", async move || words.speak().await));
     }
     if let (Some(words), shutdown) = (words.clone(), shutdown.clone()) {
         spawn_local(async move {
@@ -245,16 +248,16 @@
         let office =
             Rc::new(Office { counts, dispatcher, registry, list_status, lease, shutdown, rollout, words });
         let answering = async move || management::answer(&listener, &office).await;
-        spawn_local(lasting("second address", answering));
+        spawn_local(lasting("management API", answering));
     }
     if inherits && let Some(path) = succession.takes_over_at() {
-        // Danger: one that can't be reached so would be no reason not to serve.
+        // Failing to bind this socket must not keep the process from serving; only handover is unavailable then.
         match UnixSeqpacketListener::bind(&path) {
             Ok(mut listener) => {
                 let takeover = Inheritance { rooms: [room.clone(), pool.room()], counts: counts.clone() };
-                spawn_local(lasting("hand-over", async move || takeover.take_over(&mut listener).await));
+                spawn_local(lasting("handover", async move || takeover.take_over(&mut listener).await));
             }
-            Err(error) => say!("long answers can't be taken over: {error}"),
+            Err(error) => say!("cannot take over responses from a predecessor: {error}"),
         }
     }
     let permission = Permission { pool, lease: lease.clone(), violations: counts.violations.clone() };
@@ -264,7 +267,7 @@
     let front =
         Front { dispatcher, attempts, counts, network, budget, lease, shutdown, client: Presence::default() };
     let at = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
-    succession.serves().map_err(|e| format!("folder for temporary files: {e}"))?;
+    succession.serves().map_err(|e| format!("directory for temporary files: {e}"))?;
     say!("{} serves on {at}", config.name);
     let client_room = room.clone();
     let accepting =
--- a/crates/flintwell/src/process/shutdown.rs
+++ b/crates/flintwell/src/process/shutdown.rs
@@ -1,6 +1,7 @@
-//! A planned stop, in steps: every answer closes its connection while clients still come; idle connections
-//! are closed while what crosses that can come again on a new one; the listener closes; the rest is answered. With
-//! a successor at the same socket the listener and idle connections are closed at once.
+//! Graceful shutdown in phases. First, every response closes its connection while new clients are still accepted. Then
+//! idle connections are closed while the listener stays open, so that a request that crosses the close can be sent
+//! again on a new connection. Then the listener is closed, and the remaining requests are completed. With a successor
+//! on the same listening socket, the listener and idle connections are closed at once.
 
 use crate::process::handover::Successor;
 use crate::say;
@@ -13,9 +14,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-const CALM: Duration = Duration::from_millis(450); // after the signal; clients still come for a while
-const LISTENER: Duration = Duration::from_millis(100); // more; the way of a request that comes again
-const LATE: Duration = Duration::from_millis(50); // more; for the first request of the last connections
+const CALM: Duration = Duration::from_millis(450); // clients still connect for a while after the signal
+const LISTENER: Duration = Duration::from_millis(100); // for a request sent again after its idle connection closed
+const LATE: Duration = Duration::from_millis(50); // for the first request on the last accepted connections
 const READS: Duration = Duration::from_secs(60); // beyond the longest deadline, for clients that read slowly
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,6 +28,7 @@
     AllClosed,
 }
 
+/// Observer of the shutdown; cheap to clone.
 #[derive(Clone)]
 pub struct Shutdown {
     phases: watch::Receiver<Phase>,
@@ -35,29 +37,31 @@
 }
 
 impl Shutdown {
-    /// Whether each answer is now the last on its connection.
+    /// Whether shutdown has begun, so that each response is the last on its connection.
     pub fn begun(&self) -> bool {
         *self.phases.borrow() > Phase::Serving
     }
+    /// Waits until the listener has to be closed.
     pub async fn listener_closed(&self) {
         self.reached(Phase::Begun).await;
         if !self.succeeded.get() {
             self.reached(Phase::ListenerClosed).await;
         }
     }
-    /// Whether what still stands before the listener is another's. Danger: taken in late, or looked at while it
-    /// closes, it would be lost with us.
+    /// Whether a successor serves the same listening socket. Connections still in the accept queue then belong to the
+    /// successor: one that is accepted or inspected here during shutdown would be lost with this process.
     pub fn succeeded(&self) -> bool {
         self.succeeded.get()
     }
-    /// When a connection accepted now is closed if idle. Danger: a request that crosses the closing, and
-    /// finds the listener closed when it comes again, is lost.
+    /// Completes when a connection accepted now has to be closed if idle. A request that crosses this close is sent
+    /// again on a new connection and is lost if the listener is already closed. So connections accepted late, while
+    /// idle ones are already being closed, stay open until the last phase.
     pub fn idle_closed(&self) -> impl Future<Output = ()> + use<> {
         let late = *self.phases.borrow() >= Phase::IdleClosed;
         let (shutdown, phase) = (self.clone(), if late { Phase::AllClosed } else { Phase::IdleClosed });
         async move { shutdown.reached(phase).await }
     }
-    /// The successor that takes over long answers, once we stop; waits for ever where there is none.
+    /// Waits for shutdown and returns the successor that takes over streamed responses; never completes without one.
     pub async fn successor(&self) -> Rc<Successor> {
         self.reached(Phase::Begun).await;
         match self.successor.get() {
@@ -66,17 +70,19 @@
         }
     }
     async fn reached(&self, least: Phase) {
-        // An error means that the phases are over.
+        // An error means that the sender is gone, after the last phase.
         let _ = self.phases.clone().wait_for(|phase| *phase >= least).await;
     }
 }
 
+/// Runs the shutdown and publishes its phases.
 pub struct Stop {
     phases: watch::Sender<Phase>,
     succeeded: Rc<Cell<bool>>,
     successor: Rc<OnceCell<Rc<Successor>>>,
 }
 
+/// Creates the controller of the shutdown and its observer.
 pub fn new() -> (Stop, Shutdown) {
     let (sender, receiver) = watch::channel(Phase::Serving);
     let (succeeded, successor) = (Rc::<Cell<bool>>::default(), Rc::default());
@@ -86,9 +92,10 @@
 }
 
 impl Stop {
-    /// Waits for the signal, then sees the stop through: `accepting` ends once the listener is closed, clients'
-    /// connections hold a part of `room`, and none has a request in hand for longer than `longest`. Whether
-    /// another process goes on at our socket is asked at the signal, and then whether it takes over.
+    /// Waits for SIGTERM or SIGINT, then runs the shutdown to its end. `accepting` completes once the listener is
+    /// closed, client connections hold permits of `room` (`connections` in total), and no request is in flight for
+    /// longer than `longest`. `has_successor` is evaluated at the signal; if it is true, `successor` connects to the
+    /// process that takes over streamed responses.
     pub async fn on_signal(
         self,
         accepting: JoinHandle<()>,
@@ -104,13 +111,15 @@
             _ = int.recv() => {}
         }
         if has_successor() {
-            // Danger: while it is met we go on as ever, or what is refused would come to us again.
+            // Shutdown begins only after this: a request refused while we still accept connections would be sent to us
+            // again.
             successor().await.map(|successor| self.successor.set(Rc::new(successor)));
             self.succeeded.set(true);
         }
-        say!("stopping{}", if self.succeeded.get() { ", another goes on" } else { "" });
+        say!("shutting down{}", if self.succeeded.get() { "; a successor serves the socket" } else { "" });
         self.phases.send_replace(Phase::Begun);
-        // Danger: a long answer to what is taken from now on is cut off by SIGKILL; so it goes to the successor.
+        // With a successor no connections are accepted from here on, since a long response to a later request would be
+        // cut off by SIGKILL; the successor accepts them instead.
         let calm = if self.succeeded.get() { Duration::ZERO } else { CALM };
         for (wait, phase) in
             [(calm, Phase::IdleClosed), (LISTENER, Phase::ListenerClosed), (LATE, Phase::AllClosed)]
@@ -119,13 +128,13 @@
             self.phases.send_replace(phase);
         }
         let rest = async {
-            // Danger: counting who is left before the last are let in would leave those no room.
+            // Acquiring the permits earlier would leave none for the last accepted connections.
             let _ = accepting.await;
             let _ = room.acquire_many(connections).await;
         };
-        // Danger: a long answer that its client still reads would be cut off by us.
+        // The extra time keeps a long response from being cut off while its client still reads it.
         if timeout(longest() + READS, rest).await.is_err() {
-            say!("stopped with connections still open");
+            say!("shutdown timed out with connections still open");
         }
         Ok(())
     }
--- a/crates/flintwell/src/process/store.rs
+++ b/crates/flintwell/src/process/store.rs
@@ -1,18 +1,19 @@
-//! Files that outlive this process on its machine: each written whole under another name, then renamed.
+//! Files that outlive the process. Each is written under a temporary name and then renamed, so that it is replaced
+//! atomically.
 
 use std::fs;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-const FILE_MOST: u64 = 4 << 20; // bytes; a list of ten thousand nodes
-const FILES_MOST: usize = 4_096; // files read at a look; far above the nodes of a fleet
+const FILE_MOST: u64 = 4 << 20; // a list of ten thousand nodes
+const FILES_MOST: usize = 4_096; // far more than the nodes of a fleet
 
-/// A folder of ours; without one nothing is kept, and nothing is found.
+/// Directory for the files of this proxy. Without a directory, writes are discarded and reads find nothing.
 #[derive(Clone)]
 pub struct Store(Option<PathBuf>);
 
 impl Store {
-    /// Below the folder for temporary files, if there is one, under a name of our own.
+    /// Creates the directory of the proxy `name` in `below`, the directory for temporary files, if there is one.
     pub fn open(below: Option<&Path>, name: &str) -> io::Result<Self> {
         let Some(below) = below else { return Ok(Store(None)) };
         let folder = below.join(format!("flintwell-{}", plain(name)));
@@ -20,11 +21,12 @@
         Ok(Store(Some(folder)))
     }
 
+    /// Whether there is a directory to store files in.
     pub fn keeps(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Danger: a process that is killed while it writes would leave half a file to its successor.
+    /// Replaces a file atomically: a process killed while writing in place would leave a partial file to its successor.
     pub fn write(&self, file: &str, text: &[u8]) -> io::Result<()> {
         let Some(folder) = &self.0 else { return Ok(()) };
         let unfinished = folder.join(format!("new-{}", std::process::id()));
@@ -32,15 +34,17 @@
         fs::rename(&unfinished, folder.join(file))
     }
 
+    /// Removes a file; a missing file is no error.
     pub fn remove(&self, file: &str) {
-        // One that is not there is removed.
         let _ = self.0.as_ref().map(|folder| fs::remove_file(folder.join(file)));
     }
 
+    /// Path of a file, whether or not it exists.
     pub fn path(&self, file: &str) -> Option<PathBuf> {
         self.0.as_ref().map(|folder| folder.join(file))
     }
 
+    /// Reads a file, up to a maximum size.
     pub fn read(&self, file: &str) -> Option<Vec<u8>> {
         let mut text = Vec::new();
         let opened = fs::File::open(self.path(file)?).ok()?;
@@ -48,7 +52,7 @@
         Some(text)
     }
 
-    /// Names of the files that begin so.
+    /// Names of the files that start with `prefix`.
     pub fn names(&self, prefix: &str) -> Vec<String> {
         let Some(folder) = &self.0 else { return Vec::new() };
         let found = fs::read_dir(folder).into_iter().flatten().flatten();
@@ -57,7 +61,7 @@
     }
 }
 
-/// A name that is safe as a part of a file's: what is not plain stands as its bytes.
+/// Escapes a name for use in a file name: bytes other than ASCII letters, digits and `-` become `_` and two hex digits.
 pub fn plain(name: &str) -> String {
     let byte = |byte: u8| match byte {
         b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' => char::from(byte).to_string(),
--- a/crates/flintwell/src/process/store/tests.rs
+++ b/crates/flintwell/src/process/store/tests.rs
@@ -12,6 +12,6 @@
     store.remove("out-a");
     assert_eq!(store.read("out-a"), None);
     fs::remove_dir_all(&below).expect("cleared");
-    assert!(store.write("out-a", b"one").is_err(), "said, not passed over");
+    assert!(store.write("out-a", b"one").is_err(), "a failed write is reported");
     assert!(!Store(None).keeps() && Store(None).write("a", b"").is_ok());
 }
--- a/crates/flintwell/src/process/succession.rs
+++ b/crates/flintwell/src/process/succession.rs
@@ -1,4 +1,5 @@
-//! Which processes of this proxy live: each holds a locked file while it does, and says in it once it serves.
+//! Tracks the running processes of this proxy. Each process keeps a locked file while it runs, and writes to it once it
+//! serves requests.
 
 use crate::process::shutdown::Shutdown;
 use crate::process::store::Store;
@@ -11,28 +12,31 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
 
-const MARK: &str = "process-"; // begins the name of a process's file, then its start, so that names sort by age
-const TAKES: &str = "takes-"; // begins the name of the socket at which a process takes over, then its file's
-const LOOK: Duration = Duration::from_millis(50); // between looks for another process; few requests meanwhile
-const SHARED_BY: usize = 2; // processes; a version and the next
+const MARK: &str = "process-"; // followed by the start time, so that names sort by age
+const TAKES: &str = "takes-"; // prefix of the handover socket, followed by the name of the process's file
+const LOOK: Duration = Duration::from_millis(50); // few requests arrive in between
+const SHARED_BY: usize = 2; // a version and the next
 
+/// Entry of this process among the running processes of the proxy.
 pub struct Succession {
     store: Store,
     file: String,
-    /// Our own, locked until we end. None where nothing is kept: then nobody succeeds us.
+    /// File of this process, locked until it ends. `None` without a directory for files; there is no successor then.
     lock: Option<File>,
 }
 
 impl Succession {
+    /// Creates and locks the file of this process.
     pub fn open(store: Store, started_at: i64) -> io::Result<Self> {
         let file = format!("{MARK}{started_at:020}-{}", std::process::id());
-        // Danger: a file is found unlocked, and taken for a dead process's, between its making and its lock.
+        // The file is locked under another name first: between creation and lock, other processes would find it
+        // unlocked and take it for that of a dead process.
         let unnamed = format!("lock-{}", std::process::id());
         store.write(&unnamed, b"")?;
         let lock = match (store.path(&unnamed), store.path(&file)) {
             (Some(from), Some(to)) => {
                 let lock = File::options().read(true).write(true).open(&from)?;
-                lock.try_lock().map_err(|_| io::Error::other("its lock is held"))?;
+                lock.try_lock().map_err(|_| io::Error::other("process file is locked by another process"))?;
                 std::fs::rename(from, to)?;
                 Some(lock)
             }
@@ -41,20 +45,20 @@
         Ok(Succession { store, file, lock })
     }
 
-    /// From now on we serve.
+    /// Records that this process serves requests.
     pub fn serves(&self) -> io::Result<()> {
         let Some(mut lock) = self.lock.as_ref() else { return Ok(()) };
         lock.rewind()?;
         lock.write_all(b"serves")
     }
 
-    /// Whether another process of ours lives.
+    /// Whether another process of this proxy is running.
     pub fn another(&self) -> bool {
         self.others().next().is_some()
     }
 
-    /// Whether a younger one serves. Danger: to leave the listener to one that was killed meanwhile would leave
-    /// nobody there; its lock went with it.
+    /// Whether a younger process serves requests. Leaving the listener to a process that has been killed would leave
+    /// nobody to accept connections; a dead process is recognised because its lock is released.
     pub fn succeeded(&self) -> bool {
         self.successors().next().is_some()
     }
@@ -64,12 +68,12 @@
         younger.map(|(file, _)| file)
     }
 
-    /// Where the youngest of those takes over what we have begun.
+    /// Path of the handover socket of the youngest process that serves after this one.
     pub fn successor(&self) -> Option<PathBuf> {
         self.store.path(&format!("{TAKES}{}", self.successors().max()?))
     }
 
-    /// Where we do so. What one that was killed left behind is cleared.
+    /// Path of this process's handover socket. Removes sockets left behind by killed processes.
     pub fn takes_over_at(&self) -> Option<PathBuf> {
         let living: Vec<String> = self.others().map(|(file, _)| format!("{TAKES}{file}")).collect();
         let left = self.store.names(TAKES).into_iter().filter(|name| !living.contains(name));
@@ -77,7 +81,7 @@
         self.store.path(&format!("{TAKES}{}", self.file))
     }
 
-    /// Those that live, and whether they serve.
+    /// File names of the other running processes, and whether they serve.
     fn others(&self) -> impl Iterator<Item = (String, bool)> {
         let named = self.store.names(MARK).into_iter().filter(|file| *file != self.file);
         named.filter_map(|name| {
@@ -89,7 +93,7 @@
                     Some((name, !text.is_empty()))
                 }
                 _ => {
-                    // Its process has ended.
+                    // The lock is free: the process has ended.
                     self.store.remove(&name);
                     None
                 }
@@ -97,16 +101,16 @@
         })
     }
 
-    /// Keeps half of each room back while another process lives. Danger: to the limit on descriptors both
-    /// are one.
+    /// Reserves half of the permits of each semaphore in `rooms` while another process runs, because the limit on
+    /// descriptors applies to both processes together. Never returns.
     pub async fn share(&self, rooms: &[(Arc<Semaphore>, usize)], shutdown: &Shutdown) {
         let mut kept: Vec<OwnedSemaphorePermit> = Vec::new();
         let mut shared = false;
-        // Danger: what is kept back here would pass for connections still open, and hold up our end.
+        // Reserved permits look like open connections and would delay shutdown, so they are released when it begins.
         while self.lock.is_some() && !shutdown.begun() {
             if shared != self.another() {
                 shared = !shared;
-                say!("{}", if shared { "another process of ours lives" } else { "alone again" });
+                say!("{}", if shared { "another process of this proxy runs: connection limits halved" } else { "no other process runs: connection limits restored" });
                 kept.clear();
             }
             if shared {
--- a/crates/flintwell/src/process/succession/tests.rs
+++ b/crates/flintwell/src/process/succession/tests.rs
@@ -14,12 +14,12 @@
         sleep(LOOK * 3).await;
         assert_eq!(room.available_permits(), 10);
         let new = Succession::open(store.clone(), 2).expect("the new one");
-        assert!(old.another() && !old.succeeded(), "it does not serve yet");
+        assert!(old.another() && !old.succeeded(), "the new process does not serve yet");
         new.serves().expect("said");
         assert!(old.succeeded() && !new.succeeded());
         sleep(LOOK * 3).await;
         assert_eq!(room.available_permits(), 5);
-        // As if it were killed: its file stays, its lock does not.
+        // As after a kill: the file remains, the lock does not.
         let Succession { file, lock, .. } = &new;
         assert!(store.path(file).is_some_and(|path| path.exists()));
         lock.as_ref().expect("a lock").unlock().expect("unlocked");
