--- a/crates/flintwell/src/main.rs
+++ b/crates/flintwell/src/main.rs
@@ -1,4 +1,4 @@
-//! flintwell: a sidecar that spreads keys over cache servers before a slow origin.
+//! flintwell: a sidecar proxy that distributes keys over cache nodes in front of a slow origin.
 
 mod clients;
 mod fleet;
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(version, about = "Spreads keys over cache servers before a slow origin")]
+#[command(version, about = "Sidecar proxy that distributes keys over cache nodes in front of a slow origin")]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -21,35 +21,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves requests until SIGTERM
+    /// Serve requests until SIGTERM
     Serve {
-        /// The configuration, a JSON file
+        /// Configuration file (JSON)
         #[arg(long, env = "EDGE_CONFIG")]
         config: PathBuf,
     },
-    /// Checks a configuration and says what it holds
+    /// Validate a configuration file and print a summary
     Check {
-        /// The configuration, a JSON file
+        /// Configuration file (JSON)
         #[arg(env = "EDGE_CONFIG")]
         config: PathBuf,
     },
-    /// Changes the settings of a fleet in stages, and stops when a stage does worse
+    /// Change the settings of a fleet in stages, stopping if a stage performs worse
     Rollout {
         #[command(subcommand)]
         command: flintwell_conduct::Command,
     },
-    /// Shows what a proxy knows of its fleet
+    /// Show the state of the fleet as seen by one proxy
     Fleet {
         #[command(subcommand)]
         command: staff::fleet_status::Command,
     },
-    /// Holds the clients' socket and runs versions of the program at it
+    /// Hold the listening socket for clients and run versions of the program on it
     Supervise {
-        /// A TOML file
+        /// Configuration file (TOML)
         #[arg(long)]
         config: PathBuf,
     },
-    /// Prints the version
+    /// Print the version
     Version,
 }
 
--- a/crates/flintwell/src/staff/counts.rs
+++ b/crates/flintwell/src/staff/counts.rs
@@ -1,4 +1,4 @@
-//! The figures that the second address tells, counted where the thing happens.
+//! Metrics of this process, as reported by the management API.
 
 use crate::nodes::permission::Violations;
 use crate::process::count::{Count, one_more};
@@ -19,13 +19,13 @@
 }
 
 impl End {
-    /// Of a long answer, passed on whole or broken half-way.
+    /// Outcome of a streamed response that was relayed completely or broken off.
     pub fn passed_on(whole: bool) -> Self {
         if whole { End::Served } else { End::Failed }
     }
 }
 
-/// Requests of one class, by how they ended.
+/// Requests of one class, by outcome.
 #[derive(Default)]
 struct Ended {
     served: Cell<u64>,
@@ -33,25 +33,25 @@
     failed: Cell<u64>,
 }
 
-/// What this process counted since its start; every class is there from then on, at 0.
+/// Counters since the start of the process. Every configured class is present from the start, with zeros.
 pub struct Counts {
     cases: RefCell<Vec<(String, Rc<Ended>)>>,
-    /// How long answers took, where that is asked for.
+    /// Response times, recorded only if the configuration has a `rollout` section.
     times: Option<RefCell<Histogram<u64>>>,
     in_hand: Count,
-    /// Attempts to caches, written whole.
+    /// Attempts at cache nodes whose request was written completely.
     pub attempts: Count,
-    /// Attempts to the origin.
+    /// Attempts at the origin.
     pub fetches: Count,
-    /// Of those, turned away as full.
+    /// Attempts that the origin refused because it was full.
     pub refused: Count,
-    /// Requests sent though they might not be.
+    /// Requests sent although a rule forbade it.
     pub violations: Violations,
-    /// How often a list grew too old to act on.
+    /// How often the lease on the server list lapsed.
     pub lapses: Count,
 }
 
-/// A request in hand, for as long as this lives.
+/// Counts a request as in flight until dropped.
 pub struct InHand(Count);
 
 impl Drop for InHand {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The figures, by the names that the operators gave them.
+/// Response body of `/api/telemetry`; the operators' tools expect these field names.
 #[derive(Serialize)]
 pub struct Figures {
     passed: BTreeMap<String, u64>,
@@ -72,12 +72,13 @@
     skipped_cache_nodes: usize,
 }
 
-/// What may not be, as the second address tells it at a call of our own; the operators' figures stay as they named them.
+/// Response body of `/api/violations`: conditions that should not occur. Separate from `/api/telemetry`, whose format
+/// is fixed by the operators.
 #[derive(Serialize)]
 pub struct RuleFigures {
-    /// How often the list grew too old to act on.
+    /// How often the lease on the server list lapsed.
     list_lapses: u64,
-    /// Requests sent against a rule, by the rule.
+    /// Requests sent although a rule forbade it, by rule.
     violations: BTreeMap<&'static str, u64>,
 }
 
@@ -97,25 +98,27 @@
         Rc::new(counts)
     }
 
-    /// Use cases that came behind those known.
+    /// Adds the classes beyond those already present; existing classes keep their index.
     pub fn knows(&self, cases: &[String]) {
         let mut known = self.cases.borrow_mut();
         let more: Vec<_> = cases.iter().skip(known.len()).map(|case| (case.clone(), Rc::default())).collect();
         known.extend(more);
     }
 
-    /// An answer's time, from the request's last byte.
+    /// Records a response time, measured from the last byte of the request.
     pub fn took(&self, time: Micros) {
         if let Some(times) = &self.times {
             times.borrow_mut().saturating_record(time.max(1) as u64);
         }
     }
 
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn takes(&self) -> InHand {
         one_more(&self.in_hand);
         InHand(self.in_hand.clone())
     }
 
+    /// Counts the outcome of a request, by the index of its class.
     pub fn ended(&self, case: usize, end: End) {
         let cases = self.cases.borrow();
         let Some((_, ended)) = cases.get(case) else { return };
@@ -126,6 +129,7 @@
         });
     }
 
+    /// Body of `/api/telemetry`, with the numbers of known and of avoided cache nodes.
     pub fn figures(&self, known: usize, skipped: usize) -> Figures {
         let cases = self.cases.borrow();
         let by = |count: fn(&Ended) -> &Cell<u64>| {
@@ -142,11 +146,12 @@
         }
     }
 
+    /// Body of `/api/violations`.
     pub fn rule_figures(&self) -> RuleFigures {
         RuleFigures { list_lapses: self.lapses.get(), violations: self.violations.by_name() }
     }
 
-    /// The same for whoever compares proxies.
+    /// Metrics that a rollout compares between proxies.
     pub fn compared(&self, epoch: u64, started_ms: u64) -> wire::Figures {
         let ends = |ended: &Ended| wire::Ends {
             served: ended.served.get(),
@@ -167,7 +172,7 @@
     }
 }
 
-/// What of us is in memory.
+/// Resident set size of this process.
 fn memory_kb() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = text.lines().find(|line| line.starts_with("VmRSS:"))?;
--- a/crates/flintwell/src/staff/fleet_status.rs
+++ b/crates/flintwell/src/staff/fleet_status.rs
@@ -1,4 +1,4 @@
-//! `flintwell fleet status`: what one proxy knows of its fleet, for people and as JSON.
+//! `flintwell fleet status`: the fleet as one proxy sees it, as text or JSON.
 
 use crate::fleet::words::Fleet;
 use clap::Subcommand;
@@ -6,21 +6,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const WITHIN: Duration = Duration::from_secs(5); // for an answer, however busy the proxy
+const WITHIN: Duration = Duration::from_secs(5); // allows for a busy proxy
 
+/// Subcommands of `flintwell fleet`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// What a proxy knows of the others, and what it may ask of the origin
+    /// Show the other proxies as seen by one proxy, and its share of the origin's rate limit
     Status {
-        /// Its second address
+        /// Management address of the proxy
         #[arg(long)]
         at: SocketAddr,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
 }
 
+/// Runs the subcommand and prints its result.
 pub fn run(command: &Command) -> Result<(), String> {
     let Command::Status { at, json } = command;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -28,7 +30,7 @@
     let call = flintwell_call::call(*at, Method::GET, "/api/fleet", Default::default(), WITHIN);
     let (status, text) = runtime.block_on(call).map_err(|why| format!("{at}: {why}"))?;
     if status != StatusCode::OK {
-        return Err(format!("{at}: its configuration has no words with other proxies ({status})"));
+        return Err(format!("{at}: messages between proxies are not configured there ({status})"));
     }
     if *json {
         print!("{}", String::from_utf8_lossy(&text));
@@ -43,29 +45,29 @@
     let Fleet { name, number, members, share, dropped, .. } = fleet;
     let rate = share.rate.map_or("no limit known".into(), |rate| format!("{rate:.1} fetches a second"));
     let mut text = format!(
-        "{name}, number {number}: {rate}, {} units, {} of them borrowed\n",
+        "{name}, number {number}: {rate}, {} rate units, {} of them borrowed\n",
         share.units, share.borrowed
     );
     text += &format!(
-        "a member and second, over the fleet: {:.1} fetched, {:.1} refused\n",
+        "fleet average per proxy and second: {:.1} origin fetches, {:.1} refused\n",
         share.taken, share.refused
     );
     for member in members {
         text += &format!("  {:5} {:22} {}\n", member.number, member.addr, member.state);
     }
     for node in &fleet.silent {
-        let who = if node.prober { "tried by us" } else { "tried by others" };
-        text += &format!("  {} is silent, to {} others too; {who}\n", node.node, node.witnesses);
+        let who = if node.prober { "probed by this proxy" } else { "probed by other proxies" };
+        text += &format!("  {} does not respond, nor to {} other proxies; {who}\n", node.node, node.witnesses);
     }
     let count = |what: &str, count: u64| if count > 0 { format!(" {what} {count}") } else { String::new() };
     let causes = [
         count("malformed", dropped.malformed),
-        count("of another version", dropped.other_version),
-        count("of another cluster", dropped.other_cluster),
+        count("other version", dropped.other_version),
+        count("other cluster", dropped.other_cluster),
         count("unsigned", dropped.unsigned),
         count("replayed", dropped.replayed),
-        count("over a sender's rate", dropped.flooded),
-        count("from nobody known", dropped.unknown),
+        count("over the sender's rate limit", dropped.flooded),
+        count("unknown sender", dropped.unknown),
     ];
     text + &format!(
         "sent {} datagrams, {} bytes; dropped{}\n",
--- a/crates/flintwell/src/staff/management.rs
+++ b/crates/flintwell/src/staff/management.rs
@@ -1,4 +1,4 @@
-//! The second address: what the operators' staff asks and says, one call to a connection.
+//! Management API for the operators, one request per connection.
 
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
@@ -29,12 +29,12 @@
 use tokio::time::{sleep, timeout};
 use tower::service_fn;
 
-const CALLERS: usize = 8; // connections; a few that finish no call, and room for those that do
-const CALL_WITHIN: Duration = Duration::from_secs(5); // a call's whole life; its caller waits a second
-const BODY_MOST: usize = 4_096; // bytes; an id and the words round it
-const PAUSE: Duration = Duration::from_millis(50); // after a failure, so that it never spins
+const CALLERS: usize = 8; // leaves room for complete requests beside a few connections that never finish one
+const CALL_WITHIN: Duration = Duration::from_secs(5); // callers wait for a second
+const BODY_MOST: usize = 4_096; // a node id and the JSON around it
+const PAUSE: Duration = Duration::from_millis(50); // keeps a failing accept from spinning
 
-/// What the calls reach.
+/// State that the API reads and changes.
 pub struct Office {
     pub counts: Rc<Counts>,
     pub dispatcher: Rc<Dispatcher>,
@@ -42,9 +42,9 @@
     pub list_status: Rc<ListStatus>,
     pub lease: Rc<ListLease>,
     pub shutdown: Shutdown,
-    /// Changes of settings, where the configuration says how.
+    /// Present if the configuration has a `rollout` section.
     pub rollout: Option<Rc<Rollout>>,
-    /// Words with other proxies, where the configuration names some.
+    /// Messages between proxies; present if the configuration has a `words` section.
     pub words: Option<Rc<Words>>,
 }
 
@@ -53,15 +53,16 @@
     who: String,
 }
 
-/// An answer: its status and its JSON.
+/// Status and JSON body of a response.
 type Said = (StatusCode, String);
 
-const FLEET: &str = "/api/fleet"; // asks what we know of the other proxies
-const RULES: &str = "/api/violations"; // what may not be, counted
-const LIST: &str = "/api/list"; // which server list is in hand, how old, and on whose word it is acted on
-const ROLLOUT: &str = "/api/rollout/"; // begins the calls on changes of settings
+const FLEET: &str = "/api/fleet"; // state of the other proxies
+const RULES: &str = "/api/violations"; // counters of conditions that should not occur
+const LIST: &str = "/api/list"; // version and age of the server list, and the basis of its lease
+const ROLLOUT: &str = "/api/rollout/"; // prefix of the calls that change settings
 
-/// Danger: callers that connect and finish no call would keep the others out. So the oldest makes room.
+/// Accepts and serves connections until the process ends. At the connection limit the oldest connection is closed, so
+/// that callers that connect without completing a request cannot lock out the others.
 pub async fn answer(listener: &TcpListener, office: &Rc<Office>) {
     let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
@@ -77,7 +78,7 @@
                 }));
             }
             Err(error) => {
-                say!("second address: {error}");
+                say!("management API: accept failed: {error}");
                 sleep(PAUSE).await;
             }
         }
@@ -91,11 +92,11 @@
     });
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(CALL_WITHIN).keep_alive(false);
-    // A caller that has left needs no answer.
+    // An error here means that the caller has gone.
     let _ = http.serve_connection(TokioIo::new(stream), TowerToHyperService::new(service)).await;
 }
 
-/// Calls on changes of settings; where the configuration has none, there are no such calls.
+/// Serves the calls that change settings; they exist only if the configuration has a `rollout` section.
 async fn rolls(request: Request<Incoming>, rollout: &Rollout) -> Result<Said, StatusCode> {
     let (head, body) = request.into_parts();
     let what = head.uri.path().strip_prefix(ROLLOUT).unwrap_or_default();
@@ -167,12 +168,12 @@
 fn encode(said: Result<Said, StatusCode>) -> Response<Full<Bytes>> {
     let (status, text) = said.unwrap_or_else(|status| {
         let why = match status {
-            StatusCode::NOT_FOUND => "no such call, or no cache node of this id",
-            StatusCode::METHOD_NOT_ALLOWED => "another method is needed",
-            StatusCode::BAD_REQUEST => r#"a body like {\"who\":\"ID\"} is needed"#,
-            StatusCode::PAYLOAD_TOO_LARGE => "the message is too long or not whole",
-            StatusCode::INSUFFICIENT_STORAGE => "not recorded, nothing has changed",
-            _ => "failed",
+            StatusCode::NOT_FOUND => "unknown path, or no cache node with this id",
+            StatusCode::METHOD_NOT_ALLOWED => "method not allowed for this path",
+            StatusCode::BAD_REQUEST => r#"expected a body like {\"who\":\"ID\"}"#,
+            StatusCode::PAYLOAD_TOO_LARGE => "request body too long or incomplete",
+            StatusCode::INSUFFICIENT_STORAGE => "change could not be recorded; nothing has changed",
+            _ => "internal error",
         };
         (status, format!(r#"{{"error":"{why}"}}"#))
     });
--- a/crates/flintwell/src/staff/mod.rs
+++ b/crates/flintwell/src/staff/mod.rs
@@ -1,4 +1,4 @@
-//! The second address, for the staff, and the figures that it tells.
+//! Management API for the operators and the metrics it reports.
 
 pub mod counts;
 pub mod fleet_status;
--- a/crates/flintwell/src/staff/rollout.rs
+++ b/crates/flintwell/src/staff/rollout.rs
@@ -1,4 +1,5 @@
-//! Changes of settings, as they come to the second address: the words, the record on disk, the time that is up.
+//! Changes of settings through the management API: handles the messages of a rollout, records each step on disk and
+//! reverts settings that are not confirmed in time.
 
 use crate::fleet::registry::Registry;
 use crate::process::clock::Clock;
@@ -17,8 +18,9 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-const IDLE: Duration = Duration::from_secs(3_600); // a sleep with nothing due, ended by the next change
+const IDLE: Duration = Duration::from_secs(3_600); // sleep with nothing due; the next change interrupts it
 
+/// This proxy's part in a rollout of settings.
 pub struct Rollout {
     pub name: String,
     pub clock: Clock,
@@ -27,12 +29,12 @@
     pub disk: Disk,
     pub counts: Rc<Counts>,
     pub changed: Notify,
-    /// Puts settings in force at one instant, in all parts.
+    /// Applies settings to all components at once.
     pub put: Box<dyn Fn(&Value)>,
     pub registry: Rc<Registry>,
 }
 
-/// What is said to a call: its status, and its JSON or why not.
+/// JSON body of a successful call, or status and reason of a failed one.
 pub type Said = Result<String, (StatusCode, String)>;
 
 fn refused(refusal: Refusal) -> (StatusCode, String) {
@@ -48,6 +50,7 @@
         (self.clock.now() / 1_000).max(0) as u64
     }
 
+    /// Rollout state of this proxy.
     pub fn status(&self) -> Status {
         let program = env!("CARGO_PKG_VERSION");
         self.member.borrow().status(self.now(), &self.name, program, self.started_ms)
@@ -58,6 +61,7 @@
             .map_err(|error| (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()))
     }
 
+    /// Serves a GET request; `what` is the path below `/api/rollout/`.
     pub fn asked(&self, what: &str) -> Said {
         let wrong = |error: serde_json::Error| (StatusCode::INTERNAL_SERVER_ERROR, error.to_string());
         match what {
@@ -68,11 +72,11 @@
                 let epoch = self.member.borrow().in_force().epoch;
                 serde_json::to_string(&self.counts.compared(epoch, self.started_ms)).map_err(wrong)
             }
-            _ => Err((StatusCode::NOT_FOUND, "no such call".into())),
+            _ => Err((StatusCode::NOT_FOUND, "unknown path".into())),
         }
     }
 
-    /// A word of whoever rolls out; the answer is where we stand then.
+    /// Handles a message from the rollout's conductor (POST); the response is the resulting status.
     pub fn word(&self, what: &str, text: &[u8]) -> Said {
         let now = self.now();
         let (step, puts) = match what {
@@ -96,37 +100,39 @@
                 }
                 (None, false)
             }
-            _ => return Err((StatusCode::NOT_FOUND, "no such call".into())),
+            _ => return Err((StatusCode::NOT_FOUND, "unknown path".into())),
         };
         if let Some(step) = step {
-            // Danger: settings in force that no record tells of would outlive their time after a start.
+            // Recorded before they are applied: without a record, a restart would let unconfirmed settings stay in force
+            // beyond their time.
             if let Err(error) = self.disk.write(&step.record) {
-                say!("settings not recorded: {error}");
-                let why = format!("not recorded, nothing has changed: {error}");
+                say!("rollout state not written to disk: {error}");
+                let why = format!("change could not be recorded; nothing has changed: {error}");
                 return Err((StatusCode::INSUFFICIENT_STORAGE, why));
             }
             self.member.borrow_mut().take(step);
             if puts {
                 let member = self.member.borrow();
                 (self.put)(&member.in_force().settings);
-                say!("settings of epoch {} in force, unconfirmed", member.in_force().epoch);
+                say!("settings of epoch {} in force, not yet confirmed", member.in_force().epoch);
             }
             self.changed.notify_one();
         }
         self.told()
     }
 
-    /// In force at once, whether or not it can be recorded: unconfirmed ones go back at a start anyway.
+    /// Applies the settings reverted to. This does not depend on recording them, since unconfirmed settings are reverted
+    /// at the next start anyway.
     fn went_back(&self, from: u64) {
         let member = self.member.borrow();
         (self.put)(&member.in_force().settings);
-        say!("settings of epoch {from} gone back to epoch {}", member.in_force().epoch);
+        say!("settings of epoch {from} reverted to epoch {}", member.in_force().epoch);
         if let Err(error) = self.disk.write(member.record()) {
-            say!("settings not recorded: {error}");
+            say!("rollout state not written to disk: {error}");
         }
     }
 
-    /// Takes back what nobody has confirmed in its time.
+    /// Reverts settings whose confirmation does not arrive in time.
     pub async fn follow(&self) {
         loop {
             let due = self.member.borrow().due();
