--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -5,10 +5,10 @@
 use crate::nodes::carry::Carry;
 use crate::nodes::relay::{Carried, Content, Way};
 use crate::nodes::stream::Shared;
-use crate::process::clock::PEER_STALL;
+use crate::process::clock::PEER_IDLE_TIMEOUT;
 use crate::process::handover::{self, Successor};
 use crate::requests::front::Front;
-use crate::say;
+use crate::log_line;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::server::conn::http1;
@@ -222,7 +222,7 @@
                 let unwritten = self.unwritten.borrow_mut().as_mut().map(std::mem::take)?;
                 let (rest, left) = way.rest()?;
                 let kept =
-                    successor.keeps(way.kept()).inspect_err(|error| say!("hand-over: {error}")).ok()?;
+                    successor.spool(way.kept()).inspect_err(|error| log_line!("hand-over: {error}")).ok()?;
                 let client = self.stream.clone();
                 return Some((
                     Carry { client, unwritten, kept, rest, chunked: !way.told, open: way.open(), left },
@@ -286,8 +286,8 @@
     }
     /// Ends once it has taken nothing for too long.
     async fn stands_still(&self) {
-        while self.full.get().is_none_or(|since| since.elapsed() < PEER_STALL) {
-            tokio::time::sleep(PEER_STALL / 8).await;
+        while self.full.get().is_none_or(|since| since.elapsed() < PEER_IDLE_TIMEOUT) {
+            tokio::time::sleep(PEER_IDLE_TIMEOUT / 8).await;
         }
     }
 }
@@ -429,13 +429,13 @@
         match accepted {
             Ok((stream, _)) => admit(stream, permit, front.clone(), &clients),
             Err(error) => {
-                say!("accept: {error}");
+                log_line!("accept: {error}");
                 tokio::time::sleep(PAUSE).await;
             }
         }
     }
     // Danger: a connection that the machine has accepted for us may hold a request already.
-    while !shutdown.succeeded()
+    while !shutdown.has_successor()
         && let Ok(Ok((stream, _))) = timeout(LAST_LOOK, listener.accept()).await
     {
         admit(stream, clients.make_room(room).await, front.clone(), &clients);
@@ -446,7 +446,7 @@
     let idle_closed = front.shutdown.idle_closed();
     let taken_over = front.shutdown.clone();
     if let Err(error) = stream.set_nodelay(true) {
-        say!("a client's connection: {error}");
+        log_line!("a client's connection: {error}");
     }
     let client = clients.enter(stream);
     let front = Front { client: Presence::on(client.stream.clone()), ..front };
--- a/crates/flintwell/src/clients/answer.rs
+++ b/crates/flintwell/src/clients/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::malformed::Malformed;
 use crate::nodes::relay::Content;
-use crate::staff::counts::End;
+use crate::management::metrics::RequestOutcome;
 use bytes::Bytes;
 use flintwell_core::interface::Micros;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -24,11 +24,11 @@
 
 impl Answer {
     /// How its request has ended; not yet, if it is still passed on, and none if it never was one.
-    pub fn end(&self) -> Option<End> {
+    pub fn end(&self) -> Option<RequestOutcome> {
         match self {
-            Answer::Served(Content::Whole(_)) => Some(End::Served),
-            Answer::Refused { .. } => Some(End::Refused),
-            Answer::Failed => Some(End::Failed),
+            Answer::Served(Content::Whole(_)) => Some(RequestOutcome::Served),
+            Answer::Refused { .. } => Some(RequestOutcome::Refused),
+            Answer::Failed => Some(RequestOutcome::Failed),
             Answer::Served(Content::Long(_)) => None,
             Answer::Malformed(_) | Answer::InHand | Answer::Ready(_) | Answer::Left => None,
         }
--- a/crates/flintwell/src/clients/body.rs
+++ b/crates/flintwell/src/clients/body.rs
@@ -1,7 +1,7 @@
 //! The body of a request: kept whole while the process has room for it, else passed on to one node as it comes.
 
 use crate::clients::malformed::Malformed;
-use crate::process::clock::Patience;
+use crate::process::clock::IdleTimer;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -110,7 +110,7 @@
     next: Bytes,
     rest: Incoming,
     told: Option<u64>,
-    patience: Patience,
+    patience: IdleTimer,
     end: Rc<End>,
 }
 
@@ -153,7 +153,7 @@
             if !kept.push(&mut data, told) {
                 kept.seal();
                 let end = Rc::<End>::default();
-                let patience = Patience::new(STALL);
+                let patience = IdleTimer::new(STALL);
                 let passing = Passing { kept, next: data, rest: body, told, patience, end: end.clone() };
                 return Ok(Payload::Passing(Cell::new(Some(Box::new(passing))), end));
             }
@@ -234,14 +234,14 @@
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let next = self.kept.pop().unwrap_or_else(|| std::mem::take(&mut self.next));
         if !next.is_empty() {
-            self.patience.renew();
+            self.patience.reset();
             return Poll::Ready(Some(Ok(self.piece(next))));
         }
         loop {
             match Pin::new(&mut self.rest).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.patience.renew();
+                    self.patience.reset();
                     self.kept.length += data.len() as u64;
                     if self.kept.length > LONGEST {
                         return self.breaks(Malformed::BodyTooLong);
--- a/crates/flintwell/src/fleet/calls.rs
+++ b/crates/flintwell/src/fleet/calls.rs
@@ -107,7 +107,7 @@
         self.next += 1;
         let task = self.tasks.spawn_local(async move {
             let listing = exchange(&mut link, since, wait).await;
-            let begun_at = link.answer_begun().map_or(clock.now(), |begun| clock.at(begun));
+            let begun_at = link.answer_begun().map_or(clock.now(), |begun| clock.micros_at(begun));
             Ended::Called(number, listing.map(|listing| Answer { listing, link, begun_at }))
         });
         self.open.push_back((number, task));
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -7,7 +7,7 @@
 use crate::fleet::registry::Registry;
 use crate::nodes::link::{Broken, Cause, Link, Stage};
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{ListKind, Micros};
 use flintwell_list_watch::Watch;
 use flintwell_settings::listing::Listing;
@@ -113,7 +113,7 @@
         let due = async {
             match phase {
                 Phase::Pausing(at) | Phase::Connected(_, at) | Phase::Calling(_, at) => {
-                    sleep_until(dispatcher.clock.instant(*at)).await;
+                    sleep_until(dispatcher.clock.instant_at(*at)).await;
                 }
                 Phase::Connecting => std::future::pending().await,
             }
@@ -206,12 +206,12 @@
             return self.failed(dispatcher, &CallError::garbage("older than the list told before".into()));
         }
         if self.failed > 1 {
-            say!("discovery: answers again, after {} calls that failed", self.failed);
+            log_line!("discovery: answers again, after {} calls that failed", self.failed);
         }
         self.failed = 0;
         let now = dispatcher.clock.now();
         // Danger: what stood in our socket while we stood still would vouch for the time of its reading.
-        let as_of = begun_at.min(dispatcher.pulse.waited_from());
+        let as_of = begun_at.min(dispatcher.pulse.queued_since());
         if current {
             self.watch.answered(as_of);
         } else {
@@ -236,7 +236,7 @@
         if self.failed.is_power_of_two() {
             let took = (now - self.called_at) as f64 / 1e6;
             let CallError { failure, broken } = error;
-            say!(
+            log_line!(
                 "discovery: {broken} ({failure:?}), after {took:.3} s; failed call {} in a row",
                 self.failed
             );
--- a/crates/flintwell/src/fleet/kept_list.rs
+++ b/crates/flintwell/src/fleet/kept_list.rs
@@ -3,7 +3,7 @@
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_age::{BootClock, Confirmation};
 use crate::process::store::Store;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::Micros;
 use flintwell_settings::listing::{Line, Listing};
 use std::cell::Cell;
@@ -49,7 +49,7 @@
     /// What an earlier process of this proxy left.
     pub fn left(&self) -> Option<Left> {
         let read = serde_json::from_slice::<Listing>(&self.store.read(LIST)?);
-        let listing = read.map_err(|error| say!("{LIST}: {error}")).ok().filter(|listing| listing.full)?;
+        let listing = read.map_err(|error| log_line!("{LIST}: {error}")).ok().filter(|listing| listing.full)?;
         let confirmation = self.store.read(CONFIRMATION);
         let confirmation = confirmation.and_then(|text| serde_json::from_slice::<Confirmation>(&text).ok());
         let clock = self.boot_clock.as_ref();
@@ -72,8 +72,8 @@
             return;
         }
         match written {
-            Err(error) => say!("{LIST} not kept, and tried again until it can be: {error}"),
-            Ok(()) => say!("{LIST} is kept again"),
+            Err(error) => log_line!("{LIST} not kept, and tried again until it can be: {error}"),
+            Ok(()) => log_line!("{LIST} is kept again"),
         }
     }
 
--- a/crates/flintwell/src/fleet/lease.rs
+++ b/crates/flintwell/src/fleet/lease.rs
@@ -2,7 +2,7 @@
 //! for it directly before a request is sent (`nodes/permission.rs`).
 
 use crate::process::clock::Clock;
-use crate::process::count::{Count, one_more};
+use crate::process::counter::{Counter, increment};
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::{Basis, Lease};
 use std::cell::Cell;
@@ -23,11 +23,11 @@
     was_in_force: Cell<bool>,
     first_in_force: Notify,
     /// How often the list grew too old to act on.
-    lapses: Count,
+    lapses: Counter,
 }
 
 impl ListLease {
-    pub fn new(clock: Clock, lease: Lease, lapses: Count) -> Rc<Self> {
+    pub fn new(clock: Clock, lease: Lease, lapses: Counter) -> Rc<Self> {
         let started_at = clock.now();
         Rc::new(ListLease {
             clock,
@@ -52,7 +52,7 @@
 
     /// The list has grown too old to act on.
     pub fn counts_lapse(&self) {
-        one_more(&self.lapses);
+        increment(&self.lapses);
     }
 
     /// Returns once the list was in force for the first time, or after so long.
@@ -98,7 +98,7 @@
     pub async fn changes(&self) {
         let now = self.clock.now();
         let left = self.lease.get().left(now);
-        let (ends, holds) = (self.clock.instant(now + left), left > 0);
+        let (ends, holds) = (self.clock.instant_at(now + left), left > 0);
         tokio::select! {
             () = self.renewed.notified() => {}
             () = sleep_until(ends), if holds => {}
--- a/crates/flintwell/src/fleet/list_status.rs
+++ b/crates/flintwell/src/fleet/list_status.rs
@@ -2,7 +2,7 @@
 //! changes, and told at the second address.
 
 use crate::fleet::lease::ListLease;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::{Basis, Lease};
 use flintwell_settings::listing::Listing;
@@ -56,7 +56,7 @@
     pub fn start(lease: Rc<ListLease>, now: Micros, source: Source, list: &Listing) -> Rc<Self> {
         let (version, servers) = (list.version, list.len());
         let age = lease.age().map_or("of unknown age".to_owned(), |age| format!("{:.3} s old", seconds(age)));
-        say!("begins with list {version} of {servers} servers from the {source:?}, {age}");
+        log_line!("begins with list {version} of {servers} servers from the {source:?}, {age}");
         let status = ListStatus {
             lease,
             started_at: now,
@@ -73,7 +73,7 @@
     pub fn called(&self, now: Micros) {
         if self.first_call_at.get().is_none() {
             self.first_call_at.set(Some(now));
-            say!("discovery: first call, {:.3} s after the start", seconds(now - self.started_at));
+            log_line!("discovery: first call, {:.3} s after the start", seconds(now - self.started_at));
         }
     }
 
@@ -83,14 +83,14 @@
         if self.first_answer_at.get().is_none() {
             self.first_answer_at.set(Some(now));
             let after = seconds(now - self.started_at);
-            say!("discovery: first answer, {after:.3} s after the start: list {version}");
+            log_line!("discovery: first answer, {after:.3} s after the start: list {version}");
         }
     }
 
     /// The lease is this from now on.
     pub fn leased(&self, lease: Lease) {
         if self.basis.replace(Some(lease.basis())) != Some(lease.basis()) {
-            say!("list {} is acted on by {:?}", self.version.get(), lease.basis());
+            log_line!("list {} is acted on by {:?}", self.version.get(), lease.basis());
         }
     }
 
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -1,8 +1,8 @@
 //! What the operators said of single nodes: taken out, or put back. Each is a file of its own, so that it outlives this process
 //! and is followed by another one that serves beside it.
 
-use crate::process::store::{Store, plain};
-use crate::say;
+use crate::process::store::{Store, escape_file_name};
+use crate::log_line;
 use flintwell_settings::listing::Line;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -90,10 +90,10 @@
         }
         let text = serde_json::to_vec(&said).map_err(|_| Refused::NotRecorded)?;
         if let Err(error) = self.store.write(&file_of(&who), &text) {
-            say!("{who} not recorded: {error}");
+            log_line!("{who} not recorded: {error}");
             return Err(Refused::NotRecorded);
         }
-        say!("{who} {} by hand", if said.is_out() { "taken out" } else { "put back" });
+        log_line!("{who} {} by hand", if said.is_out() { "taken out" } else { "put back" });
         self.nodes.borrow_mut().insert(who, said);
         Ok(())
     }
@@ -113,20 +113,20 @@
 
 /// The name of a node's file.
 fn file_of(who: &str) -> String {
-    format!("{MARK}{}", plain(who))
+    format!("{MARK}{}", escape_file_name(who))
 }
 
 /// What stands in the files.
 fn recorded(store: &Store) -> BTreeMap<String, Override> {
     let mut nodes = BTreeMap::new();
-    for file in store.names(MARK) {
+    for file in store.list_files(MARK) {
         let read = store.read(&file).map(|text| serde_json::from_slice::<Override>(&text));
         match read {
             Some(Ok(said)) if file == file_of(&said.who) => {
                 nodes.insert(said.who.clone(), said);
             }
             Some(_) => {
-                say!("{file} is not understood, counts for nothing and is removed");
+                log_line!("{file} is not understood, counts for nothing and is removed");
                 store.remove(&file);
             }
             None => {}
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -4,10 +4,10 @@
 use crate::fleet::lease::ListLease;
 use crate::fleet::overrides::{Overrides, Refused};
 use crate::nodes::pool::Pool;
-use crate::process::live::Live;
+use crate::process::reloadable::Reloadable;
 use crate::process::store::Store;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{ListKind, Micros, NodeId, Standing};
 use flintwell_list_watch::Starts;
 use flintwell_settings::Network;
@@ -22,7 +22,7 @@
 
 /// The list in hand, and what is laid over it.
 pub struct Registry {
-    network: Rc<Live<Network>>,
+    network: Rc<Reloadable<Network>>,
     origin_kind: Option<u32>,
     pool: Rc<Pool>,
     dispatcher: Rc<Dispatcher>,
@@ -40,7 +40,7 @@
 
 impl Registry {
     pub fn new(
-        network: Rc<Live<Network>>,
+        network: Rc<Reloadable<Network>>,
         origin_kind: Option<u32>,
         pool: Rc<Pool>,
         dispatcher: Rc<Dispatcher>,
@@ -89,7 +89,7 @@
             // Danger: told one by one, what did not change would stay closed; told before what changed was taken in, the
             // module would send to servers that have left.
             self.lapsed.set(false);
-            say!("the list is up to date again: requests are sent");
+            log_line!("the list is up to date again: requests are sent");
             self.tell_again(&[]);
         }
         self.tell(&listing.servers, kind);
@@ -123,9 +123,9 @@
         if lapsed {
             self.lease.counts_lapse();
             let over = self.lease.over_for() as f64 / 1e6;
-            say!("the list could not be renewed in time ({over:.3} s ago): nothing is sent until it is");
+            log_line!("the list could not be renewed in time ({over:.3} s ago): nothing is sent until it is");
         } else {
-            say!("discovery could not be reached, so the list stands: requests are sent");
+            log_line!("discovery could not be reached, so the list stands: requests are sent");
         }
         self.tell_again(&[]);
     }
@@ -146,7 +146,7 @@
                 }
                 Ok(_) => self.pool.forget(&entry.node),
                 Err(error) => {
-                    say!("discovery: address {} of {}: {error}", line.addr, line.id);
+                    log_line!("discovery: address {} of {}: {error}", line.addr, line.id);
                     entry.standing = Standing::Gone;
                     self.pool.forget(&entry.node);
                 }
@@ -227,7 +227,7 @@
     pub async fn follow(&self) {
         loop {
             sleep(LOOK).await;
-            if self.store.keeps() {
+            if self.store.is_persistent() {
                 self.look();
                 self.kept.write(|| self.lines.borrow().values().cloned().collect(), &self.lease);
             }
--- a/crates/flintwell/src/fleet/words.rs
+++ b/crates/flintwell/src/fleet/words.rs
@@ -2,10 +2,10 @@
 //! decided by `flintwell-membership`, `flintwell-shared-limits` and the module.
 
 use crate::process::clock::Clock;
-use crate::process::config::Words as Config;
+use crate::process::config::PeerMessagingConfig as Config;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
-use crate::staff::counts::Counts;
+use crate::log_line;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::Micros;
 use flintwell_membership::member::{self, Id, Member, Settings, Wire};
 use flintwell_membership::seal::Dropped;
@@ -51,7 +51,7 @@
     share: RefCell<Share>,
     probes: RefCell<Probes>,
     dispatcher: Rc<Dispatcher>,
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     next_round: Cell<u64>,
     left: Notify,
@@ -80,7 +80,7 @@
         (number, fleet): (u32, u32),
         seed: u64,
         dispatcher: Rc<Dispatcher>,
-        counts: Rc<Counts>,
+        counts: Rc<Metrics>,
     ) -> Self {
         let clock = dispatcher.clock;
         let now = ms(clock.now());
@@ -110,7 +110,7 @@
         let mut not_before = 0;
         loop {
             let due = self.member.borrow().due().min(self.next_round.get()).max(not_before);
-            let at = self.clock.instant(due as Micros * 1_000);
+            let at = self.clock.instant_at(due as Micros * 1_000);
             let mut wire = Sends { socket: &socket, heard: Vec::new() };
             tokio::select! {
                 came = socket.recv_from(&mut buffer) => {
@@ -151,7 +151,7 @@
                     if !std::mem::replace(&mut told, true) {
                         let held = error.kind() == io::ErrorKind::AddrInUse;
                         let why = if held { "held by another process".into() } else { error.to_string() };
-                        say!("words at {}: {why}; tried again", self.addr);
+                        log_line!("words at {}: {why}; tried again", self.addr);
                     }
                 }
             }
@@ -166,7 +166,7 @@
     fn round(&self, now: u64, wire: &mut Sends) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
         let wanted = self.dispatcher.granted(share.rate(now));
-        let (fetches, refused) = (self.counts.fetches.get(), self.counts.refused.get());
+        let (fetches, refused) = (self.counts.origin_attempts.get(), self.counts.origin_refusals.get());
         let counted = Counted { wanted, taken: fetches.saturating_sub(refused), refused };
         let others = member.others();
         let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
--- a/crates/flintwell/src/main.rs
+++ b/crates/flintwell/src/main.rs
@@ -5,7 +5,7 @@
 mod nodes;
 mod process;
 mod requests;
-mod staff;
+mod management;
 
 use clap::{Parser, Subcommand};
 use process::{config, serve};
@@ -41,7 +41,7 @@
     /// Show the state of the fleet as seen by one proxy
     Fleet {
         #[command(subcommand)]
-        command: staff::fleet_status::Command,
+        command: management::fleet_status::Command,
     },
     /// Hold the listening socket for clients and run versions of the program on it
     Supervise {
@@ -58,7 +58,7 @@
         Command::Serve { config } => config::read(&config).and_then(|read| serve::serve(read, config)),
         Command::Check { config } => config::read(&config).map(|config| println!("{config}")),
         Command::Supervise { config } => flintwell_supervise::supervise(&config),
-        Command::Fleet { command } => staff::fleet_status::run(&command),
+        Command::Fleet { command } => management::fleet_status::run(&command),
         Command::Rollout { command } => return rollout(command),
         Command::Version => {
             println!("flintwell {}", env!("CARGO_PKG_VERSION"));
--- a/crates/flintwell/src/staff/management.rs
+++ b/crates/flintwell/src/management/api.rs
@@ -7,9 +7,9 @@
 use crate::fleet::words::Words;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
-use crate::staff::counts::Counts;
-use crate::staff::rollout::Rollout;
+use crate::log_line;
+use crate::management::metrics::Metrics;
+use crate::management::rollout::Rollout;
 use bytes::Bytes;
 use flintwell_rollout::wire::MESSAGE_MOST;
 use http_body_util::{BodyExt, Full, Limited};
@@ -36,7 +36,7 @@
 
 /// State that the API reads and changes.
 pub struct Office {
-    pub counts: Rc<Counts>,
+    pub counts: Rc<Metrics>,
     pub dispatcher: Rc<Dispatcher>,
     pub registry: Rc<Registry>,
     pub list_status: Rc<ListStatus>,
@@ -78,7 +78,7 @@
                 }));
             }
             Err(error) => {
-                say!("management API: accept failed: {error}");
+                log_line!("management API: accept failed: {error}");
                 sleep(PAUSE).await;
             }
         }
@@ -132,7 +132,7 @@
     }
     let (head, body) = request.into_parts();
     match head.uri.path() {
-        "/api/ready" => match office.lease.ready() && !office.shutdown.begun() {
+        "/api/ready" => match office.lease.ready() && !office.shutdown.has_begun() {
             true => Ok((StatusCode::OK, r#"{"ready":true}"#.into())),
             false => Ok((StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#.into())),
         },
--- a/crates/flintwell/src/staff/counts.rs
+++ b/crates/flintwell/src/management/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of this process, as reported by the management API.
 
 use crate::nodes::permission::Violations;
-use crate::process::count::{Count, one_more};
+use crate::process::counter::{Counter, increment};
 use flintwell_core::interface::Micros;
 use flintwell_rollout::wire::{self, encode_times, new_times};
 use hdrhistogram::Histogram;
@@ -12,16 +12,16 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     Served,
     Refused,
     Failed,
 }
 
-impl End {
+impl RequestOutcome {
     /// Outcome of a streamed response that was relayed completely or broken off.
-    pub fn passed_on(whole: bool) -> Self {
-        if whole { End::Served } else { End::Failed }
+    pub fn of_relay(whole: bool) -> Self {
+        if whole { RequestOutcome::Served } else { RequestOutcome::Failed }
     }
 }
 
@@ -34,27 +34,27 @@
 }
 
 /// Counters since the start of the process. Every configured class is present from the start, with zeros.
-pub struct Counts {
+pub struct Metrics {
     cases: RefCell<Vec<(String, Rc<Ended>)>>,
     /// Response times, recorded only if the configuration has a `rollout` section.
     times: Option<RefCell<Histogram<u64>>>,
-    in_hand: Count,
+    in_hand: Counter,
     /// Attempts at cache nodes whose request was written completely.
-    pub attempts: Count,
+    pub cache_attempts: Counter,
     /// Attempts at the origin.
-    pub fetches: Count,
+    pub origin_attempts: Counter,
     /// Attempts that the origin refused because it was full.
-    pub refused: Count,
+    pub origin_refusals: Counter,
     /// Requests sent although a rule forbade it.
     pub violations: Violations,
     /// How often the lease on the server list lapsed.
-    pub lapses: Count,
+    pub lapses: Counter,
 }
 
 /// Counts a request as in flight until dropped.
-pub struct InHand(Count);
+pub struct InFlightGuard(Counter);
 
-impl Drop for InHand {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -82,17 +82,17 @@
     violations: BTreeMap<&'static str, u64>,
 }
 
-impl Counts {
+impl Metrics {
     pub fn new(cases: &[String], timed: bool) -> Rc<Self> {
-        let counts = Counts {
+        let counts = Metrics {
             cases: RefCell::default(),
             times: timed.then(|| RefCell::new(new_times())),
-            in_hand: Count::default(),
-            attempts: Count::default(),
-            fetches: Count::default(),
-            refused: Count::default(),
+            in_hand: Counter::default(),
+            cache_attempts: Counter::default(),
+            origin_attempts: Counter::default(),
+            origin_refusals: Counter::default(),
             violations: Violations::default(),
-            lapses: Count::default(),
+            lapses: Counter::default(),
         };
         counts.knows(cases);
         Rc::new(counts)
@@ -106,26 +106,26 @@
     }
 
     /// Records a response time, measured from the last byte of the request.
-    pub fn took(&self, time: Micros) {
+    pub fn record_latency(&self, time: Micros) {
         if let Some(times) = &self.times {
             times.borrow_mut().saturating_record(time.max(1) as u64);
         }
     }
 
     /// Counts a request as in flight until the returned guard is dropped.
-    pub fn takes(&self) -> InHand {
-        one_more(&self.in_hand);
-        InHand(self.in_hand.clone())
+    pub fn start_request(&self) -> InFlightGuard {
+        increment(&self.in_hand);
+        InFlightGuard(self.in_hand.clone())
     }
 
     /// Counts the outcome of a request, by the index of its class.
-    pub fn ended(&self, case: usize, end: End) {
+    pub fn record_outcome(&self, case: usize, end: RequestOutcome) {
         let cases = self.cases.borrow();
         let Some((_, ended)) = cases.get(case) else { return };
-        one_more(match end {
-            End::Served => &ended.served,
-            End::Refused => &ended.refused,
-            End::Failed => &ended.failed,
+        increment(match end {
+            RequestOutcome::Served => &ended.served,
+            RequestOutcome::Refused => &ended.refused,
+            RequestOutcome::Failed => &ended.failed,
         });
     }
 
@@ -139,7 +139,7 @@
             passed: by(|ended| &ended.served),
             dropped: by(|ended| &ended.refused),
             bad_gateway: by(|ended| &ended.failed),
-            upstream_tries: self.attempts.get(),
+            upstream_tries: self.cache_attempts.get(),
             in_progress: self.in_hand.get(),
             known_cache_nodes: known,
             skipped_cache_nodes: skipped,
@@ -163,9 +163,9 @@
             epoch,
             started_ms,
             cases: cases.iter().map(|(case, ended)| (case.clone(), ends(ended))).collect(),
-            attempts: self.attempts.get(),
-            fetches: self.fetches.get(),
-            refused: self.refused.get(),
+            attempts: self.cache_attempts.get(),
+            fetches: self.origin_attempts.get(),
+            refused: self.origin_refusals.get(),
             memory_kb: memory_kb().unwrap_or(0),
             times: self.times.as_ref().map_or_else(String::new, |times| encode_times(&times.borrow())),
         }
--- a/crates/flintwell/src/staff/mod.rs
+++ b/crates/flintwell/src/management/mod.rs
@@ -1,6 +1,6 @@
 //! Management API for the operators and the metrics it reports.
 
-pub mod counts;
+pub mod metrics;
 pub mod fleet_status;
-pub mod management;
+pub mod api;
 pub mod rollout;
--- a/crates/flintwell/src/staff/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -3,8 +3,8 @@
 
 use crate::fleet::registry::Registry;
 use crate::process::clock::Clock;
-use crate::say;
-use crate::staff::counts::Counts;
+use crate::log_line;
+use crate::management::metrics::Metrics;
 use flintwell_rollout::member::{Member, Refusal};
 use flintwell_rollout::wire::{Named, Stage, Status};
 use flintwell_settings::check_change;
@@ -27,7 +27,7 @@
     pub started_ms: u64,
     pub member: RefCell<Member>,
     pub disk: Disk,
-    pub counts: Rc<Counts>,
+    pub counts: Rc<Metrics>,
     pub changed: Notify,
     /// Applies settings to all components at once.
     pub put: Box<dyn Fn(&Value)>,
@@ -106,7 +106,7 @@
             // Recorded before they are applied: without a record, a restart would let unconfirmed settings stay in force
             // beyond their time.
             if let Err(error) = self.disk.write(&step.record) {
-                say!("rollout state not written to disk: {error}");
+                log_line!("rollout state not written to disk: {error}");
                 let why = format!("change could not be recorded; nothing has changed: {error}");
                 return Err((StatusCode::INSUFFICIENT_STORAGE, why));
             }
@@ -114,7 +114,7 @@
             if puts {
                 let member = self.member.borrow();
                 (self.put)(&member.in_force().settings);
-                say!("settings of epoch {} in force, not yet confirmed", member.in_force().epoch);
+                log_line!("settings of epoch {} in force, not yet confirmed", member.in_force().epoch);
             }
             self.changed.notify_one();
         }
@@ -126,9 +126,9 @@
     fn went_back(&self, from: u64) {
         let member = self.member.borrow();
         (self.put)(&member.in_force().settings);
-        say!("settings of epoch {from} reverted to epoch {}", member.in_force().epoch);
+        log_line!("settings of epoch {from} reverted to epoch {}", member.in_force().epoch);
         if let Err(error) = self.disk.write(member.record()) {
-            say!("rollout state not written to disk: {error}");
+            log_line!("rollout state not written to disk: {error}");
         }
     }
 
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -6,8 +6,8 @@
 use crate::nodes::permission::{Permission, Sending};
 use crate::nodes::pool::Pool;
 use crate::nodes::relay::{Content, Relay};
-use crate::process::clock::span;
-use crate::staff::counts::Counts;
+use crate::process::clock::to_duration;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::{Ending, Micros, NodeId};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
@@ -52,13 +52,13 @@
 #[derive(Clone)]
 pub struct Attempts {
     permission: Permission,
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     /// For what is read ahead of long answers.
     room: Rc<Budget>,
 }
 
 impl Attempts {
-    pub fn new(permission: Permission, counts: Rc<Counts>, room: Rc<Budget>) -> Self {
+    pub fn new(permission: Permission, counts: Rc<Metrics>, room: Rc<Budget>) -> Self {
         Attempts { permission, counts, room }
     }
 }
@@ -75,7 +75,7 @@
     fn call(&mut self, attempt: Attempt) -> Self::Future {
         let Attempts { permission, counts, room } = self.clone();
         Box::pin(async move {
-            let progress = Progress::counted(&counts.attempts);
+            let progress = Progress::counted(&counts.cache_attempts);
             let mut exchange = pin!(send(&permission, &attempt, &progress, &room));
             if let Some(end) = attempt.request.body.passing() {
                 // Its time counts from its last byte.
@@ -85,7 +85,7 @@
                     () = sleep(attempt.request.body.takes()) => {}
                 }
             }
-            if let Ok(ended) = timeout(span(attempt.allow_for), exchange.as_mut()).await {
+            if let Ok(ended) = timeout(to_duration(attempt.allow_for), exchange.as_mut()).await {
                 return ended;
             }
             // Danger: an answer that its node has begun, and may give for long, would be cut off.
--- a/crates/flintwell/src/nodes/carry.rs
+++ b/crates/flintwell/src/nodes/carry.rs
@@ -1,7 +1,7 @@
 //! The rest of a long answer, from its node to its client byte by byte, whichever process has them now.
 
 use crate::clients::framing::Coding;
-use crate::process::clock::PEER_STALL;
+use crate::process::clock::PEER_IDLE_TIMEOUT;
 use socket2::SockRef;
 use std::fs::File;
 use std::io::{self, Read};
@@ -72,7 +72,7 @@
     ) -> io::Result<()> {
         while !coding.ended() {
             let read = node.async_io(Interest::READABLE, || node.try_read(piece));
-            let bytes = timeout(PEER_STALL, read).await.map_err(|_| io::ErrorKind::TimedOut)??;
+            let bytes = timeout(PEER_IDLE_TIMEOUT, read).await.map_err(|_| io::ErrorKind::TimedOut)??;
             if bytes == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
@@ -94,7 +94,7 @@
         while written < self.unwritten.len() {
             let unwritten = &self.unwritten[written..];
             let write = self.client.async_io(Interest::WRITABLE, || self.client.try_write(unwritten));
-            written += timeout(PEER_STALL, write).await.map_err(|_| io::ErrorKind::TimedOut)??;
+            written += timeout(PEER_IDLE_TIMEOUT, write).await.map_err(|_| io::ErrorKind::TimedOut)??;
         }
         self.unwritten.clear();
         Ok(())
--- a/crates/flintwell/src/nodes/link.rs
+++ b/crates/flintwell/src/nodes/link.rs
@@ -3,7 +3,7 @@
 use crate::clients::body::Outgoing;
 use crate::clients::framing::{Answers, Coding};
 use crate::nodes::stream::Shared;
-use crate::process::count::{Count, one_more};
+use crate::process::counter::{Counter, increment};
 use bytes::{Bytes, BytesMut};
 use flintwell_core::interface::Ending;
 use http_body_util::BodyExt;
@@ -148,7 +148,7 @@
     /// And written, with all before it.
     written: Cell<bool>,
     /// Grows by one once that is written.
-    whole: Cell<Option<Count>>,
+    whole: Cell<Option<Counter>>,
     /// Called once its first bytes are written.
     begins: Cell<Option<Box<dyn FnOnce()>>>,
 }
@@ -208,7 +208,7 @@
     /// Called once all that was to be written so far is.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.message.ended.get() && !self.message.written.replace(true) {
-            self.message.whole.take().inspect(|count| one_more(count));
+            self.message.whole.take().inspect(|count| increment(count));
         }
         Poll::Ready(Ok(()))
     }
@@ -224,7 +224,7 @@
     /// Of a long one, which its node does not begin before its last byte.
     long: Cell<Option<Rc<Message>>>,
     /// Grows by one once its message is written whole.
-    whole: Option<Count>,
+    whole: Option<Counter>,
     /// Called once its first bytes are written.
     begins: Cell<Option<Box<dyn FnOnce()>>>,
     /// An answer of no told length has begun, and is held for a moment.
@@ -239,7 +239,7 @@
         self.hurry.notify_one();
         self.held.get()
     }
-    pub fn counted(whole: &Count) -> Self {
+    pub fn counted(whole: &Counter) -> Self {
         Progress { whole: Some(whole.clone()), ..Progress::default() }
     }
     /// Has this called once the first bytes of the message are written.
--- a/crates/flintwell/src/nodes/permission.rs
+++ b/crates/flintwell/src/nodes/permission.rs
@@ -5,9 +5,9 @@
 use crate::fleet::lease::ListLease;
 use crate::nodes::link::{Broken, Cause};
 use crate::nodes::pool::Pool;
-use crate::process::clock::span;
-use crate::process::count::{Count, one_more};
-use crate::say;
+use crate::process::clock::to_duration;
+use crate::process::counter::{Counter, increment};
+use crate::log_line;
 use flintwell_core::interface::{Micros, NodeId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -30,13 +30,13 @@
 #[derive(Clone, Default)]
 pub struct Violations {
     /// To a node that was not listed as ready.
-    pub unlisted: Count,
+    pub unlisted: Counter,
     /// By a list so old that what it lacked counted as told.
-    pub lapsed: Count,
+    pub lapsed: Counter,
     /// Beyond the time or the window that they had.
-    pub stale: Count,
+    pub stale: Counter,
     /// For a client that had left.
-    pub left: Count,
+    pub left: Counter,
 }
 
 impl Violations {
@@ -49,10 +49,10 @@
 
     fn count(&self, cause: &Cause) {
         match cause {
-            Cause::Lapsed => one_more(&self.lapsed),
-            Cause::Stale => one_more(&self.stale),
-            Cause::Left => one_more(&self.left),
-            _ => one_more(&self.unlisted),
+            Cause::Lapsed => increment(&self.lapsed),
+            Cause::Stale => increment(&self.stale),
+            Cause::Left => increment(&self.left),
+            _ => increment(&self.unlisted),
         }
     }
 }
@@ -76,7 +76,7 @@
         self.pool.listed(&sending.node)?;
         // Danger: a window for repeats, or the request's time, may be over; the module left a dial's time of either.
         let since = sending.chosen_at.elapsed();
-        if since >= span(sending.allow_for) || since > self.pool.dial_within + MARGIN {
+        if since >= to_duration(sending.allow_for) || since > self.pool.dial_within + MARGIN {
             return Err(Broken::unwritten(Cause::Stale));
         }
         // Danger: a client that left meanwhile would have its request carried out for nobody.
@@ -90,7 +90,7 @@
         }
         if let Err(broken) = self.now(sending) {
             self.violations.count(&broken.cause);
-            say!("a request was sent to {} against a rule: {broken}", sending.node);
+            log_line!("a request was sent to {} against a rule: {broken}", sending.node);
         }
     }
 }
--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes: who is where, what is open and idle, and room for more.
 
 use crate::nodes::link::{Broken, Cause, Link};
-use crate::process::clock::span;
+use crate::process::clock::to_duration;
 use flintwell_core::interface::{Micros, NodeId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -41,11 +41,11 @@
 
 impl Pool {
     pub fn new(connections: usize, dial_within: Micros, idle_most: Micros) -> Rc<Self> {
-        let idle_most = span(idle_most).mul_f64(IDLE_SHARE);
+        let idle_most = to_duration(idle_most).mul_f64(IDLE_SHARE);
         Rc::new(Pool {
             nodes: RefCell::default(),
             room: Arc::new(Semaphore::new(connections)),
-            dial_within: span(dial_within),
+            dial_within: to_duration(dial_within),
             idle_most,
             idle_limit: Cell::new(idle_most),
         })
--- a/crates/flintwell/src/nodes/relay.rs
+++ b/crates/flintwell/src/nodes/relay.rs
@@ -4,9 +4,9 @@
 use crate::nodes::carry::Rest;
 use crate::nodes::link::Link;
 use crate::nodes::pool::Pool;
-use crate::process::clock::{PEER_STALL, Patience};
+use crate::process::clock::{PEER_IDLE_TIMEOUT, IdleTimer};
 use crate::requests::dispatcher::RequestHandle;
-use crate::staff::counts::{Counts, End, InHand};
+use crate::management::metrics::{Metrics, RequestOutcome, InFlightGuard};
 use bytes::Bytes;
 use flintwell_core::interface::NodeId;
 use http_body_util::Full;
@@ -54,16 +54,16 @@
 
 /// What lasts as long as the request that is answered.
 pub struct Carried {
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     pub case: usize,
     _handle: RequestHandle,
-    _in_hand: InHand,
+    _in_hand: InFlightGuard,
 }
 
 impl Carried {
     /// It has ended here; who left is not counted.
     pub fn ended(self, whole: bool) {
-        self.counts.ended(self.case, End::passed_on(whole));
+        self.counts.record_outcome(self.case, RequestOutcome::of_relay(whole));
     }
 }
 
@@ -95,7 +95,7 @@
     failed: Option<&'static str>,
     /// Bytes that may still come.
     left: u64,
-    patience: Patience,
+    patience: IdleTimer,
     node: NodeId,
     pool: Rc<Pool>,
     link: Option<Link>,
@@ -108,7 +108,7 @@
             match ready!(Pin::new(&mut *rest).poll_frame(cx)) {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.patience.renew();
+                    self.patience.reset();
                     let ends = rest.is_end_stream();
                     // Danger: an answer without end would be passed on for as long as its client reads.
                     let Some(left) = self.left.checked_sub(data.len() as u64) else {
@@ -275,7 +275,7 @@
             rest: Some(rest),
             failed: None,
             left,
-            patience: Patience::new(PEER_STALL),
+            patience: IdleTimer::new(PEER_IDLE_TIMEOUT),
             node,
             pool,
             link: Some(link),
@@ -293,7 +293,7 @@
     }
 
     /// Its request ends with it.
-    pub fn carries(&self, handle: RequestHandle, in_hand: InHand, counts: Rc<Counts>, case: usize) {
+    pub fn carries(&self, handle: RequestHandle, in_hand: InFlightGuard, counts: Rc<Metrics>, case: usize) {
         self.way.carried.replace(Some(Carried { counts, case, _handle: handle, _in_hand: in_hand }));
     }
 }
--- a/crates/flintwell/src/process/clock.rs
+++ b/crates/flintwell/src/process/clock.rs
@@ -9,7 +9,7 @@
 
 const BEAT: Micros = 10_000; // short compared with deadlines, negligible CPU cost
 /// Longest time without progress on a client or node connection; healthy peers may pause for seconds.
-pub const PEER_STALL: Duration = Duration::from_secs(10);
+pub const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const STALL: Micros = 40_000; // since the beat before last; twice the normal value of two beats
 
 /// Source of the current time for the whole process.
@@ -29,56 +29,56 @@
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
     /// Converts an `Instant` to Unix time on this clock.
-    pub fn at(&self, instant: Instant) -> Micros {
+    pub fn micros_at(&self, instant: Instant) -> Micros {
         let since = instant.saturating_duration_since(self.started).as_micros() as Micros;
         self.started_at + since
     }
     /// Converts Unix time on this clock to an `Instant`.
-    pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        (self.started + span(at - self.started_at)).into()
+    pub fn instant_at(&self, at: Micros) -> tokio::time::Instant {
+        (self.started + to_duration(at - self.started_at)).into()
     }
 }
 
 /// Detects stalls of the runtime thread with a periodic task that records when it last ran.
-pub struct Pulse {
+pub struct StallDetector {
     clock: Clock,
     last: Cell<Micros>,
     before: Cell<Micros>,
 }
 
-impl Pulse {
+impl StallDetector {
     pub fn new(clock: Clock) -> Self {
         let now = clock.now();
-        Pulse { clock, last: Cell::new(now), before: Cell::new(now) }
+        StallDetector { clock, last: Cell::new(now), before: Cell::new(now) }
     }
-    pub async fn beat(&self) {
+    pub async fn run(&self) {
         loop {
-            tokio::time::sleep(span(BEAT)).await;
+            tokio::time::sleep(to_duration(BEAT)).await;
             self.before.set(self.last.replace(self.clock.now()));
         }
     }
     /// Earliest time at which input that is read now may have arrived: the current time, or the last beat before a
     /// stall. Input that arrives while the process is stalled looks new when it is read, so a deadline counted from
     /// the read would be exceeded.
-    pub fn waited_from(&self) -> Micros {
+    pub fn queued_since(&self) -> Micros {
         let (now, before) = (self.clock.now(), self.before.get());
         if now - before > STALL { before } else { now }
     }
 }
 
 /// Idle timer for a peer: limits how long we wait for it without receiving data.
-pub struct Patience {
+pub struct IdleTimer {
     most: Duration,
     ends: Pin<Box<Sleep>>,
     waits: bool,
 }
 
-impl Patience {
+impl IdleTimer {
     pub fn new(most: Duration) -> Self {
-        Patience { most, ends: Box::pin(sleep(most)), waits: false }
+        IdleTimer { most, ends: Box::pin(sleep(most)), waits: false }
     }
     /// Stops the timer; call when data has been received.
-    pub fn renew(&mut self) {
+    pub fn reset(&mut self) {
         self.waits = false;
     }
     /// Starts the timer if it is not running; ready once it has expired. Call when no data is available.
@@ -92,6 +92,6 @@
 }
 
 /// Converts microseconds to a `Duration`; negative values become zero.
-pub fn span(time: Micros) -> Duration {
+pub fn to_duration(time: Micros) -> Duration {
     Duration::from_micros(time.max(0) as u64)
 }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -53,7 +53,7 @@
 
 /// Messages between the proxies of the fleet, validated, with defaults applied and the key loaded.
 #[derive(Clone, Debug)]
-pub struct Words {
+pub struct PeerMessagingConfig {
     pub cluster: String,
     pub listen: SocketAddr,
     pub advertise: SocketAddr,
@@ -106,7 +106,7 @@
     pub watch_with: Option<Settings>,
     pub network: Network,
     pub rollout: Option<Rollout>,
-    pub words: Option<Words>,
+    pub words: Option<PeerMessagingConfig>,
     /// The settings as JSON, unchanged from the file.
     pub told: Value,
 }
@@ -160,7 +160,7 @@
     })
 }
 
-fn words(told: WordsTold, settings: &Settings, file: &Value) -> Result<Words, String> {
+fn words(told: WordsTold, settings: &Settings, file: &Value) -> Result<PeerMessagingConfig, String> {
     let WordsTold { cluster, listen, advertise, peers, key_file } = told;
     let advertise = advertise.unwrap_or(listen);
     if file["limits"]["peer_messages"] == Value::Bool(false) {
@@ -186,7 +186,7 @@
         }
         None => Vec::new(),
     };
-    Ok(Words { cluster, listen, advertise, peers, key })
+    Ok(PeerMessagingConfig { cluster, listen, advertise, peers, key })
 }
 
 /// Management address from the environment. It takes precedence over the file, because versions that run side by side
--- a/crates/flintwell/src/process/count.rs
+++ b/crates/flintwell/src/process/counter.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 /// Counter shared between the code that increments it and the code that reports it.
-pub type Count = Rc<Cell<u64>>;
+pub type Counter = Rc<Cell<u64>>;
 
 /// Adds one to the counter.
-pub fn one_more(count: &Cell<u64>) {
+pub fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/flintwell/src/process/handover.rs
+++ b/crates/flintwell/src/process/handover.rs
@@ -6,8 +6,8 @@
 use crate::clients::framing::Coding;
 use crate::nodes::carry::Carry;
 use crate::nodes::relay::Carried;
-use crate::say;
-use crate::staff::counts::{Counts, End};
+use crate::log_line;
+use crate::management::metrics::{Metrics, RequestOutcome};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -77,7 +77,7 @@
     match timeout(ANSWERS, meets).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(successor) => Some(successor),
         Err(error) => {
-            say!("the successor takes over no long responses: {error}");
+            log_line!("the successor takes over no long responses: {error}");
             None
         }
     }
@@ -86,7 +86,7 @@
 impl Successor {
     /// Writes buffered parts of a response to an unnamed temporary file, which is sent along as a descriptor, since
     /// they may exceed the maximum message size. Returns the file and its length, or `None` without any parts.
-    pub fn keeps(&self, pieces: impl Iterator<Item = Bytes>) -> io::Result<Option<(File, u64)>> {
+    pub fn spool(&self, pieces: impl Iterator<Item = Bytes>) -> io::Result<Option<(File, u64)>> {
         let (mut file, mut length) = (None, 0);
         for piece in pieces {
             let file = match &mut file {
@@ -118,7 +118,7 @@
         match offered {
             Ok(taken) => taken,
             Err(error) => {
-                say!("handover of a response failed: {error}");
+                log_line!("handover of a response failed: {error}");
                 *socket = None;
                 false
             }
@@ -167,7 +167,7 @@
 pub struct Inheritance {
     /// Connection limits for clients and for nodes.
     pub rooms: [Arc<Semaphore>; 2],
-    pub counts: Rc<Counts>,
+    pub counts: Rc<Metrics>,
 }
 
 impl Inheritance {
@@ -178,11 +178,11 @@
                 // One predecessor at a time; others wait in the listen queue.
                 Ok(forerunner) => {
                     if let Err(error) = self.hear(&forerunner).await {
-                        say!("handover interrupted: {error}");
+                        log_line!("handover interrupted: {error}");
                     }
                 }
                 Err(error) => {
-                    say!("handover: accept failed: {error}");
+                    log_line!("handover: accept failed: {error}");
                     tokio::time::sleep(ANSWERS).await;
                 }
             }
@@ -217,7 +217,7 @@
             let word = match &taken {
                 Ok(_) => TAKEN,
                 Err(why) => {
-                    say!("a response was not taken over: {why}");
+                    log_line!("a response was not taken over: {why}");
                     REFUSED
                 }
             };
@@ -269,9 +269,9 @@
     fn goes_on(&self, Taken { carry, case, permits }: Taken) {
         let counts = self.counts.clone();
         spawn_local(async move {
-            let _in_hand = case.map(|_| counts.takes());
+            let _in_hand = case.map(|_| counts.start_request());
             let whole = carry.pass_on().await;
-            case.into_iter().for_each(|case| counts.ended(case, End::passed_on(whole)));
+            case.into_iter().for_each(|case| counts.record_outcome(case, RequestOutcome::of_relay(whole)));
             drop(permits);
         });
     }
--- a/crates/flintwell/src/process/log.rs
+++ b/crates/flintwell/src/process/log.rs
@@ -52,7 +52,7 @@
 
 /// Logs a formatted line, subject to the rate limit.
 #[macro_export]
-macro_rules! say {
+macro_rules! log_line {
     ($($words:tt)*) => {
         if $crate::process::log::allowed() {
             $crate::process::log::line(format_args!($($words)*));
--- a/crates/flintwell/src/process/mod.rs
+++ b/crates/flintwell/src/process/mod.rs
@@ -3,10 +3,10 @@
 
 pub mod clock;
 pub mod config;
-pub mod count;
+pub mod counter;
 pub mod handover;
 pub mod inherit;
-pub mod live;
+pub mod reloadable;
 pub mod log;
 pub mod reload;
 pub mod serve;
--- a/crates/flintwell/src/process/reload.rs
+++ b/crates/flintwell/src/process/reload.rs
@@ -2,7 +2,7 @@
 //! serving.
 
 use crate::process::config;
-use crate::say;
+use crate::log_line;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -27,13 +27,13 @@
     loop {
         match config::read(path) {
             Ok(config) => {
-                say!("configuration reloaded; discovery at {}", config.discovery);
+                log_line!("configuration reloaded; discovery at {}", config.discovery);
                 discovery
                     .send_if_modified(|addr| std::mem::replace(addr, config.discovery) != config.discovery);
                 return;
             }
             Err(error) if !told => {
-                say!("configuration reload failed, keeping the previous one and retrying: {error}");
+                log_line!("configuration reload failed, keeping the previous one and retrying: {error}");
                 told = true;
             }
             Err(_) => {}
--- a/crates/flintwell/src/process/live.rs
+++ b/crates/flintwell/src/process/reloadable.rs
@@ -5,11 +5,11 @@
 
 /// Shared, replaceable value. Readers call `get` for each use and keep a consistent snapshot for as long as they hold
 /// the returned `Rc`.
-pub struct Live<T>(RefCell<Rc<T>>);
+pub struct Reloadable<T>(RefCell<Rc<T>>);
 
-impl<T> Live<T> {
+impl<T> Reloadable<T> {
     pub fn new(first: T) -> Rc<Self> {
-        Rc::new(Live(RefCell::new(Rc::new(first))))
+        Rc::new(Reloadable(RefCell::new(Rc::new(first))))
     }
     /// Returns a snapshot of the current value.
     pub fn get(&self) -> Rc<T> {
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -13,11 +13,11 @@
 use crate::nodes::attempt::Attempts;
 use crate::nodes::permission::Permission;
 use crate::nodes::pool::Pool;
-use crate::process::clock::{Clock, span};
+use crate::process::clock::{Clock, to_duration};
 use crate::process::config::{Config, SOCKETS_LEAST};
 use crate::process::handover::{self, Inheritance};
 use crate::process::inherit;
-use crate::process::live::Live;
+use crate::process::reloadable::Reloadable;
 use crate::process::reload;
 use crate::process::shutdown;
 use crate::process::store::Store;
@@ -25,10 +25,10 @@
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::front::Front;
 use crate::requests::watch::Watch;
-use crate::say;
-use crate::staff::counts::Counts;
-use crate::staff::management::{self, Office};
-use crate::staff::rollout::Rollout;
+use crate::log_line;
+use crate::management::metrics::Metrics;
+use crate::management::api::{self, Office};
+use crate::management::rollout::Rollout;
 use flintwell_list_watch::{Figures, Lease, Watch as ListWatch};
 use flintwell_rollout::member::Member;
 use flintwell_settings::{decode, decode_network};
@@ -57,7 +57,7 @@
 /// missing for the rest of the process's life without any sign but its effects: a stale server list, a closed listener.
 async fn lasting(part: &str, mut work: impl AsyncFnMut()) {
     while AssertUnwindSafe(work()).catch_unwind().await.is_err() {
-        say!("task {part} panicked; restarting it");
+        log_line!("task {part} panicked; restarting it");
         sleep(AGAIN).await;
     }
 }
@@ -80,7 +80,7 @@
         .current
         .map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX));
     if limit < config.sockets {
-        say!("limits.sockets is {}, but RLIMIT_NOFILE is {limit}; using {limit}", config.sockets);
+        log_line!("limits.sockets is {}, but RLIMIT_NOFILE is {limit}; using {limit}", config.sockets);
         config.sockets = limit;
     }
     if limit < SOCKETS_LEAST {
@@ -120,7 +120,7 @@
         Some(rollout) => {
             let disk = Disk::open(&rollout.state)?;
             let left = disk.read().unwrap_or_else(|why| {
-                say!("{why}");
+                log_line!("{why}");
                 None
             });
             let member = Member::start(&rollout.fleet, left, &config.told);
@@ -132,9 +132,9 @@
         }
         None => None,
     };
-    let counts = Counts::new(&config.network.classes, changes.is_some());
+    let counts = Metrics::new(&config.network.classes, changes.is_some());
     let pool = Pool::new(connections, config.network.dial_within, config.network.idle_most);
-    let network = Live::new(config.network);
+    let network = Reloadable::new(config.network);
     let place = (config.settings.index, config.settings.fleet_size);
     let pushed = !config.settings.list_on_request;
     let (index, fleet, grace) = (place.0, place.1, network.get().drain_grace);
@@ -190,7 +190,7 @@
     let timed = dispatcher.clone();
     spawn_local(lasting("timers", async move || timed.keep_time().await));
     let beating = dispatcher.clone();
-    spawn_local(lasting("stall detector", async move || beating.pulse.beat().await));
+    spawn_local(lasting("stall detector", async move || beating.pulse.run().await));
     let followed = registry.clone();
     spawn_local(lasting("registry", async move || followed.follow().await));
     let swept = pool.clone();
@@ -212,7 +212,7 @@
                 put_registry.retell();
             }
             // Not expected: settings are validated when they are staged.
-            (Err(error), _) | (_, Err(error)) => say!("settings not applied: {error}"),
+            (Err(error), _) | (_, Err(error)) => log_line!("settings not applied: {error}"),
         };
         Rc::new(Rollout {
             name: config.name.clone(),
@@ -247,7 +247,7 @@
         let (lease, shutdown) = (lease.clone(), shutdown.clone());
         let office =
             Rc::new(Office { counts, dispatcher, registry, list_status, lease, shutdown, rollout, words });
-        let answering = async move || management::answer(&listener, &office).await;
+        let answering = async move || api::answer(&listener, &office).await;
         spawn_local(lasting("management API", answering));
     }
     if inherits && let Some(path) = succession.takes_over_at() {
@@ -257,7 +257,7 @@
                 let takeover = Inheritance { rooms: [room.clone(), pool.room()], counts: counts.clone() };
                 spawn_local(lasting("handover", async move || takeover.take_over(&mut listener).await));
             }
-            Err(error) => say!("cannot take over responses from a predecessor: {error}"),
+            Err(error) => log_line!("cannot take over responses from a predecessor: {error}"),
         }
     }
     let permission = Permission { pool, lease: lease.clone(), violations: counts.violations.clone() };
@@ -268,11 +268,11 @@
         Front { dispatcher, attempts, counts, network, budget, lease, shutdown, client: Presence::default() };
     let at = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
     succession.serves().map_err(|e| format!("directory for temporary files: {e}"))?;
-    say!("{} serves on {at}", config.name);
+    log_line!("{} serves on {at}", config.name);
     let client_room = room.clone();
     let accepting =
         spawn_local(lasting("accept", async move || accept::accept(&listener, &client_room, &front).await));
-    let longest = || span(longest_now.get().longest);
+    let longest = || to_duration(longest_now.get().longest);
     let has_successor = || inherits && succession.succeeded();
     let successor = async || handover::successor(succession.successor().as_deref()).await;
     let stopped =
--- a/crates/flintwell/src/process/shutdown.rs
+++ b/crates/flintwell/src/process/shutdown.rs
@@ -4,7 +4,7 @@
 //! on the same listening socket, the listener and idle connections are closed at once.
 
 use crate::process::handover::Successor;
-use crate::say;
+use crate::log_line;
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 
 impl Shutdown {
     /// Whether shutdown has begun, so that each response is the last on its connection.
-    pub fn begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         *self.phases.borrow() > Phase::Serving
     }
     /// Waits until the listener has to be closed.
@@ -50,7 +50,7 @@
     }
     /// Whether a successor serves the same listening socket. Connections still in the accept queue then belong to the
     /// successor: one that is accepted or inspected here during shutdown would be lost with this process.
-    pub fn succeeded(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.succeeded.get()
     }
     /// Completes when a connection accepted now has to be closed if idle. A request that crosses this close is sent
@@ -116,7 +116,7 @@
             successor().await.map(|successor| self.successor.set(Rc::new(successor)));
             self.succeeded.set(true);
         }
-        say!("shutting down{}", if self.succeeded.get() { "; a successor serves the socket" } else { "" });
+        log_line!("shutting down{}", if self.succeeded.get() { "; a successor serves the socket" } else { "" });
         self.phases.send_replace(Phase::Begun);
         // With a successor no connections are accepted from here on, since a long response to a later request would be
         // cut off by SIGKILL; the successor accepts them instead.
@@ -134,7 +134,7 @@
         };
         // The extra time keeps a long response from being cut off while its client still reads it.
         if timeout(longest() + READS, rest).await.is_err() {
-            say!("shutdown timed out with connections still open");
+            log_line!("shutdown timed out with connections still open");
         }
         Ok(())
     }
--- a/crates/flintwell/src/process/store.rs
+++ b/crates/flintwell/src/process/store.rs
@@ -16,13 +16,13 @@
     /// Creates the directory of the proxy `name` in `below`, the directory for temporary files, if there is one.
     pub fn open(below: Option<&Path>, name: &str) -> io::Result<Self> {
         let Some(below) = below else { return Ok(Store(None)) };
-        let folder = below.join(format!("flintwell-{}", plain(name)));
+        let folder = below.join(format!("flintwell-{}", escape_file_name(name)));
         fs::create_dir_all(&folder)?;
         Ok(Store(Some(folder)))
     }
 
     /// Whether there is a directory to store files in.
-    pub fn keeps(&self) -> bool {
+    pub fn is_persistent(&self) -> bool {
         self.0.is_some()
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Names of the files that start with `prefix`.
-    pub fn names(&self, prefix: &str) -> Vec<String> {
+    pub fn list_files(&self, prefix: &str) -> Vec<String> {
         let Some(folder) = &self.0 else { return Vec::new() };
         let found = fs::read_dir(folder).into_iter().flatten().flatten();
         let names = found.filter_map(|entry| entry.file_name().into_string().ok());
@@ -62,7 +62,7 @@
 }
 
 /// Escapes a name for use in a file name: bytes other than ASCII letters, digits and `-` become `_` and two hex digits.
-pub fn plain(name: &str) -> String {
+pub fn escape_file_name(name: &str) -> String {
     let byte = |byte: u8| match byte {
         b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' => char::from(byte).to_string(),
         other => format!("_{other:02x}"),
--- a/crates/flintwell/src/process/succession.rs
+++ b/crates/flintwell/src/process/succession.rs
@@ -3,7 +3,7 @@
 
 use crate::process::shutdown::Shutdown;
 use crate::process::store::Store;
-use crate::say;
+use crate::log_line;
 use std::fs::{File, TryLockError};
 use std::io::{self, Read, Seek, Write};
 use std::path::PathBuf;
@@ -76,14 +76,14 @@
     /// Path of this process's handover socket. Removes sockets left behind by killed processes.
     pub fn takes_over_at(&self) -> Option<PathBuf> {
         let living: Vec<String> = self.others().map(|(file, _)| format!("{TAKES}{file}")).collect();
-        let left = self.store.names(TAKES).into_iter().filter(|name| !living.contains(name));
+        let left = self.store.list_files(TAKES).into_iter().filter(|name| !living.contains(name));
         left.for_each(|name| self.store.remove(&name));
         self.store.path(&format!("{TAKES}{}", self.file))
     }
 
     /// File names of the other running processes, and whether they serve.
     fn others(&self) -> impl Iterator<Item = (String, bool)> {
-        let named = self.store.names(MARK).into_iter().filter(|file| *file != self.file);
+        let named = self.store.list_files(MARK).into_iter().filter(|file| *file != self.file);
         named.filter_map(|name| {
             let mut file = File::open(self.store.path(&name)?).ok()?;
             match file.try_lock_shared() {
@@ -107,10 +107,10 @@
         let mut kept: Vec<OwnedSemaphorePermit> = Vec::new();
         let mut shared = false;
         // Reserved permits look like open connections and would delay shutdown, so they are released when it begins.
-        while self.lock.is_some() && !shutdown.begun() {
+        while self.lock.is_some() && !shutdown.has_begun() {
             if shared != self.another() {
                 shared = !shared;
-                say!("{}", if shared { "another process of this proxy runs: connection limits halved" } else { "no other process runs: connection limits restored" });
+                log_line!("{}", if shared { "another process of this proxy runs: connection limits halved" } else { "no other process runs: connection limits restored" });
                 kept.clear();
             }
             if shared {
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -2,9 +2,9 @@
 //! the host's calls, which only reach a handle and never re-enter the module.
 
 use crate::nodes::pool::Pool;
-use crate::process::clock::{Clock, Pulse};
+use crate::process::clock::{Clock, StallDetector};
 use crate::requests::watch::{Move, Watch};
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{
     Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
 };
@@ -58,7 +58,7 @@
                 place.next.replace(Some(step));
                 place.called.notify_one();
             }
-            None => say!("a step for request {request}, which is not in hand"),
+            None => log_line!("a step for request {request}, which is not in hand"),
         }
     }
 }
@@ -88,7 +88,7 @@
 
 pub struct Dispatcher {
     pub clock: Clock,
-    pub pulse: Pulse,
+    pub pulse: StallDetector,
     module: RefCell<Policy<HostCalls>>,
     mailboxes: Rc<Mailboxes>,
 }
@@ -109,7 +109,7 @@
             watch,
         });
         let module = RefCell::new(Policy::start(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
-        Dispatcher { clock, pulse: Pulse::new(clock), module, mailboxes }
+        Dispatcher { clock, pulse: StallDetector::new(clock), module, mailboxes }
     }
 
     /// Calls the module; nothing is awaited in there. False if it panicked. Danger: a panic in a call made
@@ -117,7 +117,7 @@
     fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&Watch)) -> bool {
         let done = catch_unwind(AssertUnwindSafe(|| call(&mut self.module.borrow_mut())));
         if done.is_err() {
-            say!("a call of the module panicked");
+            log_line!("a call of the module panicked");
         }
         // After the one that decides, and whatever became of that.
         self.mailboxes.watch.as_deref().inspect(|watch| watched(watch));
@@ -157,7 +157,7 @@
     /// After a standstill of ours, what has come meanwhile is read before anything is sent. Danger: a list that has come
     /// tells of servers that leave, and a request decided on before it would still go there.
     pub async fn settles(&self) {
-        if self.pulse.waited_from() < self.clock.now() {
+        if self.pulse.queued_since() < self.clock.now() {
             for _ in 0..SETTLES {
                 yield_now().await;
             }
@@ -192,7 +192,7 @@
             let first =
                 self.mailboxes.timers.borrow().first().map_or(self.clock.now() + FAR, |timer| timer.0);
             tokio::select! {
-                () = sleep_until(self.clock.instant(first.max(not_before))) => {
+                () = sleep_until(self.clock.instant_at(first.max(not_before))) => {
                     let now = self.clock.now();
                     while let Some(label) = self.due(now) {
                         self.module(|module| module.timer(now, label), |watch| watch.timer(now, label));
@@ -251,7 +251,7 @@
                 self.place.called.notified().await;
             }
         };
-        let step = timeout_at(self.dispatcher.clock.instant(deadline), word).await.ok()?;
+        let step = timeout_at(self.dispatcher.clock.instant_at(deadline), word).await.ok()?;
         self.over = !matches!(step, Step::Attempt { .. });
         Some(step)
     }
--- a/crates/flintwell/src/requests/front.rs
+++ b/crates/flintwell/src/requests/front.rs
@@ -8,11 +8,11 @@
 use crate::fleet::lease::ListLease;
 use crate::nodes::attempt::Attempts;
 use crate::nodes::relay::Content;
-use crate::process::live::Live;
+use crate::process::reloadable::Reloadable;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::request;
-use crate::staff::counts::Counts;
+use crate::management::metrics::Metrics;
 use flintwell_settings::Network;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
@@ -28,8 +28,8 @@
 pub struct Front {
     pub dispatcher: Rc<Dispatcher>,
     pub attempts: Attempts,
-    pub counts: Rc<Counts>,
-    pub network: Rc<Live<Network>>,
+    pub counts: Rc<Metrics>,
+    pub network: Rc<Reloadable<Network>>,
     pub budget: Rc<Budget>,
     pub lease: Rc<ListLease>,
     pub shutdown: Shutdown,
@@ -41,14 +41,14 @@
     async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Answer {
         if request.uri().path() == "/health/ready" {
             // Danger: clients that come before any list is in force are refused, where others could serve them.
-            return Answer::Ready(self.lease.ready() && !self.shutdown.begun());
+            return Answer::Ready(self.lease.ready() && !self.shutdown.has_begun());
         }
         let client = self.client.clone();
         match ClientRequest::decode(request, framing, &self.network.get(), &self.budget, client).await {
             // It came slowly, or crossed the closing; a successor has longer to answer it than we have.
-            Ok(request) if self.shutdown.succeeded() => {
+            Ok(request) if self.shutdown.has_successor() => {
                 let answer = Answer::Refused { stay_away: 0 };
-                answer.end().inspect(|&end| self.counts.ended(request.class, end));
+                answer.end().inspect(|&end| self.counts.record_outcome(request.class, end));
                 answer
             }
             Ok(request) => {
@@ -76,7 +76,7 @@
             let answered = AssertUnwindSafe(front.answer(request, framing)).catch_unwind().await;
             let answer = answered.unwrap_or(Answer::Failed);
             // Danger: what comes behind a chunked body is not told apart by its raw bytes.
-            Ok(answer.encode(front.shutdown.begun() || framing == Framing::Coded))
+            Ok(answer.encode(front.shutdown.has_begun() || framing == Framing::Coded))
         })
     }
 }
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -6,10 +6,10 @@
 use crate::nodes::attempt::{Attempt, Attempts};
 use crate::nodes::link::Cause;
 use crate::nodes::relay::Content;
-use crate::process::clock::span;
-use crate::process::count::one_more;
+use crate::process::clock::to_duration;
+use crate::process::counter::increment;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
-use crate::staff::counts::Counts;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::{Ending, Micros};
 use std::rc::Rc;
 use std::time::Instant;
@@ -23,17 +23,17 @@
     dispatcher: &Rc<Dispatcher>,
     lease: &ListLease,
     attempts: &Attempts,
-    counts: &Rc<Counts>,
+    counts: &Rc<Metrics>,
 ) -> Answer {
-    let (in_hand, case) = (counts.takes(), request.class);
+    let (in_hand, case) = (counts.start_request(), request.class);
     let Some(mut handle) = dispatcher.handle(request.id.clone()) else { return Answer::InHand };
     // Danger: what waits while the process stands still is read late; counted from then on, it would look quick.
-    let began = dispatcher.pulse.waited_from();
+    let began = dispatcher.pulse.queued_since();
     let wait = (request.deadline(began) - dispatcher.clock.now()) / LIST_WAIT_PARTS;
-    lease.first_in_force(span(wait.min(LIST_WAIT_MOST))).await;
+    lease.first_in_force(to_duration(wait.min(LIST_WAIT_MOST))).await;
     let mut answer = decide(request, began, &mut handle, dispatcher, attempts, counts).await;
-    counts.took(dispatcher.clock.now() - began);
-    answer.end().inspect(|&end| counts.ended(case, end));
+    counts.record_latency(dispatcher.clock.now() - began);
+    answer.end().inspect(|&end| counts.record_outcome(case, end));
     if let Answer::Served(Content::Long(relay)) = &mut answer {
         relay.carries(handle, in_hand, counts.clone(), case);
     }
@@ -46,7 +46,7 @@
     handle: &mut RequestHandle,
     dispatcher: &Rc<Dispatcher>,
     attempts: &Attempts,
-    counts: &Counts,
+    counts: &Metrics,
 ) -> Answer {
     let request = Rc::new(request);
     let deadline = request.deadline(began);
@@ -70,12 +70,12 @@
                 // What the origin refused has cost it something, too.
                 let reached = ended.as_ref().err().is_none_or(|broken| !broken.ending().never_ran());
                 if fetch && reached {
-                    one_more(&counts.fetches);
+                    increment(&counts.origin_attempts);
                 }
                 match ended {
                     Ok(answered) => {
                         if fetch && answered.ending == Ending::Full {
-                            one_more(&counts.refused);
+                            increment(&counts.origin_refusals);
                         }
                         handle.ended(answered.ending, wait, answered.first);
                         if answered.ending == Ending::Served {
--- a/crates/flintwell/src/requests/watch.rs
+++ b/crates/flintwell/src/requests/watch.rs
@@ -2,7 +2,7 @@
 //! happens, its word goes nowhere but here, and each request on which it would have decided otherwise is
 //! counted once, by the kind of the first difference. From there on it only learns by that request.
 
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{
     Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
 };
@@ -105,7 +105,7 @@
         if catch_unwind(AssertUnwindSafe(|| call(policy))).is_err() {
             *other = None;
             self.pairs.borrow_mut().clear();
-            say!("the module that is watched panicked; it is watched no more");
+            log_line!("the module that is watched panicked; it is watched no more");
         }
     }
 
@@ -207,7 +207,7 @@
             tokio::time::sleep(TELL_EVERY).await;
             let counts = self.counts();
             if std::mem::replace(&mut told, counts) != counts {
-                say!("watched: {} of {} requests otherwise: {counts:?}", counts.otherwise(), counts.requests);
+                log_line!("watched: {} of {} requests otherwise: {counts:?}", counts.otherwise(), counts.requests);
             }
         }
     }
