--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -8,7 +8,7 @@
 use crate::fleet::registry::Registry;
 use crate::nodes::connection::{ExchangeError, FailureCause, Link, Stage};
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{ListKind, Micros};
 use flintwell_list_watch::Watch;
 use flintwell_settings::listing::Listing;
@@ -114,7 +114,7 @@
         let timer = async {
             match phase {
                 Phase::Pausing(at) | Phase::Connected(_, at) | Phase::Calling(_, at) => {
-                    sleep_until(dispatcher.clock.instant(*at)).await;
+                    sleep_until(dispatcher.clock.instant_at(*at)).await;
                 }
                 Phase::Connecting => std::future::pending().await,
             }
@@ -213,13 +213,13 @@
             return self.on_failure(dispatcher, &CallError::invalid_response(why));
         }
         if self.consecutive_failures > 1 {
-            say!("discovery: available again after {} failed calls", self.consecutive_failures);
+            log_line!("discovery: available again after {} failed calls", self.consecutive_failures);
         }
         self.consecutive_failures = 0;
         let now = dispatcher.clock.now();
         // Danger: a response that waited in the socket buffer during a stall of this process would confirm
         // the list as of when it was read, not as of when it was sent.
-        let as_of = first_byte_at.min(dispatcher.pulse.waited_from());
+        let as_of = first_byte_at.min(dispatcher.pulse.queued_since());
         if current {
             self.watch.answered(as_of);
         } else {
@@ -246,7 +246,7 @@
         if self.consecutive_failures.is_power_of_two() {
             let took = (now - self.called_at) as f64 / 1e6;
             let CallError { failure, broken } = error;
-            say!(
+            log_line!(
                 "discovery: {broken} ({failure:?}) after {took:.3} s; {} consecutive failed calls",
                 self.consecutive_failures
             );
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -113,7 +113,7 @@
         self.next_number += 1;
         let task = self.tasks.spawn_local(async move {
             let listing = exchange(&mut link, since, wait).await;
-            let first_byte_at = link.first_byte_at().map_or(clock.now(), |instant| clock.at(instant));
+            let first_byte_at = link.first_byte_at().map_or(clock.now(), |instant| clock.micros_at(instant));
             Completion::Called(number, listing.map(|listing| Answer { listing, link, first_byte_at }))
         });
         self.open.push_back((number, task));
--- a/crates/flintwell/src/fleet/lease.rs
+++ b/crates/flintwell/src/fleet/lease.rs
@@ -2,7 +2,7 @@
 //! applies its end to the list, and the final check before a request is sent.
 
 use crate::process::clock::Clock;
-use crate::process::count::{Count, one_more};
+use crate::process::counter::{Counter, increment};
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::{Basis, Lease};
 use std::cell::Cell;
@@ -25,11 +25,11 @@
     was_valid: Cell<bool>,
     first_valid: Notify,
     /// Number of times that the lease has lapsed.
-    lapses: Count,
+    lapses: Counter,
 }
 
 impl ListLease {
-    pub fn new(clock: Clock, lease: Lease, lapses: Count) -> Rc<Self> {
+    pub fn new(clock: Clock, lease: Lease, lapses: Counter) -> Rc<Self> {
         let started_at = clock.now();
         Rc::new(ListLease {
             clock,
@@ -54,7 +54,7 @@
 
     /// Counts a lapse of the lease.
     pub fn count_lapse(&self) {
-        one_more(&self.lapses);
+        increment(&self.lapses);
     }
 
     /// Waits until the lease has been valid once, for at most `max_wait`.
@@ -100,7 +100,7 @@
     pub async fn changed(&self) {
         let now = self.clock.now();
         let left = self.lease.get().left(now);
-        let (end, is_valid) = (self.clock.instant(now + left), left > 0);
+        let (end, is_valid) = (self.clock.instant_at(now + left), left > 0);
         tokio::select! {
             () = self.lease_changed.notified() => {}
             () = sleep_until(end), if is_valid => {}
--- a/crates/flintwell/src/fleet/list_status.rs
+++ b/crates/flintwell/src/fleet/list_status.rs
@@ -2,7 +2,7 @@
 //! `GET /api/list` of the management address returns it.
 
 use crate::fleet::lease::ListLease;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::{Basis, Lease};
 use flintwell_settings::listing::Listing;
@@ -57,7 +57,7 @@
     pub fn new(lease: Rc<ListLease>, now: Micros, source: ListSource, list: &Listing) -> Rc<Self> {
         let (version, servers) = (list.version, list.len());
         let age = lease.age().map_or("age unknown".to_owned(), |age| format!("{:.3} s old", seconds(age)));
-        say!("starting with node list {version}: {servers} servers, source {source:?}, {age}");
+        log_line!("starting with node list {version}: {servers} servers, source {source:?}, {age}");
         let status = ListStatus {
             lease,
             started_at: now,
@@ -74,7 +74,7 @@
     pub fn on_call(&self, now: Micros) {
         if self.first_call_at.get().is_none() {
             self.first_call_at.set(Some(now));
-            say!("discovery: first call {:.3} s after the start", seconds(now - self.started_at));
+            log_line!("discovery: first call {:.3} s after the start", seconds(now - self.started_at));
         }
     }
 
@@ -84,14 +84,14 @@
         if self.first_answer_at.get().is_none() {
             self.first_answer_at.set(Some(now));
             let after = seconds(now - self.started_at);
-            say!("discovery: first response {after:.3} s after the start, list {version}");
+            log_line!("discovery: first response {after:.3} s after the start, list {version}");
         }
     }
 
     /// Logs a change of the lease's basis.
     pub fn on_lease_change(&self, lease: Lease) {
         if self.basis.replace(Some(lease.basis())) != Some(lease.basis()) {
-            say!("lease on node list {} is now based on {:?}", self.version.get(), lease.basis());
+            log_line!("lease on node list {} is now based on {:?}", self.version.get(), lease.basis());
         }
     }
 
--- a/crates/flintwell/src/fleet/list_store.rs
+++ b/crates/flintwell/src/fleet/list_store.rs
@@ -3,7 +3,7 @@
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_age::{BootClock, Confirmation};
 use crate::process::store::Store;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::Micros;
 use flintwell_settings::listing::{Line, Listing};
 use std::cell::Cell;
@@ -49,7 +49,7 @@
     /// Reads the list that an earlier process of this proxy stored.
     pub fn load(&self) -> Option<StoredList> {
         let read = serde_json::from_slice::<Listing>(&self.store.read(LIST_FILE)?);
-        let read = read.map_err(|error| say!("cannot decode the stored node list: {error}"));
+        let read = read.map_err(|error| log_line!("cannot decode the stored node list: {error}"));
         let listing = read.ok().filter(|listing| listing.full)?;
         let confirmation = self.store.read(CONFIRMATION_FILE);
         let confirmation = confirmation.and_then(|text| serde_json::from_slice::<Confirmation>(&text).ok());
@@ -73,8 +73,8 @@
             return;
         }
         match written {
-            Err(error) => say!("cannot store the node list, will retry: {error}"),
-            Ok(()) => say!("the node list is stored again"),
+            Err(error) => log_line!("cannot store the node list, will retry: {error}"),
+            Ok(()) => log_line!("the node list is stored again"),
         }
     }
 
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -1,8 +1,8 @@
 //! Operators' overrides of single nodes: excluded, or included again. Each is a file of its own, so that it
 //! survives this process and is also applied by another process of this proxy that runs at the same time.
 
-use crate::process::store::{Store, plain};
-use crate::say;
+use crate::process::store::{Store, escape_file_name};
+use crate::log_line;
 use flintwell_settings::listing::Line;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -96,10 +96,10 @@
         }
         let text = serde_json::to_vec(&new).map_err(|_| OverrideError::NotPersisted)?;
         if let Err(error) = self.store.write(&file_name(&node), &text) {
-            say!("cannot store the override of node {node}: {error}");
+            log_line!("cannot store the override of node {node}: {error}");
             return Err(OverrideError::NotPersisted);
         }
-        say!("node {node} {} by an operator", if new.is_excluded() { "excluded" } else { "included again" });
+        log_line!("node {node} {} by an operator", if new.is_excluded() { "excluded" } else { "included again" });
         self.nodes.borrow_mut().insert(node, new);
         Ok(())
     }
@@ -122,20 +122,20 @@
 
 /// The name of the file that holds the override of a node.
 fn file_name(node: &str) -> String {
-    format!("{FILE_PREFIX}{}", plain(node))
+    format!("{FILE_PREFIX}{}", escape_file_name(node))
 }
 
 /// Reads all override files and removes invalid ones.
 fn load(store: &Store) -> BTreeMap<String, Override> {
     let mut nodes = BTreeMap::new();
-    for file in store.names(FILE_PREFIX) {
+    for file in store.list_files(FILE_PREFIX) {
         let read = store.read(&file).map(|text| serde_json::from_slice::<Override>(&text));
         match read {
             Some(Ok(entry)) if file == file_name(&entry.node) => {
                 nodes.insert(entry.node.clone(), entry);
             }
             Some(_) => {
-                say!("removing invalid override file {file}");
+                log_line!("removing invalid override file {file}");
                 store.remove(&file);
             }
             None => {}
--- a/crates/flintwell/src/fleet/peer_messaging.rs
+++ b/crates/flintwell/src/fleet/peer_messaging.rs
@@ -3,10 +3,10 @@
 //! `flintwell-shared-probes` and the routing policy.
 
 use crate::process::clock::Clock;
-use crate::process::config::Words as Config;
+use crate::process::config::PeerMessagingConfig as Config;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
-use crate::staff::counts::Counts;
+use crate::log_line;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::Micros;
 use flintwell_membership::member::{self, Id, Member, Settings, Wire};
 use flintwell_membership::seal::Dropped;
@@ -54,7 +54,7 @@
     share: RefCell<Share>,
     probes: RefCell<Probes>,
     dispatcher: Rc<Dispatcher>,
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     next_round_ms: Cell<u64>,
     stop: Notify,
@@ -83,7 +83,7 @@
         (number, fleet): (u32, u32),
         seed: u64,
         dispatcher: Rc<Dispatcher>,
-        counts: Rc<Counts>,
+        counts: Rc<Metrics>,
     ) -> Self {
         let clock = dispatcher.clock;
         let now = ms(clock.now());
@@ -113,7 +113,7 @@
         let mut next_tick_ms = 0;
         loop {
             let due = self.member.borrow().due().min(self.next_round_ms.get()).max(next_tick_ms);
-            let at = self.clock.instant(due as Micros * 1_000);
+            let at = self.clock.instant_at(due as Micros * 1_000);
             let mut wire = PeerWire { socket: &socket, received: Vec::new() };
             tokio::select! {
                 received = socket.recv_from(&mut buffer) => {
@@ -157,7 +157,7 @@
                     if !std::mem::replace(&mut is_logged, true) {
                         let in_use = error.kind() == io::ErrorKind::AddrInUse;
                         let why = if in_use { "in use by another process".into() } else { error.to_string() };
-                        say!("cannot bind {} for messages between proxies, will retry: {why}", self.addr);
+                        log_line!("cannot bind {} for messages between proxies, will retry: {why}", self.addr);
                     }
                 }
             }
@@ -173,7 +173,7 @@
     fn run_round(&self, now: u64, wire: &mut PeerWire) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
         let wanted = self.dispatcher.granted(share.rate(now));
-        let (fetches, refused) = (self.counts.fetches.get(), self.counts.refused.get());
+        let (fetches, refused) = (self.counts.origin_attempts.get(), self.counts.origin_refusals.get());
         let counted = Counted { wanted, taken: fetches.saturating_sub(refused), refused };
         let others = member.others();
         let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -5,10 +5,10 @@
 use crate::fleet::lease::ListLease;
 use crate::fleet::overrides::{Overrides, OverrideError};
 use crate::nodes::pool::Pool;
-use crate::process::live::Live;
+use crate::process::reloadable::Reloadable;
 use crate::process::store::Store;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{ListKind, Micros, NodeId, Standing};
 use flintwell_list_watch::Starts;
 use flintwell_settings::Network;
@@ -23,7 +23,7 @@
 
 /// The current node list, and the overrides that apply to it.
 pub struct Registry {
-    network: Rc<Live<Network>>,
+    network: Rc<Reloadable<Network>>,
     origin_kind: Option<u32>,
     pool: Rc<Pool>,
     dispatcher: Rc<Dispatcher>,
@@ -41,7 +41,7 @@
 
 impl Registry {
     pub fn new(
-        network: Rc<Live<Network>>,
+        network: Rc<Reloadable<Network>>,
         origin_kind: Option<u32>,
         pool: Rc<Pool>,
         dispatcher: Rc<Dispatcher>,
@@ -91,7 +91,7 @@
             // whole list were published before the changes were applied, requests would be sent to nodes that
             // have left.
             self.is_lapsed.set(false);
-            say!("node list is up to date again; sending requests");
+            log_line!("node list is up to date again; sending requests");
             self.publish_all(&[]);
         }
         self.publish(&listing.servers, kind);
@@ -126,9 +126,9 @@
         if is_lapsed {
             self.lease.count_lapse();
             let expired = self.lease.expired_for() as f64 / 1e6;
-            say!("lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed");
+            log_line!("lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed");
         } else {
-            say!("discovery is unreachable, so the node list stays valid; sending requests");
+            log_line!("discovery is unreachable, so the node list stays valid; sending requests");
         }
         self.publish_all(&[]);
     }
@@ -149,7 +149,7 @@
                 }
                 Ok(_) => self.pool.remove(&entry.node),
                 Err(error) => {
-                    say!("discovery: invalid address {:?} of node {}: {error}", line.addr, line.id);
+                    log_line!("discovery: invalid address {:?} of node {}: {error}", line.addr, line.id);
                     entry.standing = Standing::Gone;
                     self.pool.remove(&entry.node);
                 }
@@ -233,7 +233,7 @@
     pub async fn sync_store(&self) {
         loop {
             sleep(SYNC_INTERVAL).await;
-            if self.store.keeps() {
+            if self.store.is_persistent() {
                 self.sync_overrides();
                 self.list_store.write(|| self.lines.borrow().values().cloned().collect(), &self.lease);
             }
--- a/crates/flintwell/src/staff/counts.rs
+++ b/crates/flintwell/src/management/metrics.rs
@@ -1,7 +1,7 @@
-//! The figures that the second address tells, counted where the thing happens.
+//! Metrics of this process, as reported by the management API.
 
 use crate::nodes::send_guard::Violations;
-use crate::process::count::{Count, one_more};
+use crate::process::counter::{Counter, increment};
 use flintwell_core::interface::Micros;
 use flintwell_rollout::wire::{self, encode_times, new_times};
 use hdrhistogram::Histogram;
@@ -12,20 +12,20 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     Served,
     Refused,
     Failed,
 }
 
-impl End {
-    /// Of a long answer, passed on whole or broken half-way.
-    pub fn passed_on(whole: bool) -> Self {
-        if whole { End::Served } else { End::Failed }
+impl RequestOutcome {
+    /// Outcome of a streamed response that was relayed completely or broken off.
+    pub fn of_relay(whole: bool) -> Self {
+        if whole { RequestOutcome::Served } else { RequestOutcome::Failed }
     }
 }
 
-/// Requests of one class, by how they ended.
+/// Requests of one class, by outcome.
 #[derive(Default)]
 struct Ended {
     served: Cell<u64>,
@@ -33,34 +33,34 @@
     failed: Cell<u64>,
 }
 
-/// What this process counted since its start; every class is there from then on, at 0.
-pub struct Counts {
+/// Counters since the start of the process. Every configured class is present from the start, with zeros.
+pub struct Metrics {
     cases: RefCell<Vec<(String, Rc<Ended>)>>,
-    /// How long answers took, where that is asked for.
+    /// Response times, recorded only if the configuration has a `rollout` section.
     times: Option<RefCell<Histogram<u64>>>,
-    in_hand: Count,
-    /// Attempts to caches, written whole.
-    pub attempts: Count,
-    /// Attempts to the origin.
-    pub fetches: Count,
-    /// Of those, turned away as full.
-    pub refused: Count,
-    /// Requests sent though they might not be.
+    in_hand: Counter,
+    /// Attempts at cache nodes whose request was written completely.
+    pub cache_attempts: Counter,
+    /// Attempts at the origin.
+    pub origin_attempts: Counter,
+    /// Attempts that the origin refused because it was full.
+    pub origin_refusals: Counter,
+    /// Requests sent although a rule forbade it.
     pub violations: Violations,
-    /// How often a list grew too old to act on.
-    pub lapses: Count,
+    /// How often the lease on the server list lapsed.
+    pub lapses: Counter,
 }
 
-/// A request in hand, for as long as this lives.
-pub struct InHand(Count);
+/// Counts a request as in flight until dropped.
+pub struct InFlightGuard(Counter);
 
-impl Drop for InHand {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// The figures, by the names that the operators gave them.
+/// Response body of `/api/telemetry`; the operators' tools expect these field names.
 #[derive(Serialize)]
 pub struct Figures {
     passed: BTreeMap<String, u64>,
@@ -72,60 +72,64 @@
     skipped_cache_nodes: usize,
 }
 
-/// What may not be, as the second address tells it at a call of our own; the operators' figures stay as they named them.
+/// Response body of `/api/violations`: conditions that should not occur. Separate from `/api/telemetry`, whose format
+/// is fixed by the operators.
 #[derive(Serialize)]
 pub struct RuleFigures {
-    /// How often the list grew too old to act on.
+    /// How often the lease on the server list lapsed.
     list_lapses: u64,
-    /// Requests sent against a rule, by the rule.
+    /// Requests sent although a rule forbade it, by rule.
     violations: BTreeMap<&'static str, u64>,
 }
 
-impl Counts {
+impl Metrics {
     pub fn new(cases: &[String], timed: bool) -> Rc<Self> {
-        let counts = Counts {
+        let counts = Metrics {
             cases: RefCell::default(),
             times: timed.then(|| RefCell::new(new_times())),
-            in_hand: Count::default(),
-            attempts: Count::default(),
-            fetches: Count::default(),
-            refused: Count::default(),
+            in_hand: Counter::default(),
+            cache_attempts: Counter::default(),
+            origin_attempts: Counter::default(),
+            origin_refusals: Counter::default(),
             violations: Violations::default(),
-            lapses: Count::default(),
+            lapses: Counter::default(),
         };
         counts.knows(cases);
         Rc::new(counts)
     }
 
-    /// Use cases that came behind those known.
+    /// Adds the classes beyond those already present; existing classes keep their index.
     pub fn knows(&self, cases: &[String]) {
         let mut known = self.cases.borrow_mut();
         let more: Vec<_> = cases.iter().skip(known.len()).map(|case| (case.clone(), Rc::default())).collect();
         known.extend(more);
     }
 
-    /// An answer's time, from the request's last byte.
-    pub fn took(&self, time: Micros) {
+    /// Records a response time, measured from the last byte of the request.
+    pub fn record_latency(&self, time: Micros) {
         if let Some(times) = &self.times {
             times.borrow_mut().saturating_record(time.max(1) as u64);
         }
     }
 
-    pub fn takes(&self) -> InHand {
-        one_more(&self.in_hand);
-        InHand(self.in_hand.clone())
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub fn start_request(&self) -> InFlightGuard {
+        increment(&self.in_hand);
+        InFlightGuard(self.in_hand.clone())
     }
 
-    pub fn ended(&self, case: usize, end: End) {
+    /// Counts the outcome of a request, by the index of its class.
+    pub fn record_outcome(&self, case: usize, end: RequestOutcome) {
         let cases = self.cases.borrow();
         let Some((_, ended)) = cases.get(case) else { return };
-        one_more(match end {
-            End::Served => &ended.served,
-            End::Refused => &ended.refused,
-            End::Failed => &ended.failed,
+        increment(match end {
+            RequestOutcome::Served => &ended.served,
+            RequestOutcome::Refused => &ended.refused,
+            RequestOutcome::Failed => &ended.failed,
         });
     }
 
+    /// Body of `/api/telemetry`, with the numbers of known and of avoided cache nodes.
     pub fn figures(&self, known: usize, skipped: usize) -> Figures {
         let cases = self.cases.borrow();
         let by = |count: fn(&Ended) -> &Cell<u64>| {
@@ -135,18 +139,19 @@
             passed: by(|ended| &ended.served),
             dropped: by(|ended| &ended.refused),
             bad_gateway: by(|ended| &ended.failed),
-            upstream_tries: self.attempts.get(),
+            upstream_tries: self.cache_attempts.get(),
             in_progress: self.in_hand.get(),
             known_cache_nodes: known,
             skipped_cache_nodes: skipped,
         }
     }
 
+    /// Body of `/api/violations`.
     pub fn rule_figures(&self) -> RuleFigures {
         RuleFigures { list_lapses: self.lapses.get(), violations: self.violations.by_name() }
     }
 
-    /// The same for whoever compares proxies.
+    /// Metrics that a rollout compares between proxies.
     pub fn compared(&self, epoch: u64, started_ms: u64) -> wire::Figures {
         let ends = |ended: &Ended| wire::Ends {
             served: ended.served.get(),
@@ -158,16 +163,16 @@
             epoch,
             started_ms,
             cases: cases.iter().map(|(case, ended)| (case.clone(), ends(ended))).collect(),
-            attempts: self.attempts.get(),
-            fetches: self.fetches.get(),
-            refused: self.refused.get(),
+            attempts: self.cache_attempts.get(),
+            fetches: self.origin_attempts.get(),
+            refused: self.origin_refusals.get(),
             memory_kb: memory_kb().unwrap_or(0),
             times: self.times.as_ref().map_or_else(String::new, |times| encode_times(&times.borrow())),
         }
     }
 }
 
-/// What of us is in memory.
+/// Resident set size of this process.
 fn memory_kb() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = text.lines().find(|line| line.starts_with("VmRSS:"))?;
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -6,8 +6,8 @@
 use crate::nodes::send_guard::{PendingSend, SendGuard};
 use crate::nodes::pool::Pool;
 use crate::nodes::response_body::{ResponseBody, StreamedBody};
-use crate::process::clock::span;
-use crate::staff::counts::Counts;
+use crate::process::clock::to_duration;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::{Ending, Micros, NodeId};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
@@ -57,13 +57,13 @@
 #[derive(Clone)]
 pub struct AttemptService {
     permission: SendGuard,
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     /// Memory for reading ahead of long responses.
     read_ahead_budget: Rc<Budget>,
 }
 
 impl AttemptService {
-    pub fn new(permission: SendGuard, counts: Rc<Counts>, read_ahead_budget: Rc<Budget>) -> Self {
+    pub fn new(permission: SendGuard, counts: Rc<Metrics>, read_ahead_budget: Rc<Budget>) -> Self {
         AttemptService { permission, counts, read_ahead_budget }
     }
 }
@@ -80,7 +80,7 @@
     fn call(&mut self, attempt: Attempt) -> Self::Future {
         let AttemptService { permission, counts, read_ahead_budget } = self.clone();
         Box::pin(async move {
-            let progress = Progress::with_count(&counts.attempts);
+            let progress = Progress::with_count(&counts.cache_attempts);
             let mut exchange = pin!(send(&permission, &attempt, &progress, &read_ahead_budget));
             if let Some(end) = attempt.request.body.passing() {
                 // For a body that is streamed from the client, the time limit starts at its last byte.
@@ -90,7 +90,7 @@
                     () = sleep(attempt.request.body.takes()) => {}
                 }
             }
-            if let Ok(ended) = timeout(span(attempt.timeout), exchange.as_mut()).await {
+            if let Ok(ended) = timeout(to_duration(attempt.timeout), exchange.as_mut()).await {
                 return ended;
             }
             // Danger: a response that the node has begun and may stream for a long time would be cut off.
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -4,7 +4,7 @@
 use crate::clients::body::Outgoing;
 use crate::clients::framing::{Answers, Coding};
 use crate::nodes::stream::SharedStream;
-use crate::process::count::{Count, one_more};
+use crate::process::counter::{Counter, increment};
 use bytes::{Bytes, BytesMut};
 use flintwell_core::interface::Ending;
 use http_body_util::BodyExt;
@@ -155,7 +155,7 @@
     /// The last byte was written to the socket.
     is_written: Cell<bool>,
     /// Incremented once the message is written whole.
-    written_count: Cell<Option<Count>>,
+    written_count: Cell<Option<Counter>>,
     /// Called once the first bytes are written.
     on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
 }
@@ -215,7 +215,7 @@
     /// Called by hyper once everything that was queued so far is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.message.is_body_done.get() && !self.message.is_written.replace(true) {
-            self.message.written_count.take().inspect(|count| one_more(count));
+            self.message.written_count.take().inspect(|count| increment(count));
         }
         Poll::Ready(Ok(()))
     }
@@ -232,7 +232,7 @@
     /// Set for a long message, which the node does not process before its last byte.
     long_message: Cell<Option<Rc<OutgoingMessage>>>,
     /// Incremented once the message is written whole.
-    written_count: Option<Count>,
+    written_count: Option<Counter>,
     /// Called once the first bytes are written.
     on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
     /// A response of unknown length has begun and is held back to see whether it is short.
@@ -249,7 +249,7 @@
     }
 
     /// Progress that increments `written_count` once the message is written whole.
-    pub fn with_count(written_count: &Count) -> Self {
+    pub fn with_count(written_count: &Counter) -> Self {
         Progress { written_count: Some(written_count.clone()), ..Progress::default() }
     }
 
--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -1,7 +1,7 @@
 //! Connection pool: the address of each node, its idle connections, and the limit on open connections.
 
 use crate::nodes::connection::{ExchangeError, FailureCause, Link};
-use crate::process::clock::span;
+use crate::process::clock::to_duration;
 use flintwell_core::interface::{Micros, NodeId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -49,11 +49,11 @@
 
 impl Pool {
     pub fn new(connections: usize, dial_timeout: Micros, keepalive: Micros) -> Rc<Self> {
-        let max_idle = span(keepalive).mul_f64(MAX_IDLE_FACTOR);
+        let max_idle = to_duration(keepalive).mul_f64(MAX_IDLE_FACTOR);
         Rc::new(Pool {
             nodes: RefCell::default(),
             permits: Arc::new(Semaphore::new(connections)),
-            dial_timeout: span(dial_timeout),
+            dial_timeout: to_duration(dial_timeout),
             max_idle,
             idle_limit: Cell::new(max_idle),
         })
--- a/crates/flintwell/src/nodes/response_body.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -4,9 +4,9 @@
 use crate::nodes::response_transfer::Rest;
 use crate::nodes::connection::Link;
 use crate::nodes::pool::Pool;
-use crate::process::clock::{PEER_STALL, Patience};
+use crate::process::clock::{PEER_IDLE_TIMEOUT, IdleTimer};
 use crate::requests::dispatcher::RequestHandle;
-use crate::staff::counts::{Counts, End, InHand};
+use crate::management::metrics::{Metrics, RequestOutcome, InFlightGuard};
 use bytes::Bytes;
 use flintwell_core::interface::NodeId;
 use http_body_util::Full;
@@ -56,17 +56,17 @@
 
 /// Keeps a request registered and counted as in flight until its response has been sent.
 pub struct RequestGuard {
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     /// Index of the request class.
     pub class_index: usize,
     _handle: RequestHandle,
-    _in_hand: InHand,
+    _in_hand: InFlightGuard,
 }
 
 impl RequestGuard {
     /// Counts the outcome of the request: whether the response was sent whole.
     pub fn record_end(self, whole: bool) {
-        self.counts.ended(self.class_index, End::passed_on(whole));
+        self.counts.record_outcome(self.class_index, RequestOutcome::of_relay(whole));
     }
 }
 
@@ -101,7 +101,7 @@
     failure: Option<&'static str>,
     /// Maximum number of bytes that the node may still send.
     max_remaining: u64,
-    stall_timer: Patience,
+    stall_timer: IdleTimer,
     node: NodeId,
     pool: Rc<Pool>,
     link: Option<Link>,
@@ -114,7 +114,7 @@
             match ready!(Pin::new(&mut *incoming).poll_frame(cx)) {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.stall_timer.renew();
+                    self.stall_timer.reset();
                     let is_last = incoming.is_end_stream();
                     // Danger: an endless response would be forwarded for as long as its client reads.
                     let Some(max_remaining) = self.max_remaining.checked_sub(data.len() as u64) else {
@@ -293,7 +293,7 @@
             incoming: Some(incoming),
             failure: None,
             max_remaining,
-            stall_timer: Patience::new(PEER_STALL),
+            stall_timer: IdleTimer::new(PEER_IDLE_TIMEOUT),
             node,
             pool,
             link: Some(link),
@@ -311,7 +311,7 @@
     }
 
     /// Keeps the request open until the body ends.
-    pub fn attach_request(&self, handle: RequestHandle, in_hand: InHand, counts: Rc<Counts>, class_index: usize) {
+    pub fn attach_request(&self, handle: RequestHandle, in_hand: InFlightGuard, counts: Rc<Metrics>, class_index: usize) {
         self.stream.request.replace(Some(RequestGuard { counts, class_index, _handle: handle, _in_hand: in_hand }));
     }
 }
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -5,9 +5,9 @@
 use crate::fleet::lease::ListLease;
 use crate::nodes::connection::{ExchangeError, FailureCause};
 use crate::nodes::pool::Pool;
-use crate::process::clock::span;
-use crate::process::count::{Count, one_more};
-use crate::say;
+use crate::process::clock::to_duration;
+use crate::process::counter::{Counter, increment};
+use crate::log_line;
 use flintwell_core::interface::{Micros, NodeId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -31,13 +31,13 @@
 #[derive(Clone, Default)]
 pub struct Violations {
     /// To a node that was not listed as ready.
-    pub unlisted: Count,
+    pub unlisted: Counter,
     /// Without a valid lease on the node list.
-    pub lapsed: Count,
+    pub lapsed: Counter,
     /// After the attempt's time limit or the window in which it had to be sent.
-    pub stale: Count,
+    pub stale: Counter,
     /// For a client that had disconnected.
-    pub left: Count,
+    pub left: Counter,
 }
 
 impl Violations {
@@ -50,10 +50,10 @@
 
     fn record(&self, cause: &FailureCause) {
         match cause {
-            FailureCause::Lapsed => one_more(&self.lapsed),
-            FailureCause::Stale => one_more(&self.stale),
-            FailureCause::ClientDisconnected => one_more(&self.left),
-            _ => one_more(&self.unlisted),
+            FailureCause::Lapsed => increment(&self.lapsed),
+            FailureCause::Stale => increment(&self.stale),
+            FailureCause::ClientDisconnected => increment(&self.left),
+            _ => increment(&self.unlisted),
         }
     }
 }
@@ -80,7 +80,7 @@
         // Danger: the window for a repeat, or the request's time limit, may have passed; the policy reserved
         // no more than the time of a dial for either.
         let since = pending.chosen_at.elapsed();
-        if since >= span(pending.timeout) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
+        if since >= to_duration(pending.timeout) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
             return Err(ExchangeError::before_write(FailureCause::Stale));
         }
         // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
@@ -95,7 +95,7 @@
         }
         if let Err(error) = self.check(pending) {
             self.violations.record(&error.cause);
-            say!("request sent to {} in violation of a rule: {error}", pending.node);
+            log_line!("request sent to {} in violation of a rule: {error}", pending.node);
         }
     }
 }
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -6,10 +6,10 @@
 use crate::nodes::attempt::{Attempt, AttemptService};
 use crate::nodes::connection::FailureCause;
 use crate::nodes::response_body::ResponseBody;
-use crate::process::clock::span;
-use crate::process::count::one_more;
+use crate::process::clock::to_duration;
+use crate::process::counter::increment;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
-use crate::staff::counts::Counts;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::{Ending, Micros};
 use std::rc::Rc;
 use std::time::Instant;
@@ -23,17 +23,17 @@
     dispatcher: &Rc<Dispatcher>,
     lease: &ListLease,
     attempts: &AttemptService,
-    counts: &Rc<Counts>,
+    counts: &Rc<Metrics>,
 ) -> Answer {
-    let (in_hand, case) = (counts.takes(), request.class);
+    let (in_hand, case) = (counts.start_request(), request.class);
     let Some(mut handle) = dispatcher.handle(request.id.clone()) else { return Answer::InHand };
     // Danger: what waits while the process stands still is read late; counted from then on, it would look quick.
-    let began = dispatcher.pulse.waited_from();
+    let began = dispatcher.pulse.queued_since();
     let wait = (request.deadline(began) - dispatcher.clock.now()) / LIST_WAIT_PARTS;
-    lease.wait_until_first_valid(span(wait.min(LIST_WAIT_MOST))).await;
+    lease.wait_until_first_valid(to_duration(wait.min(LIST_WAIT_MOST))).await;
     let mut answer = decide(request, began, &mut handle, dispatcher, attempts, counts).await;
-    counts.took(dispatcher.clock.now() - began);
-    answer.end().inspect(|&end| counts.ended(case, end));
+    counts.record_latency(dispatcher.clock.now() - began);
+    answer.end().inspect(|&end| counts.record_outcome(case, end));
     if let Answer::Served(ResponseBody::Streamed(relay)) = &mut answer {
         relay.attach_request(handle, in_hand, counts.clone(), case);
     }
@@ -46,7 +46,7 @@
     handle: &mut RequestHandle,
     dispatcher: &Rc<Dispatcher>,
     attempts: &AttemptService,
-    counts: &Counts,
+    counts: &Metrics,
 ) -> Answer {
     let request = Rc::new(request);
     let deadline = request.deadline(began);
@@ -70,12 +70,12 @@
                 // What the origin refused has cost it something, too.
                 let reached = ended.as_ref().err().is_none_or(|broken| !broken.ending().never_ran());
                 if fetch && reached {
-                    one_more(&counts.fetches);
+                    increment(&counts.origin_attempts);
                 }
                 match ended {
                     Ok(answered) => {
                         if fetch && answered.ending == Ending::Full {
-                            one_more(&counts.refused);
+                            increment(&counts.origin_refusals);
                         }
                         handle.ended(answered.ending, wait, answered.first_on_connection);
                         if answered.ending == Ending::Served {
