--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -90,7 +90,7 @@
         // When this loop is restarted after a panic, earlier calls are discarded.
         self.calls.abort_all();
         self.link = None;
-        let mut phase = Phase::Pausing(self.watch.first(dispatcher.clock.now()));
+        let mut phase = Phase::Pausing(self.watch.first_call_at(dispatcher.clock.now()));
         loop {
             phase = match self.next_event(dispatcher, &mut addr_changes, &phase).await {
                 // Danger: a call that waits at the old address would delay changes that only the new one has.
@@ -102,7 +102,7 @@
     }
 
     fn pause_until_slot(&self, dispatcher: &Dispatcher) -> Phase {
-        Phase::Pausing(self.watch.slot(dispatcher.clock.now()))
+        Phase::Pausing(self.watch.next_slot(dispatcher.clock.now()))
     }
 
     async fn next_event(
@@ -135,7 +135,7 @@
         self.version = None;
         self.link = None;
         self.calls.abort_all();
-        self.watch.moved();
+        self.watch.on_address_change();
         self.pause_until_slot(dispatcher)
     }
 
@@ -144,7 +144,7 @@
         let now = dispatcher.clock.now();
         match phase {
             Phase::Pausing(_) => {
-                self.watch.connects(now);
+                self.watch.on_connecting(now);
                 let addr = *self.addr.borrow();
                 self.calls.connect(addr, self.link.take());
                 Phase::Connecting
@@ -163,7 +163,7 @@
         match (phase, completion) {
             (Phase::Connecting, Completion::Connected(Ok(link))) => {
                 let now = dispatcher.clock.now();
-                match self.watch.connected(now) {
+                match self.watch.on_connected(now) {
                     at if at > now => Phase::Connected(link, at),
                     _ => self.call(dispatcher, link),
                 }
@@ -184,11 +184,11 @@
 
     fn call(&mut self, dispatcher: &Dispatcher, link: Link) -> Phase {
         let now = dispatcher.clock.now();
-        self.watch.grants(self.registry.drain_grace());
-        let call = self.watch.call(now, self.version.is_none());
+        self.watch.set_drain_grace(self.registry.drain_grace());
+        let call = self.watch.begin_call(now, self.version.is_none());
         self.called_at = now;
         self.status.on_call(now);
-        Phase::Calling(self.calls.call(link, self.version, call.wait), now + call.within)
+        Phase::Calling(self.calls.call(link, self.version, call.wait), now + call.timeout)
     }
 
     fn on_answer(
@@ -221,12 +221,12 @@
         // the list as of when it was read, not as of when it was sent.
         let as_of = first_byte_at.min(dispatcher.pulse.queued_since());
         if current {
-            self.watch.answered(as_of);
+            self.watch.on_answer(as_of);
         } else {
             // The send time of a late call is not kept; so only the arrival of the response confirms the
             // list.
             self.calls.abort_all();
-            self.watch.answered_late(as_of);
+            self.watch.on_late_answer(as_of);
         }
         self.status.on_answer(now, listing.version);
         self.publish_lease();
@@ -251,7 +251,7 @@
                 self.consecutive_failures
             );
         }
-        let at = self.watch.failed(now, error.failure);
+        let at = self.watch.on_failure(now, error.failure);
         self.publish_lease();
         Phase::Pausing(at)
     }
--- a/crates/flintwell/src/fleet/lease.rs
+++ b/crates/flintwell/src/fleet/lease.rs
@@ -36,7 +36,7 @@
             started_at,
             lease: Cell::new(lease),
             lease_changed: Notify::new(),
-            was_valid: Cell::new(lease.holds(started_at)),
+            was_valid: Cell::new(lease.is_valid(started_at)),
             first_valid: Notify::new(),
             lapses,
         })
@@ -73,7 +73,7 @@
 
     /// Whether requests may be sent according to the list now.
     pub fn is_valid(&self) -> bool {
-        self.lease.get().holds(self.clock.now())
+        self.lease.get().is_valid(self.clock.now())
     }
 
     /// What the last renewal was based on.
@@ -93,13 +93,13 @@
 
     /// Time since the lease ended; not positive while it is valid.
     pub fn expired_for(&self) -> Micros {
-        -self.lease.get().left(self.clock.now())
+        -self.lease.get().remaining(self.clock.now())
     }
 
     /// Returns when the lease was changed or may have ended.
     pub async fn changed(&self) {
         let now = self.clock.now();
-        let left = self.lease.get().left(now);
+        let left = self.lease.get().remaining(now);
         let (end, is_valid) = (self.clock.instant_at(now + left), left > 0);
         tokio::select! {
             () = self.lease_changed.notified() => {}
