--- a/crates/flintwell-simhost/src/main.rs
+++ b/crates/flintwell-simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! The bench's wire: decodes what happens, calls the instance's decision module, writes what it answers.
+//! Hosts decision modules for a simulator: reads batches of events from standard input, passes them to the instances'
+//! modules, and writes the resulting actions to standard output.
 
 mod wire;
 
--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -1,4 +1,5 @@
-//! Reads each event by position straight into a call, and writes each answer straight into the reply.
+//! The simulator's JSON protocol. Events are decoded by position, directly into module calls, and actions are written
+//! directly into the reply.
 
 use flintwell_core::interface::{
     Arrival, Ending, Entry, Host, Key, ListKind, Micros, NodeId, Outcome, RequestId, Standing,
@@ -16,7 +17,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-const WRITE_MARK: u64 = 4;
+const WRITE_MARK: u64 = 4; // bit of `marks`
+/// Names of the known events. Events of the same protocol that this host does not need are listed and ignored.
 const EVENTS: [&str; 10] = [
     "begin",
     "shutdown",
@@ -32,7 +34,7 @@
 
 type Reply = Rc<RefCell<Vec<u8>>>;
 
-/// One instance's way to answer.
+/// The host of one instance: writes the module's actions into the shared reply.
 struct SimHost {
     instance: u64,
     reply: Reply,
@@ -47,7 +49,7 @@
     let _ = serde_json::to_writer(&mut *reply, text);
 }
 
-/// Microseconds as seconds with six places.
+/// Writes microseconds as seconds with six decimal places.
 fn push_seconds(reply: &mut Vec<u8>, time: Micros) {
     if time < 0 {
         reply.push(b'-');
@@ -64,7 +66,7 @@
 }
 
 impl SimHost {
-    /// Writes one action: its name, the instance and what `rest` adds.
+    /// Writes one action: its name, the instance, and the values that `rest` adds.
     fn act(&self, name: &str, rest: impl FnOnce(&mut Vec<u8>)) {
         let mut reply = self.reply.borrow_mut();
         if reply.last() == Some(&b']') {
@@ -123,6 +125,7 @@
     }
 }
 
+/// The ending that a status code of the protocol stands for.
 fn ending(code: i64) -> Ending {
     match code {
         200 => Ending::Served,
@@ -138,7 +141,7 @@
     }
 }
 
-/// All instances hosted by this process; they share nothing but the reply being written.
+/// All instances that this process hosts; they share only the reply buffer.
 #[derive(Default)]
 pub struct Proxies {
     running: HashMap<u64, Policy<SimHost>>,
@@ -153,6 +156,7 @@
 }
 
 impl Proxies {
+    /// Processes one line of input and returns the reply.
     pub fn batch(&mut self, line: &[u8]) -> Result<Ref<'_, Vec<u8>>, serde_json::Error> {
         let batch: Batch = serde_json::from_slice(line)?;
         {
@@ -182,7 +186,7 @@
 impl<'de> Visitor<'de> for Events<'_> {
     type Value = ();
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("the array of events")
+        f.write_str("an array of events")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut events: A) -> Result<(), A::Error> {
         while events.next_element_seed(Event { proxies: &mut *self.proxies, now: self.now })?.is_some() {}
@@ -202,7 +206,7 @@
     }
 }
 
-/// The values of one event, by position.
+/// Reads the values of one event by position.
 struct Fields<'n, A> {
     event: &'n str,
     seq: A,
@@ -227,17 +231,17 @@
     }
 }
 
-/// Text, borrowed where it holds no escapes.
+/// Text, borrowed if it contains no escapes.
 #[derive(Deserialize)]
 struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
 
 impl<'de> Visitor<'de> for Event<'_> {
     type Value = ();
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("an event: an array of its name and values")
+        f.write_str("an event: an array with its name and its values")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        let name = seq.next_element::<Text>()?.ok_or_else(|| A::Error::custom("an event without a name"))?.0;
+        let name = seq.next_element::<Text>()?.ok_or_else(|| A::Error::custom("event without a name"))?.0;
         if !EVENTS.contains(&&*name) {
             eprintln!("flintwell-simhost: unknown event '{name}' skipped");
             while seq.next_element::<IgnoredAny>()?.is_some() {}
@@ -309,7 +313,7 @@
                     policy.timer(now, label);
                 }
             }
-            // A stream that has begun is the client's own.
+            // A response that has begun needs no more decisions, like a request whose client is gone.
             "vanished" | "begun" => {
                 let id = fields.id("msg_id")?;
                 if let Some(policy) = policy.as_mut() {
@@ -323,7 +327,7 @@
     }
 }
 
-/// One entry of a list: a short array, nulls allowed past the id.
+/// One entry of a list: an array, in which all values after the id may be null or absent.
 #[derive(Deserialize)]
 struct Item<'a>(
     #[serde(borrow)] Cow<'a, str>,
@@ -342,7 +346,7 @@
             zone: self.1.unwrap_or(0),
             kind: self.2.unwrap_or(0),
             cell: self.3.unwrap_or(0),
-            // A standing that is not known is no leave to send.
+            // An unknown state counts as draining, so that no new requests are sent to the node.
             standing: match self.4.as_deref() {
                 Some("Ready") => Standing::Ready,
                 Some("Gone") => Standing::Gone,
--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, as many as there is room for, and serves each until it ends.
+//! Accepts client connections up to the connection limit and serves each one until it closes.
 
 use crate::clients::framing::Scanner;
 use crate::clients::presence::Presence;
@@ -32,75 +32,83 @@
 use tokio::time::timeout;
 use tower::ServiceBuilder;
 
-const BACKLOG: u32 = 1_024; // connections; those waiting while accept pauses at the limit
-const IDLE_MOST: Duration = Duration::from_secs(10); // a connection with no request for this long is closed
-const HEAD_WITHIN: Duration = Duration::from_millis(2_400); // from a connection's start, or a head's, to its end
-const FRESH: Duration = Duration::from_millis(50); // for which a new connection is kept, whoever waits
-const SILENT: Duration = Duration::from_millis(450); // more, while there is room but many are open
-const USED: Duration = Duration::from_secs(1); // the same after a request, while few are such
-const USED_SHARE: usize = 4; // one in so many open ones idle after a request is many
-const MANY: f64 = 0.5; // of our room, a quarter of all descriptors; clients hold a third at most
-const CLOSE_EVERY: Duration = Duration::from_millis(10); // idle ones, one by one, while room is wanted
-const HEAD_ENDS: Duration = Duration::from_millis(250); // for a head begun when its place was wanted
-const BUFFER: usize = 16_384; // bytes a connection reads ahead at most; far more than a head holds
-const PAUSE: Duration = Duration::from_millis(50); // after a failure, so that it never spins
-const FREE_WITHIN: Duration = Duration::from_secs(25); // for a forerunner to leave our address; later is too late to start
-const CUT_TURNS: usize = 256; // of the runtime; far more than what is read ahead of an answer takes
-const LINGER: Duration = Duration::from_millis(200); // for a client to close its side, once we have closed ours
-const ARRIVES: Duration = Duration::from_millis(900); // in which an answer has surely come to its client
-const LINGER_BYTES: usize = 262_144; // bytes that are thrown away meanwhile; more than what clients have on their way
-const LINGER_MOST: usize = 128; // connections that do so at once; a flood of clients gains no more places than that
-const LAST_LOOK: Duration = Duration::from_millis(5); // at the backlog, once the listener is closed
+const BACKLOG: u32 = 1_024; // connections that wait while accepting pauses at the connection limit
+const IDLE_MOST: Duration = Duration::from_secs(10); // a connection without a request for this long is closed
+// From the accept, or from the first byte of a request head, to the end of the head.
+const HEAD_WITHIN: Duration = Duration::from_millis(2_400);
+const FRESH: Duration = Duration::from_millis(50); // a new connection is never evicted within this time
+// Added to FRESH for a silent connection, while permits are left but many connections are open.
+const SILENT: Duration = Duration::from_millis(450);
+// Idle time after a request before a connection is evicted, while few open connections are idle after a request.
+const USED: Duration = Duration::from_secs(1);
+const USED_SHARE: usize = 4; // one in this many open connections idle after a request is no longer few
+// Share of the client connection limit (a quarter of all descriptors) from which idle connections are evicted; clients
+// hold a third at most.
+const MANY: f64 = 0.5;
+const CLOSE_EVERY: Duration = Duration::from_millis(10); // between evictions while a new connection waits
+const HEAD_ENDS: Duration = Duration::from_millis(250); // for an evicted connection to complete a head it has begun
+const BUFFER: usize = 16_384; // read buffer of a connection; far more than a request head takes
+const PAUSE: Duration = Duration::from_millis(50); // after a failed bind or accept, to avoid a busy loop
+// For the previous process to release the address; after that it is too late for a start.
+const FREE_WITHIN: Duration = Duration::from_secs(25);
+const CUT_TURNS: usize = 256; // runtime turns; far more than it takes to drain what was read ahead of a response
+const LINGER: Duration = Duration::from_millis(200); // for a client to close its side after we have closed ours
+const ARRIVES: Duration = Duration::from_millis(900); // within this time a written response has reached its client
+const LINGER_BYTES: usize = 262_144; // discarded while lingering; more than clients have in flight
+// Connections that linger at once; bounded, so that a flood of clients cannot hold more descriptors this way.
+const LINGER_MOST: usize = 128;
+// For connections left in the backlog once the listener is closed, and for a silent connection to end.
+const LAST_LOOK: Duration = Duration::from_millis(5);
 
-/// Clients' connections, by how long they have stood idle.
+/// Open client connections, with the idle ones in the order in which they are evicted.
 #[derive(Default)]
 struct Clients {
-    /// From so many on, those idle after a request make room before all is taken.
+    /// Number of open connections from which idle ones are evicted although permits are left.
     many: usize,
     turn: Cell<u64>,
     open: Cell<usize>,
-    /// Connections whose clients are waited for to close their side.
+    /// Connections that wait for their clients to close their side.
     lingering: Cell<usize>,
     idle: RefCell<BTreeMap<Place, Rc<Notify>>>,
 }
 
-/// What has come on an idle connection, the first to make room first.
+/// What an idle connection has received, in eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Heard {
     Nothing,
-    /// A head that has not ended.
+    /// An incomplete request head.
     Part,
     Request,
 }
 
-/// What has come on an idle connection, when it may be closed, and its turn.
+/// What an idle connection has received, when it may be evicted, and a sequence number.
 type Place = (Heard, Instant, u64);
 
-/// One client's connection.
+/// State of one client connection.
 struct Client {
     clients: Rc<Clients>,
-    /// Its place among the idle, while it is.
+    /// Its key in the table of idle connections, while it is idle.
     idle: Cell<Option<Place>>,
-    /// Since when it owes us the end of a head.
+    /// Since when the end of a request head is awaited.
     owes: Cell<Option<Instant>>,
     close: Rc<Notify>,
-    /// How its messages are framed.
+    /// Determines the framing of its requests from the raw bytes.
     scanner: RefCell<Scanner>,
-    /// Since when it takes nothing of what is written to it.
+    /// Since when writes to the client have been blocked.
     full: Cell<Option<Instant>>,
-    /// Its answer is in the connection's hands, and not all of it written.
+    /// The response was passed to the connection and is not written completely yet.
     answered: Cell<bool>,
-    /// When all of its last answer was written.
+    /// When the last response was written completely.
     answered_at: Cell<Option<Instant>>,
-    /// Closed so that another may come in.
+    /// Evicted to make room for a new connection.
     makes_room: Cell<bool>,
     stream: Rc<TcpStream>,
-    /// The long answer that is on its way to it, and a word when one is.
+    /// The streamed response in progress; `begins` is notified when one starts.
     long: RefCell<Option<Rc<Way>>>,
     begins: Notify,
-    /// It takes answers in chunks.
+    /// The client accepts chunked responses (HTTP/1.1).
     chunks: Cell<bool>,
-    /// Once its answer is to be handed over: what the connection would have written to it.
+    /// Set once the response is being handed over: collects what the connection would have written.
     unwritten: RefCell<Option<Vec<u8>>>,
 }
 
@@ -124,26 +132,28 @@
             chunks: Cell::default(),
             unwritten: RefCell::default(),
         };
-        // Danger: a fresh connection's first request may be on the way, and the next one's too.
+        // The first request of a new connection may still be in flight: evicting the connection at once would lose
+        // it, and the next connection's in the same way.
         client.idles(Heard::Nothing, FRESH);
         Rc::new(client)
     }
 
-    /// Room for one more. Danger: clients that keep idle connections would leave none for those whose
-    /// requests wait in the backlog, and those would be lost; and hundreds that connect and say nothing would
-    /// push out those that are used. So what has said nothing goes first, then what has stood idle longest.
+    /// Waits for a connection permit and evicts idle connections meanwhile. Without eviction, idle connections would
+    /// use up all permits and the requests in the listen backlog would be lost. Connections that have sent nothing
+    /// go first, so that hundreds of silent ones do not displace those in use; then the longest idle.
     async fn make_room(&self, room: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
         let mut permit = pin!(room.clone().acquire_owned());
         loop {
             let full = room.available_permits() == 0;
-            // Danger: clients that ask once and stay, and may hold fewer than there is room for here, have none
-            // left to ask on, and we see no pressure.
+            // Clients that keep each connection after one request may run out of descriptors of their own before
+            // our limit is reached, and we would not notice. So eviction starts below the limit.
             if full || self.open.get() >= self.many {
                 let (now, mut idle) = (Instant::now(), self.idle.borrow_mut());
                 let mut all = idle.keys();
                 let due = all.find(|p| p.1 <= now && (full || p.0 == Heard::Nothing && p.1 + SILENT <= now));
-                // Danger: where each request comes on a connection of its own, to wait for the few new ones
-                // that have said nothing yet would leave the rest in the backlog past their time.
+                // Where each request comes on a new connection, waiting until one of the few silent connections
+                // may be evicted would leave the backlog waiting past its deadlines. So a connection idle after
+                // a request is evicted early if these are a large share.
                 let silent = idle.keys().take_while(|place| place.0 != Heard::Request).count();
                 let used =
                     idle.keys().nth(silent).filter(|_| (idle.len() - silent) * USED_SHARE >= self.open.get());
@@ -170,7 +180,7 @@
         self.clients.idle.borrow_mut().insert(place, self.close.clone());
         self.idle.set(Some(place));
     }
-    /// Bytes have come on it.
+    /// Records that bytes were read: an idle connection now has an incomplete head.
     fn hears(&self) {
         let Some(place) = self.idle.get().filter(|place| place.0 != Heard::Part) else { return };
         let (now, since) = (Instant::now(), self.owes.get());
@@ -181,8 +191,8 @@
     fn heard(&self, what: Heard) -> bool {
         self.idle.get().is_some_and(|place| place.0 == what)
     }
-    /// Ends once the end of a head is overdue. Danger: a connection that says nothing, or begins a head and
-    /// never ends it, would be kept for as long as one that is used.
+    /// Completes once the end of a request head is overdue. Without this limit a connection that sends nothing, or
+    /// never completes a head, would be kept as long as one in use.
     async fn head_overdue(&self) {
         loop {
             let owes = self.owes.get();
@@ -193,15 +203,15 @@
             tokio::time::sleep(left).await;
         }
     }
-    /// Ends once a long answer is on its way to it.
+    /// Completes once a streamed response is in progress.
     async fn long_begins(&self) {
         while self.long.borrow().is_none() {
             self.begins.notified().await;
         }
     }
-    /// What is left of the answer that `connection` gives, cut off between two bytes. Danger: what is with the
-    /// connection, or was read from the node, would be left out; so both let go of all they have first. None if
-    /// it broke meanwhile.
+    /// Cuts off the response that `connection` is sending and returns the remainder. The connection and the node's
+    /// parser are drained first; otherwise the bytes buffered there would be missing. None if the connection or the
+    /// response failed meanwhile.
     async fn cut<C: Future<Output = hyper::Result<()>>>(
         &self,
         mut connection: Pin<&mut C>,
@@ -217,12 +227,12 @@
             if let Poll::Ready(Err(_)) = polled.await {
                 return None;
             }
-            // What the connection has was written now, as nothing holds that up.
+            // All that the connection had buffered is in `unwritten` now, because those writes never block.
             if way.through() {
                 let unwritten = self.unwritten.borrow_mut().as_mut().map(std::mem::take)?;
                 let (rest, left) = way.rest()?;
                 let kept =
-                    successor.keeps(way.kept()).inspect_err(|error| say!("hand-over: {error}")).ok()?;
+                    successor.keeps(way.kept()).inspect_err(|error| say!("buffering a response for hand-over failed: {error}")).ok()?;
                 let client = self.stream.clone();
                 return Some((
                     Carry { client, unwritten, kept, rest, chunked: !way.told, open: way.open(), left },
@@ -233,27 +243,27 @@
         }
         None
     }
-    /// Ends the connection, once nobody reads from it or writes to it any more. Danger: one that is closed over bytes not
-    /// read is reset, and the answer before it, or its end, goes with it. So our side is closed first, and what still comes
-    /// is thrown away for a moment: nothing of it is sent on.
+    /// Closes the connection once nothing else reads from it or writes to it. Closing a socket with unread bytes resets
+    /// the connection, and the client may lose the end of the response. So our side is shut down first, and what the
+    /// client still sends is read and discarded for a short time (lingering close).
     async fn ends(&self) {
         if self.unwritten.borrow().is_some() {
-            // Its socket is another's now.
+            // The socket was handed over.
             return;
         }
         let socket = SockRef::from(&*self.stream);
         let cut =
             self.long.borrow().as_ref().is_some_and(|way| way.broken() && !way.told && !self.chunks.get());
         if cut {
-            // Danger: where only the end of the connection ends an answer, a clean one makes a part look whole. What fails
-            // here has failed already.
+            // Where the end of the connection marks the end of the body, a clean close would make a truncated response
+            // look complete. So the connection is reset. An error here means that it is broken already.
             let _ = socket.set_linger(Some(Duration::ZERO));
             return;
         }
-        // Danger: one that ends already would be chosen to make room, in place of another that could.
+        // A closing connection left in the table would be chosen for eviction instead of one that can make room.
         self.idle.take().map(|place| self.clients.idle.borrow_mut().remove(&place));
-        // Where its last answer was written long ago, or none was, there is nothing to lose. Danger: one closed to make room
-        // would hold its place for as long as it lingers.
+        // Nothing can be lost if no response was written recently. An evicted connection does not linger either: it
+        // would hold its permit meanwhile.
         let lately =
             !self.makes_room.get() && self.answered_at.get().is_some_and(|at| at.elapsed() < ARRIVES);
         let many = self.clients.lingering.get() >= LINGER_MOST;
@@ -272,11 +282,11 @@
                 }
             }
         };
-        // Who keeps its side open for longer is cut off.
+        // A client that keeps its side open for longer is cut off.
         let _ = timeout(LINGER, throws_away).await;
         self.clients.lingering.set(self.clients.lingering.get() - 1);
     }
-    /// Reads ahead of it, for as long as it is asked.
+    /// Keeps reading a streamed response ahead of the client; never completes.
     async fn reads_ahead(&self) {
         poll_fn(|cx| {
             self.long.borrow().iter().for_each(|way| way.reads_ahead(cx));
@@ -284,7 +294,7 @@
         })
         .await
     }
-    /// Ends once it has taken nothing for too long.
+    /// Completes once writes to the client have been blocked for too long.
     async fn stands_still(&self) {
         while self.full.get().is_none_or(|since| since.elapsed() < PEER_STALL) {
             tokio::time::sleep(PEER_STALL / 8).await;
@@ -292,7 +302,7 @@
     }
 }
 
-/// An answer's body, until the last byte of which is written its client counts as busy.
+/// A response body; the client's connection counts as busy until the last byte is written.
 struct Answering {
     content: Content,
     client: Rc<Client>,
@@ -322,7 +332,7 @@
     }
 }
 
-/// A client's stream, which tells when a head begins.
+/// A client's stream that records reads and writes in the connection's state.
 struct Listened {
     stream: Shared,
     client: Rc<Client>,
@@ -362,8 +372,8 @@
         self.client.full.set(since.filter(|_| wrote.is_pending()));
         wrote
     }
-    /// Called once all that was to be written so far is. Danger: the end of an answer that a slow client has
-    /// not taken yet would be lost with a connection that counts as idle.
+    /// Called once everything so far has been written. Marking the connection idle any earlier would allow its
+    /// eviction while a slow client has not read the end of the response, which would be lost.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         if self.client.answered.take() {
             self.client.long.take();
@@ -373,7 +383,7 @@
         Pin::new(&mut self.stream).poll_flush(cx)
     }
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        // The socket is shared with whoever goes on with it.
+        // Whoever takes over the response goes on writing to this socket.
         if self.client.unwritten.borrow().is_some() {
             return Poll::Ready(Ok(()));
         }
@@ -388,7 +398,7 @@
     }
 }
 
-/// Opens our address; one that our forerunner still holds is waited for.
+/// Listens on the address, and retries for a while if a previous process still holds it.
 pub async fn listen(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let start = Instant::now();
     loop {
@@ -403,25 +413,26 @@
 
 fn open(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A proxy that starts again finds its address free, though old connections linger.
+    // Allows binding after a restart while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     socket.listen(BACKLOG)
 }
 
-/// Accepts until shutdown closes the listener; then takes in what still stands before it.
+/// Accepts connections until shutdown closes the listener, then accepts what is left in the backlog.
 pub async fn accept(listener: &TcpListener, room: &Arc<Semaphore>, front: &Front) {
     let shutdown = front.shutdown.clone();
     let many = (room.available_permits() as f64 * MANY) as usize;
     let clients = Rc::new(Clients { many, ..Clients::default() });
     loop {
         let next = async {
-            // At the limit accept pauses; the rest waits in the backlog.
+            // At the connection limit accepting pauses, and new connections wait in the backlog.
             let permit = clients.make_room(room).await;
             (permit, listener.accept().await)
         };
         let (permit, accepted) = tokio::select! {
-            // Danger: what comes again after it was refused, let in once more, is refused twice.
+            // Checked first: a client that was refused during shutdown and retries must not be accepted and refused
+            // by this process again.
             biased;
             () = shutdown.listener_closed() => break,
             next = next => next,
@@ -429,12 +440,12 @@
         match accepted {
             Ok((stream, _)) => admit(stream, permit, front.clone(), &clients),
             Err(error) => {
-                say!("accept: {error}");
+                say!("accepting a client connection failed: {error}");
                 tokio::time::sleep(PAUSE).await;
             }
         }
     }
-    // Danger: a connection that the machine has accepted for us may hold a request already.
+    // A connection in the backlog, accepted by the kernel already, may hold a request that would be lost.
     while !shutdown.succeeded()
         && let Ok(Ok((stream, _))) = timeout(LAST_LOOK, listener.accept()).await
     {
@@ -446,7 +457,7 @@
     let idle_closed = front.shutdown.idle_closed();
     let taken_over = front.shutdown.clone();
     if let Err(error) = stream.set_nodelay(true) {
-        say!("a client's connection: {error}");
+        say!("setting TCP_NODELAY on a client connection failed: {error}");
     }
     let client = clients.enter(stream);
     let front = Front { client: Presence::on(client.stream.clone()), ..front };
@@ -478,15 +489,15 @@
     let served = async move {
         let heard = TokioIo::new(Listened { stream: Shared(client.stream.clone()), client: client.clone() });
         let mut connection = pin!(http.serve_connection(heard, TowerToHyperService::new(stack)));
-        // A successor takes over the long answers that have begun, and those that begin from now on.
+        // A successor takes over streamed responses, those in progress and those that start from now on.
         let mut handed = pin!(async {
             let successor = taken_over.successor().await;
             client.long_begins().await;
             successor
         });
-        // Whether a client's connection ended well or badly, the request on it was told by its handle.
+        // The result of the connection is ignored: the request's handle reports how the request ended.
         tokio::select! {
-            // First, so that a request that has come is read before its connection counts as idle.
+            // Polled first, so that a request that has arrived is read before its connection counts as idle.
             biased;
             _ = connection.as_mut() => return,
             () = client.reads_ahead() => {}
@@ -495,7 +506,8 @@
             () = client.close.notified() => client.makes_room.set(true),
             successor = handed.as_mut() => return leave(connection, &client, &successor).await,
             () = idle_closed => {
-                // Danger: a head that comes slowly is cut off by a stop, though its request could be answered.
+                // A request head that arrives slowly during shutdown may still be completed and answered; closing now
+                // would lose the request.
                 if client.heard(Heard::Part) {
                     tokio::select! {
                         _ = connection.as_mut() => return,
@@ -505,8 +517,8 @@
             }
         }
         connection.as_mut().graceful_shutdown();
-        // Danger: a client that began a request and never ends its head would keep its place; of hundreds that
-        // say nothing each would, while others wait for it.
+        // A client that never completes its head would keep its permit while others wait for one, and each of
+        // hundreds that send nothing would too. So both get a short time to end.
         let ends = if client.heard(Heard::Nothing) { LAST_LOOK } else { HEAD_ENDS };
         let ended = timeout(ends, connection.as_mut()).await.is_ok();
         if !ended && client.idle.get().is_none() {
@@ -525,7 +537,7 @@
     });
 }
 
-/// Hands the long answer that is on its way to the successor, if it can be cut off.
+/// Hands the streamed response in progress over to the successor, if it can be cut off.
 async fn leave<C: Future<Output = hyper::Result<()>>>(
     mut connection: Pin<&mut C>,
     client: &Rc<Client>,
@@ -538,7 +550,7 @@
                 handover::hand_over(successor, carry, carried).await;
             }
         }
-        // It ends here, if its client takes it in time.
+        // It is completed here, if the client reads it in time.
         None => tokio::select! {
             biased;
             _ = connection => {}
--- a/crates/flintwell/src/clients/answer.rs
+++ b/crates/flintwell/src/clients/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a client, encoded once.
+//! Responses to clients and their encoding.
 
 use crate::clients::malformed::Malformed;
 use crate::nodes::relay::Content;
@@ -8,22 +8,28 @@
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
+/// How a client's message is answered.
 pub enum Answer {
     Served(Content),
+    /// Not processed; `stay_away` is the advised delay before a retry, 0 for none.
     Refused {
         stay_away: Micros,
     },
+    /// Failed; whether it took effect is unknown.
     Failed,
     Malformed(Malformed),
-    /// Another request of this id is in hand.
+    /// Another request with the same id is in flight.
     InHand,
+    /// Readiness check.
     Ready(bool),
-    /// Its client has left; nobody hears it.
+    /// The client has disconnected.
     Left,
 }
 
 impl Answer {
-    /// How its request has ended; not yet, if it is still passed on, and none if it never was one.
+    /// The request's outcome, if it is known by now and is counted.
+    ///
+    /// None while the response is still being streamed, and where no valid request was served.
     pub fn end(&self) -> Option<End> {
         match self {
             Answer::Served(Content::Whole(_)) => Some(End::Served),
@@ -34,8 +40,10 @@
         }
     }
 
+    /// Encodes the response; `last` closes the connection after it.
     pub fn encode(self, last: bool) -> Response<Content> {
-        // Danger: behind what is malformed, what comes next may be no message of its own.
+        // After a malformed message the next request's start is unknown: the following bytes might belong to its
+        // body. So the connection is closed.
         let last = last || matches!(self, Answer::Malformed(_) | Answer::Left);
         let stay_away = if let Answer::Refused { stay_away } = self { stay_away } else { 0 };
         let text = |words: &'static [u8]| Content::from(Bytes::from_static(words));
--- a/crates/flintwell/src/clients/body.rs
+++ b/crates/flintwell/src/clients/body.rs
@@ -1,4 +1,4 @@
-//! The body of a request: kept whole while the process has room for it, else passed on to one node as it comes.
+//! Request bodies: buffered whole within a memory budget, or else streamed to a single node.
 
 use crate::clients::malformed::Malformed;
 use crate::process::clock::Patience;
@@ -15,14 +15,15 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-pub const LONGEST: u64 = 32 << 20; // bytes; the longest body or answer that there is
-const WITHIN: Duration = Duration::from_millis(1_300); // for a body beyond what its bytes take; a bad one is told soon
-const RATE: u64 = 48_000; // bytes a second; slow clients have 64,000
-const STALL: Duration = Duration::from_millis(2_500); // between two pieces of a body that is passed on as it comes
-const BLOCK: usize = 65_536; // bytes of a body kept together; pieces come in any size
-const BLOCK_FIRST: usize = 4_096; // bytes kept of one whose length is not told
+/// Maximum length of a request or response body.
+pub const LONGEST: u64 = 32 << 20; // bytes
+const WITHIN: Duration = Duration::from_millis(1_300); // added to a body's transfer time; a bad body is rejected soon
+const RATE: u64 = 48_000; // bytes per second; slow clients have 64,000
+const STALL: Duration = Duration::from_millis(2_500); // between two frames of a streamed body
+const BLOCK: usize = 65_536; // bytes of a buffer block; frames come in any size
+const BLOCK_FIRST: usize = 4_096; // bytes of the first block where the body's length is unknown
 
-/// Bytes of bodies that this process may keep.
+/// Memory budget, in bytes, shared by buffered bodies.
 pub struct Budget(Cell<usize>);
 
 impl Budget {
@@ -41,9 +42,9 @@
     }
 }
 
-/// What was kept of a body, in blocks within the budget.
+/// Buffered part of a body, in blocks that are charged to the budget.
 pub struct Kept {
-    /// With the room that each takes.
+    /// Blocks with the bytes charged for each.
     blocks: VecDeque<(Bytes, usize)>,
     last: BytesMut,
     held: usize,
@@ -56,8 +57,10 @@
         Kept { blocks: VecDeque::new(), last: BytesMut::new(), held: 0, length: 0, budget }
     }
 
-    /// Danger: pieces kept as they come cost many times their bytes where they are small. What does not fit into
-    /// the budget is left in `data`.
+    /// Appends `data`, and leaves in it what does not fit into the budget; returns whether all did fit.
+    ///
+    /// The data is copied into larger blocks, because small frames kept as they come take many times their size in
+    /// memory.
     pub fn push(&mut self, data: &mut Bytes, told: Option<u64>) -> bool {
         while !data.is_empty() {
             if self.last.len() == self.last.capacity() {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// The first block; what is taken needs its room no more.
+    /// Removes the first block and returns its bytes to the budget.
     pub fn pop(&mut self) -> Option<Bytes> {
         if self.blocks.is_empty() {
             self.seal();
@@ -104,7 +107,7 @@
     }
 }
 
-/// A body that comes in while it goes out.
+/// A body that is sent to a node while it is still being received.
 pub struct Passing {
     kept: Kept,
     next: Bytes,
@@ -114,21 +117,24 @@
     end: Rc<End>,
 }
 
-/// How a body that is passed on has ended.
+/// How a streamed body has ended.
 #[derive(Default)]
 pub struct End {
+    /// Notified once the body is complete.
     pub whole: Notify,
+    /// Why receiving the body failed, if it did.
     pub broken: Cell<Option<Malformed>>,
 }
 
+/// The body of a client's request.
 pub enum Payload {
     Kept(Rc<Kept>),
-    /// None once its one attempt has it.
+    /// None once its single attempt has taken it.
     Passing(Cell<Option<Box<Passing>>>, Rc<End>),
 }
 
 impl Payload {
-    /// The whole body, or as much as there was room for.
+    /// Receives a body: whole, or as much as the budget has room for; the rest is streamed.
     pub async fn receive(mut body: Incoming, budget: &Rc<Budget>) -> Result<Self, Malformed> {
         let told = body.size_hint().exact();
         if told.is_some_and(|told| told > LONGEST) {
@@ -136,7 +142,7 @@
         }
         let (start, mut kept, mut length) = (Instant::now(), Kept::new(budget.clone()), 0);
         loop {
-            // Danger: one fixed time is too short for a long body, and lets a short one stand for long.
+            // A fixed time limit would be too short for long bodies, and would let a stalled short one wait for long.
             let due = start + WITHIN + Duration::from_micros(length * 1_000_000 / RATE);
             let frame = match timeout_at(due, body.frame()).await {
                 Err(_) => return Err(Malformed::BodyLate),
@@ -144,7 +150,7 @@
                 Ok(Some(Err(_))) => return Err(Malformed::BodyBroken),
                 Ok(Some(Ok(frame))) => frame,
             };
-            // What comes behind a body in a trailer is no part of it.
+            // Trailers are not part of the body.
             let Ok(mut data) = frame.into_data() else { continue };
             length += data.len() as u64;
             if length > LONGEST {
@@ -162,7 +168,7 @@
         Ok(Payload::Kept(Rc::new(kept)))
     }
 
-    /// The body for an attempt; none if an earlier one has taken it.
+    /// The body for an attempt; none if it is streamed and an earlier attempt has taken it.
     pub fn hand_out(&self) -> Option<Outgoing> {
         match self {
             Payload::Kept(kept) => Some(Outgoing::Kept { kept: kept.clone(), sent: 0 }),
@@ -170,7 +176,7 @@
         }
     }
 
-    /// Where it is passed on as it comes: how it has ended, if it has.
+    /// For a streamed body: whether and how it has ended.
     pub fn passing(&self) -> Option<&End> {
         match self {
             Payload::Kept(_) => None,
@@ -178,7 +184,7 @@
         }
     }
 
-    /// How long a client may still take to send it.
+    /// How long the client may still take to send the body.
     pub fn takes(&self) -> Duration {
         match self {
             Payload::Kept(_) => Duration::ZERO,
@@ -187,7 +193,7 @@
     }
 }
 
-/// A body on its way to a node.
+/// A request body as it is sent to a node.
 pub enum Outgoing {
     Empty,
     Kept { kept: Rc<Kept>, sent: usize },
@@ -272,7 +278,7 @@
 
     fn breaks(&self, why: Malformed) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         self.end.broken.set(Some(why));
-        Poll::Ready(Some(Err(io::Error::other("the client's body is not whole"))))
+        Poll::Ready(Some(Err(io::Error::other("the client's request body is incomplete or invalid"))))
     }
 }
 
--- a/crates/flintwell/src/clients/body/tests.rs
+++ b/crates/flintwell/src/clients/body/tests.rs
@@ -11,13 +11,13 @@
     kept.seal();
     assert_eq!(kept.blocks.iter().map(|block| block.0.len()).sum::<usize>(), 100_000);
     let left = std::iter::from_fn(|| kept.pop()).map(|block| block.len()).sum::<usize>();
-    assert_eq!((left, budget.0.get()), (100_000, 200_000), "what is taken needs no room");
+    assert_eq!((left, budget.0.get()), (100_000, 200_000), "popped blocks are returned to the budget");
     let mut kept = Kept::new(budget.clone());
     assert!(kept.push(&mut Bytes::from(vec![0; 100_000]), Some(100_000)));
     let mut other = Kept::new(budget.clone());
     let mut data = Bytes::from(vec![0; 150_000]);
-    assert!(!other.push(&mut data, Some(150_000)), "no more room");
-    assert_eq!(other.length + data.len() as u64, 150_000, "nothing lost");
+    assert!(!other.push(&mut data, Some(150_000)), "budget exhausted");
+    assert_eq!(other.length + data.len() as u64, 150_000, "no byte is lost");
     drop((kept, other));
     assert_eq!(budget.0.get(), 200_000);
 }
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -1,4 +1,4 @@
-//! A request, decoded once from a client's message into a small typed value.
+//! Decodes and validates a client's message into a typed request.
 
 use crate::clients::body::{Budget, Payload};
 use crate::clients::framing::Framing;
@@ -12,10 +12,11 @@
 use hyper::{Method, Request, Uri};
 use std::rc::Rc;
 
-const ONCE: [&str; 5] = ["host", "x-request-id", "x-class", "x-deadline", "idempotency-key"]; // headers
-const MARGIN: Micros = 10_000; // us; the way back to the client, and the turn of our one core
-const LIMIT_MOST: f64 = 3_600.0; // s; a longer deadline is no client's
+const ONCE: [&str; 5] = ["host", "x-request-id", "x-class", "x-deadline", "idempotency-key"]; // headers that may occur once
+const MARGIN: Micros = 10_000; // covers the way back to the client and waiting for our single core
+const LIMIT_MOST: f64 = 3_600.0; // no client has a longer deadline
 
+/// A client's request with its validated headers.
 pub struct ClientRequest {
     pub id: RequestId,
     pub id_header: HeaderValue,
@@ -29,11 +30,12 @@
     tenant: usize,
     key: Option<Key>,
     work: Option<Micros>,
-    /// How long the client waits from when it sent the request.
+    /// How long the client waits for the response, from when it sent the request.
     waits: Micros,
 }
 
 impl ClientRequest {
+    /// Validates a message and receives its body.
     pub async fn decode(
         request: Request<Incoming>,
         framing: Framing,
@@ -42,8 +44,8 @@
         client: Presence,
     ) -> Result<Self, Malformed> {
         let (head, body) = request.into_parts();
-        // Danger: a length beside a transfer encoding hides another request in the body, and is taken out of
-        // the head before we see it.
+        // A message with both a length and a transfer encoding can hide another request in its body (request
+        // smuggling). The HTTP parser drops the length from the head, so only the raw bytes show it.
         if framing == Framing::Doubtful {
             return Err(Malformed::Doubtful);
         }
@@ -61,7 +63,7 @@
         if method != Method::GET && method != Method::PUT {
             return Err(Malformed::Method);
         }
-        // Danger: a node may go by the other one of two.
+        // Of a duplicated header, a node might use the other value than we do.
         if let Some(name) = ONCE.into_iter().find(|name| headers.get_all(*name).iter().nth(1).is_some()) {
             return Err(Malformed::Header(name));
         }
@@ -87,7 +89,7 @@
             class: named("x-class", &network.classes)?.ok_or(Malformed::Header("x-class"))?,
             tenant: named("x-tenant", &network.tenants)?.unwrap_or(0),
             key,
-            // A hint that is no number is worth none, and no reason to turn the request away.
+            // An invalid cost hint is ignored; it is no reason to reject the request.
             work: number("x-cost-hint").ok().flatten().map(|hint| hint.min(LIMIT_MOST * 1e6) as Micros),
             waits: (waits * 1e6) as Micros,
             repeat_mark: headers.get("idempotency-key").cloned(),
@@ -99,11 +101,12 @@
         })
     }
 
-    /// When its answer is due, if its client may have sent it at `sent`.
+    /// The deadline of the response to a request that the client may have sent at `sent`.
     pub fn deadline(&self, sent: Micros) -> Micros {
         sent + self.body.takes().as_micros() as Micros + (self.waits - MARGIN).max(0)
     }
 
+    /// The request as the decision module gets it.
     pub fn arrival(&self, deadline: Micros) -> Arrival {
         Arrival {
             id: self.id.clone(),
--- a/crates/flintwell/src/clients/framing.rs
+++ b/crates/flintwell/src/clients/framing.rs
@@ -1,33 +1,35 @@
-//! How messages are framed, by their raw bytes: what a parser that takes a length out of a head, or a body out
-//! of its chunks, no longer shows.
+//! Message framing, determined from the raw bytes.
+//!
+//! The HTTP parser no longer shows it: it drops a content length beside a transfer encoding and decodes chunked
+//! bodies.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const HEAD_MOST: usize = 65_536; // bytes of a head that are kept; longer ones are refused before
+const HEAD_MOST: usize = 65_536; // of a head that is scanned; the HTTP parser rejects longer ones before
 
 /// How a message's body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length, 0 where none is given.
+    /// By content length, 0 if there is none.
     Length,
-    /// By a transfer encoding. What comes behind it is not told apart any more.
+    /// By a transfer encoding. The messages after it are not scanned.
     Coded,
-    /// By both, or by lengths that differ or are none.
+    /// By both, by several lengths or by an invalid length.
     Doubtful,
 }
 
-/// What the next byte belongs to.
+/// Which part of a message the next byte belongs to.
 enum At {
     Head(Vec<u8>),
-    /// Bytes that are left of it.
+    /// Remaining bytes of the body.
     Body(u64),
-    /// Not known any more; the connection closes with the answer.
+    /// Unknown; the connection is closed after the response.
     Lost,
 }
 
-/// Reads along with a connection.
+/// Determines the framing of each request on a client's connection from the bytes read.
 pub struct Scanner {
     at: At,
     heads: VecDeque<Framing>,
@@ -40,11 +42,12 @@
 }
 
 impl Scanner {
-    /// Of the message whose head came first; doubtful if none did.
+    /// Removes and returns the framing of the oldest scanned message; `Doubtful` if there is none.
     pub fn next(&mut self) -> Framing {
         self.heads.pop_front().unwrap_or(Framing::Doubtful)
     }
 
+    /// Scans bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match &mut self.at {
@@ -60,7 +63,7 @@
                 At::Head(head) => {
                     let (byte, rest) = (bytes[0], &bytes[1..]);
                     bytes = rest;
-                    // Empty lines before a head are no part of it.
+                    // Empty lines before a head are skipped.
                     if head.is_empty() && matches!(byte, b'\r' | b'\n') {
                         continue;
                     }
@@ -82,36 +85,38 @@
     }
 }
 
-/// Where a body in chunks stands.
+/// Position within a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Chunks {
-    /// In the size of the next, as read so far.
+    /// In a chunk's size, with its value so far.
     Size(u64),
-    /// Behind that size, in its line.
+    /// After a chunk's size, before the end of that line.
     Extension(u64),
-    /// Bytes that are left of one.
+    /// In a chunk's data, with the number of remaining bytes.
     Data(u64),
-    /// Before the end of the line behind one.
+    /// In the line end after a chunk's data.
     Behind,
-    /// Behind the last, in a line that is empty so far.
+    /// In the trailer section; true while the current line is empty.
     Trailer(bool),
+    /// After the end of the body.
     End,
 }
 
-/// How what is left of a body comes.
+/// Decoder for the remainder of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Coding {
-    /// As it is, so many bytes.
+    /// Unencoded, with the number of remaining bytes.
     Length(u64),
     Chunks(Chunks),
 }
 
 impl Coding {
+    /// Whether the body has been read to its end.
     pub fn ended(self) -> bool {
         matches!(self, Coding::Length(0) | Coding::Chunks(Chunks::End))
     }
 
-    /// Reads on: hands out the pieces of the body among these bytes. False where they are no such body.
+    /// Decodes further bytes and passes the payload in them to `piece`. False if they are not a valid encoding.
     pub fn read(&mut self, mut bytes: &[u8], mut piece: impl FnMut(&[u8])) -> bool {
         while !bytes.is_empty() && !self.ended() {
             let (left, behind) = match self {
@@ -137,7 +142,7 @@
 }
 
 impl Chunks {
-    /// Behind this byte, which is none of a chunk's data.
+    /// The state after this byte, which is not chunk data; none if the byte is invalid here.
     fn then(self, byte: u8) -> Option<Self> {
         Some(match (self, byte) {
             (Chunks::Size(0) | Chunks::Extension(0), b'\n') => Chunks::Trailer(true),
@@ -158,22 +163,23 @@
     }
 }
 
-/// Reads along with what a node answers to one message.
+/// Follows a node's response to one request in the bytes read.
 #[derive(Default)]
 pub struct Answers {
     head: Vec<u8>,
-    /// How the rest of the body comes; none while the head has not ended, or if it does not say.
+    /// Decoder for the rest of the body; none before the end of the head, and where the framing is unknown.
     pub coding: Option<Coding>,
-    /// Bytes of the body that were read.
+    /// Body bytes read so far.
     pub body: u64,
     headed: bool,
-    /// Nothing more is read.
+    /// Reading from the connection has been stopped.
     pub halted: bool,
-    /// When its first byte was read.
+    /// When the first byte was read.
     pub begun_at: Option<Instant>,
 }
 
 impl Answers {
+    /// Scans bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         if !bytes.is_empty() {
             self.begun_at.get_or_insert_with(Instant::now);
@@ -182,13 +188,13 @@
             self.head.push(bytes[0]);
             bytes = &bytes[1..];
             if self.head.ends_with(b"\n") && ends(&self.head) {
-                // A word in between is no answer yet.
+                // An interim (1xx) response is not the response yet.
                 let between = self.head.split(|b| *b == b' ').nth(1).is_some_and(|s| s.starts_with(b"1"));
                 if !between {
                     self.headed = true;
                     self.coding = match framing(&self.head) {
                         (Framing::Coded, _) => Some(Coding::Chunks(Chunks::Size(0))),
-                        // None told, a body lasts until the connection ends; such a one can't be told apart.
+                        // Without a length the body may last until the connection closes; its end is not visible.
                         (Framing::Length, length) if length > 0 => Some(Coding::Length(length)),
                         _ => None,
                     };
@@ -206,11 +212,12 @@
     }
 }
 
-/// An empty line ends a head, whichever way its lines end.
+/// Whether the head is complete: it ends with an empty line, with or without carriage returns.
 fn ends(head: &[u8]) -> bool {
     head.ends_with(b"\n\n") || head.ends_with(b"\n\r\n")
 }
 
+/// Framing by a head's fields, and the content length.
 fn framing(head: &[u8]) -> (Framing, u64) {
     let (mut coded, mut lengths) = (false, Vec::new());
     for line in head.split(|byte| *byte == b'\n').skip(1) {
@@ -226,7 +233,8 @@
         (true, []) => (Framing::Coded, 0),
         (false, []) => (Framing::Length, 0),
         (false, [Some(length)]) => (Framing::Length, *length),
-        // Danger: a length beside a transfer encoding, or a second one, hides another request in the body.
+        // A length beside a transfer encoding, or a second length, can hide another request in the body (request
+        // smuggling).
         _ => (Framing::Doubtful, 0),
     }
 }
--- a/crates/flintwell/src/clients/framing/tests.rs
+++ b/crates/flintwell/src/clients/framing/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What is read of these bytes, cut in two at each place, and byte by byte.
+/// The framings that are found in these bytes: read whole, split in two at each position, and byte by byte.
 fn heads(bytes: &[u8]) -> Vec<Framing> {
     let read = |parts: &[&[u8]]| {
         let mut scanner = Scanner::default();
@@ -26,7 +26,7 @@
     let no_number = "PUT /k HTTP/1.1\r\nContent-Length: +5\r\n\r\n";
     assert_eq!(heads(get.as_bytes()), [Length]);
     assert_eq!(heads([put, get, "\r\n", put, both].concat().as_bytes()), [Length, Length, Length, Doubtful]);
-    assert_eq!(heads([get, coded, get].concat().as_bytes()), [Length, Coded], "what follows is lost");
+    assert_eq!(heads([get, coded, get].concat().as_bytes()), [Length, Coded], "messages after a transfer encoding are not scanned");
     assert_eq!(heads([twice, get].concat().as_bytes()), [Doubtful]);
     assert_eq!(heads(no_number.as_bytes()), [Doubtful]);
     assert_eq!(heads(&get.as_bytes()[..20]), []);
@@ -43,7 +43,7 @@
         for cut in 0..=answer.len() {
             let mut answers = Answers::default();
             answer[..cut].chunks(1 + cut % 3).for_each(|part| answers.read(part));
-            // Another reads on from there.
+            // Another decoder continues from there.
             let Some(mut coding) = answers.coding else { continue };
             let mut rest = Vec::new();
             assert!(coding.read(&answer[cut..], |piece| rest.extend_from_slice(piece)) && coding.ended());
@@ -51,7 +51,7 @@
         }
         let mut answers = Answers::default();
         answers.read(&answer);
-        assert!(answers.coding.is_some_and(Coding::ended), "its end is seen");
+        assert!(answers.coding.is_some_and(Coding::ended), "the end of the body is detected");
     }
     for wrong in ["x", "-3\r\n", "ffffffffffffffff0\r\n", "3\r\nnine"] {
         assert!(!Coding::Chunks(Chunks::Size(0)).read(wrong.as_bytes(), |_| {}), "{wrong}");
--- a/crates/flintwell/src/clients/malformed.rs
+++ b/crates/flintwell/src/clients/malformed.rs
@@ -1,11 +1,17 @@
-//! Why a message is no request.
+//! Reasons to reject a client's message.
 
+/// Why a client's message is not a valid request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Malformed {
+    /// The method is neither GET nor PUT.
     Method,
+    /// The header of this name is missing, invalid or duplicated.
     Header(&'static str),
+    /// The framing is ambiguous.
     Doubtful,
     BodyTooLong,
+    /// The body is incomplete or badly encoded.
     BodyBroken,
+    /// The body did not arrive in time.
     BodyLate,
 }
--- a/crates/flintwell/src/clients/mod.rs
+++ b/crates/flintwell/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: their connections, what they say, and what is said to them.
+//! Client side: connections, request decoding and responses.
 
 pub mod accept;
 pub mod answer;
--- a/crates/flintwell/src/clients/presence.rs
+++ b/crates/flintwell/src/clients/presence.rs
@@ -1,4 +1,4 @@
-//! Whether the client of a request is still there.
+//! Detects that the client of a request has disconnected.
 
 use futures_util::FutureExt;
 use socket2::SockRef;
@@ -8,6 +8,7 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
+/// The socket of a request's client; without one the client counts as connected.
 #[derive(Clone, Default)]
 pub struct Presence(Option<Rc<TcpStream>>);
 
@@ -16,9 +17,11 @@
         Presence(Some(stream))
     }
 
-    /// It has closed its connection, or its side of it; asked directly before an attempt. Danger: the server's reader
-    /// notices that only after a request has begun, and not at all while bytes of the next one wait in its buffer; and to
-    /// look at those bytes hides the end behind them, which the runtime tells apart.
+    /// Whether the client has closed its connection, or its sending side; checked directly before an attempt.
+    ///
+    /// The HTTP server notices a close only after a request has begun, and not at all while bytes of the next request
+    /// are unread, so requests would be sent on for nobody. Peeking at unread bytes does not show the end of the stream
+    /// after them either; the runtime's readiness does, so it is checked first.
     pub fn left(&self) -> bool {
         let Some(stream) = &self.0 else { return false };
         let ready = stream.ready(Interest::READABLE).now_or_never();
@@ -28,7 +31,7 @@
         loop {
             match SockRef::from(&**stream).peek(&mut [MaybeUninit::uninit()]) {
                 Ok(bytes) => return bytes == 0,
-                // A signal came between: nothing is said of the client.
+                // Interrupted by a signal: tells nothing of the client, so peek again.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
             }
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -1,5 +1,7 @@
-//! Where requests meet the decision module: the module in its cell, the handles of the requests in hand, and
-//! the host's calls, which only reach a handle and never re-enter the module.
+//! Adapter between requests and the decision module.
+//!
+//! Holds the module and a handle for each request in flight. The module's calls to its host only leave a step for
+//! a handle and never re-enter the module.
 
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, Pulse};
@@ -17,11 +19,11 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, timeout_at};
 
-const STEP: Micros = 1_000; // us; between calls for the timer, as fine as the runtime's own
-const SETTLES: usize = 16; // turns of the runtime: its sockets', connections' and the list's own, also of a long list
-const FAR: Micros = 3_600_000_000; // us; a sleep without a timer, ended by the next one set
+const STEP: Micros = 1_000; // between timer calls; the resolution of the runtime's timers
+const SETTLES: usize = 16; // runtime turns in which sockets, connections and list are read, a long list included
+const FAR: Micros = 3_600_000_000; // sleep while no timer is set; setting one ends it
 
-/// What a request does next.
+/// The next step of a request.
 pub enum Step {
     Attempt { node: NodeId, allow_for: Micros },
     Refuse { stay_away: Micros },
@@ -34,7 +36,7 @@
     called: Notify,
 }
 
-/// What the module's calls reach.
+/// State that the module's calls to its host act on.
 struct Mailboxes {
     places: RefCell<HashMap<RequestId, Rc<Place>>>,
     timers: RefCell<BTreeSet<(Micros, u64)>>,
@@ -58,7 +60,7 @@
                 place.next.replace(Some(step));
                 place.called.notify_one();
             }
-            None => say!("a step for request {request}, which is not in hand"),
+            None => say!("decision module returned a step for request {request}, which is not in flight"),
         }
     }
 }
@@ -82,10 +84,11 @@
         self.0.timers.borrow_mut().insert((at, label));
         self.0.timer_set.notify_one();
     }
-    /// It is watched from the process's start, whenever the module would ask for it.
+    /// The list is watched from the process's start, so there is nothing to do.
     fn watch_list(&mut self) {}
 }
 
+/// Owns the decision module and passes events to it.
 pub struct Dispatcher {
     pub clock: Clock,
     pub pulse: Pulse,
@@ -112,50 +115,53 @@
         Dispatcher { clock, pulse: Pulse::new(clock), module, mailboxes }
     }
 
-    /// Calls the module; nothing is awaited in there. False if it panicked. Danger: a panic in a call made
-    /// for the timer or the list would end those for good, and lose every request held.
+    /// Calls the module, and then the watched one with `watched`. False if the module panicked.
+    ///
+    /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
     fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&Watch)) -> bool {
         let done = catch_unwind(AssertUnwindSafe(|| call(&mut self.module.borrow_mut())));
         if done.is_err() {
-            say!("a call of the module panicked");
+            say!("decision module panicked during a call");
         }
-        // After the one that decides, and whatever became of that.
+        // After the deciding module, and also if that panicked.
         self.mailboxes.watch.as_deref().inspect(|watch| watched(watch));
         done.is_ok()
     }
 
+    /// Passes a list, or changes to it, to the module.
     pub fn list(&self, kind: ListKind, entries: Vec<Entry>) {
         let (now, copy) = (self.clock.now(), self.mailboxes.watch.as_ref().map(|_| entries.clone()));
         let watched = |watch: &Watch| watch.list(now, kind, copy.unwrap_or_default());
         self.module(|module| module.list(now, kind, entries), watched);
     }
 
-    /// Other settings from now on; the list has to be told again.
+    /// Switches to other settings; the list has to be passed again afterwards.
     pub fn change(&self, settings: Settings) {
         let now = self.clock.now();
         self.module(|module| module.change(now, settings), |_| ());
     }
 
-    /// Fetches a second that the fleet grants us from now on; how many requests were to be fetched so far.
+    /// Sets the rate, in fetches per second, that the fleet grants this process. Returns how many fetches requests have
+    /// needed so far.
     pub fn granted(&self, rate: Option<f64>) -> u64 {
         let (now, mut wanted) = (self.clock.now(), 0);
         self.module(|module| wanted = module.granted(now, rate), |_| ());
         wanted
     }
 
-    /// Caches that fell silent to us.
+    /// Caches that have stopped answering this process.
     pub fn silent(&self) -> Vec<NodeId> {
         self.module.borrow().silent()
     }
 
-    /// Others try this node, for so long from now.
+    /// Other proxies probe this node for the next `time`.
     pub fn tried_by_others(&self, node: &NodeId, time: Micros) {
         let until = self.clock.now() + time;
         self.module(|module| module.tried_by_others(node, until), |_| ());
     }
 
-    /// After a standstill of ours, what has come meanwhile is read before anything is sent. Danger: a list that has come
-    /// tells of servers that leave, and a request decided on before it would still go there.
+    /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
+    /// a request decided on before the stall could go to a server that a list, received but not read, says is leaving.
     pub async fn settles(&self) {
         if self.pulse.waited_from() < self.clock.now() {
             for _ in 0..SETTLES {
@@ -164,16 +170,17 @@
         }
     }
 
+    /// Whether this node is an origin.
     pub fn is_origin(&self, node: &NodeId) -> bool {
         self.module.borrow().is_origin(node)
     }
 
-    /// How many listed caches the module avoids now.
+    /// Number of listed caches that the module avoids now.
     pub fn avoided(&self) -> usize {
         self.module.borrow().avoided(self.clock.now())
     }
 
-    /// A handle for a request; none while another of the same id is in hand.
+    /// A handle for a request; none while another request with the same id is in flight.
     pub fn handle(self: &Rc<Self>, id: RequestId) -> Option<RequestHandle> {
         let place = Rc::new(Place::default());
         let mut places = self.mailboxes.places.borrow_mut();
@@ -184,8 +191,8 @@
         Some(RequestHandle { dispatcher: self.clone(), id, place, attempts: 0, out: None, over: true })
     }
 
-    /// Calls the module at the times it asked for. Danger: a time that has passed, asked for again at each
-    /// call, would leave our one core nothing for the requests; so there is a step between calls.
+    /// Calls the module at the times it asked for, with a minimum interval between calls. Without it, a module that asks
+    /// at each call for a time in the past would leave our single core no time for requests.
     pub async fn keep_time(&self) {
         let mut not_before = 0;
         loop {
@@ -211,8 +218,8 @@
     }
 }
 
-/// A request's place before the module. Dropped before the request is over, it tells the module that the
-/// client is gone and that the attempt out, if any, was cancelled.
+/// A request's connection to the module. If it is dropped before the request is over, the module is told that the client
+/// is gone and that the attempt in flight, if any, was cancelled.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
     id: RequestId,
@@ -223,6 +230,7 @@
 }
 
 impl RequestHandle {
+    /// Passes the request to the module.
     pub fn arrives(&mut self, arrival: Arrival) {
         self.over = false;
         let now = self.dispatcher.clock.now();
@@ -234,14 +242,14 @@
         self.or_fail(self.dispatcher.module(|module| module.request_arrives(now, arrival), watched));
     }
 
-    /// A request that the module could not decide on is failed.
+    /// Fails the request if the module could not decide on it.
     fn or_fail(&self, decided: bool) {
         if !decided {
             self.dispatcher.mailboxes.call(&self.id, Step::Fail);
         }
     }
 
-    /// The module's next word; none by the deadline.
+    /// Waits for the module's next step; none if there is none by the deadline.
     pub async fn next(&mut self, deadline: Micros) -> Option<Step> {
         let word = async {
             loop {
@@ -256,11 +264,12 @@
         Some(step)
     }
 
+    /// Records that the attempt at this node is in flight.
     pub fn sends(&mut self, node: &NodeId) {
         self.out = Some(node.clone());
     }
 
-    /// How the attempt that is out has ended, after `wait`.
+    /// Reports to the module how the attempt in flight has ended, after `wait`.
     pub fn ended(&mut self, ending: Ending, wait: Micros, first: bool) {
         let Some(node) = self.out.take() else { return };
         self.over |= ending == Ending::Served;
@@ -275,7 +284,8 @@
 impl Drop for RequestHandle {
     fn drop(&mut self) {
         let (now, id) = (self.dispatcher.clock.now(), self.id.clone());
-        // Danger: an attempt that the module has told and nobody has taken yet would count as out for good.
+        // If the module has chosen an attempt and the step was not taken yet, the module would count that attempt as in
+        // flight for good. So it is reported as cancelled below.
         if let Some(Step::Attempt { node, .. }) = self.place.next.take() {
             self.out.get_or_insert(node);
         }
--- a/crates/flintwell/src/requests/front.rs
+++ b/crates/flintwell/src/requests/front.rs
@@ -1,4 +1,4 @@
-//! The client-facing service: health, else decode, serve, encode.
+//! The client-facing service: readiness check, or else decode, serve and encode.
 
 use crate::clients::answer::Answer;
 use crate::clients::body::Budget;
@@ -24,6 +24,7 @@
 use std::task::{Context, Poll};
 use tower::Service;
 
+/// Service for the messages of one client connection.
 #[derive(Clone)]
 pub struct Front {
     pub dispatcher: Rc<Dispatcher>,
@@ -33,19 +34,20 @@
     pub budget: Rc<Budget>,
     pub lease: Rc<ListLease>,
     pub shutdown: Shutdown,
-    /// Of the connection that it serves.
+    /// The client's side of the connection that is served.
     pub client: Presence,
 }
 
 impl Front {
     async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Answer {
         if request.uri().path() == "/health/ready" {
-            // Danger: clients that come before any list is in force are refused, where others could serve them.
+            // Before any list is in force requests would be refused here, although another proxy could serve them.
             return Answer::Ready(self.lease.ready() && !self.shutdown.begun());
         }
         let client = self.client.clone();
         match ClientRequest::decode(request, framing, &self.network.get(), &self.budget, client).await {
-            // It came slowly, or crossed the closing; a successor has longer to answer it than we have.
+            // The request arrived slowly, or while its connection was being closed. The successor has more time left
+            // to answer a retry than this process has.
             Ok(request) if self.shutdown.succeeded() => {
                 let answer = Answer::Refused { stay_away: 0 };
                 answer.end().inspect(|&end| self.counts.ended(request.class, end));
@@ -72,10 +74,11 @@
         let front = self.clone();
         Box::pin(async move {
             let framing = request.extensions().get().copied().unwrap_or(Framing::Doubtful);
-            // A panic stops here: the request it struck is failed, the others go on.
+            // A panic is contained: its request fails, the others go on.
             let answered = AssertUnwindSafe(front.answer(request, framing)).catch_unwind().await;
             let answer = answered.unwrap_or(Answer::Failed);
-            // Danger: what comes behind a chunked body is not told apart by its raw bytes.
+            // Messages after a chunked body cannot be told apart in the raw bytes, so their framing could not be
+            // checked. The connection is closed instead.
             Ok(answer.encode(front.shutdown.begun() || framing == Framing::Coded))
         })
     }
--- a/crates/flintwell/src/requests/mod.rs
+++ b/crates/flintwell/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their answer, and the decision module that they meet.
+//! Request handling from arrival to response, and the adapter to the decision module.
 
 pub mod dispatcher;
 pub mod front;
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! The life of one request, from top to bottom; the module chooses at each point of choice.
+//! Serves one request from start to end; the decision module makes each decision.
 
 use crate::clients::answer::Answer;
 use crate::clients::decode::ClientRequest;
@@ -15,9 +15,10 @@
 use std::time::Instant;
 use tower::ServiceExt;
 
-const LIST_WAIT_PARTS: Micros = 3; // a new process waits for its list for one of so many parts of what a request has left
-const LIST_WAIT_MOST: Micros = 1_000_000; // us; the longest
+const LIST_WAIT_PARTS: Micros = 3; // a new process waits for its list for a third of the time that a request has left
+const LIST_WAIT_MOST: Micros = 1_000_000;
 
+/// Serves a request and counts its outcome.
 pub async fn serve(
     request: ClientRequest,
     dispatcher: &Rc<Dispatcher>,
@@ -27,7 +28,8 @@
 ) -> Answer {
     let (in_hand, case) = (counts.takes(), request.class);
     let Some(mut handle) = dispatcher.handle(request.id.clone()) else { return Answer::InHand };
-    // Danger: what waits while the process stands still is read late; counted from then on, it would look quick.
+    // A request that arrives while the process is stalled is read late. Measured from the read, its response time would
+    // look too short and its deadline would be too late.
     let began = dispatcher.pulse.waited_from();
     let wait = (request.deadline(began) - dispatcher.clock.now()) / LIST_WAIT_PARTS;
     lease.first_in_force(span(wait.min(LIST_WAIT_MOST))).await;
@@ -56,8 +58,8 @@
             Some(Step::Attempt { node, allow_for }) => {
                 handle.sends(&node);
                 dispatcher.settles().await;
-                // Danger: a request that was read together with its client's end, or whose client left while it was held,
-                // would be sent on for nobody; the reader tells of that end only later.
+                // The client may have closed its connection right after the request, or while the request was held.
+                // The HTTP server reports that only later, and the attempt would be made for nobody.
                 if request.client.left() {
                     return Answer::Left;
                 }
@@ -67,7 +69,7 @@
                 let attempt = Attempt { request: request.clone(), node, allow_for, chosen_at };
                 let ended = attempts.clone().oneshot(attempt).await;
                 let wait = dispatcher.clock.now() - sent_at;
-                // What the origin refused has cost it something, too.
+                // A request that the origin refused has cost it work, too.
                 let reached = ended.as_ref().err().is_none_or(|broken| !broken.ending().never_ran());
                 if fetch && reached {
                     one_more(&counts.fetches);
@@ -83,7 +85,7 @@
                         }
                     }
                     Err(broken) => {
-                        // A body that is not kept had this one attempt.
+                        // A streamed body allows this one attempt only.
                         if let Some(why) = request.body.passing().and_then(|end| end.broken.take()) {
                             return Answer::Malformed(why);
                         }
@@ -95,8 +97,8 @@
                 }
             }
             Some(Step::Refuse { stay_away }) => return Answer::Refused { stay_away },
-            // Danger: a request nobody answers by its deadline is lost; whatever the module does, it is
-            // failed then, which promises nothing.
+            // A request without a response by its deadline is lost. So it fails then, whatever the module does; a
+            // failure makes no promise about the effect.
             Some(Step::Fail) | None => return Answer::Failed,
         }
     }
--- a/crates/flintwell/src/requests/watch.rs
+++ b/crates/flintwell/src/requests/watch.rs
@@ -1,6 +1,7 @@
-//! The mode to watch with: a second module with other settings beside the one that decides. It is told what
-//! happens, its word goes nowhere but here, and each request on which it would have decided otherwise is
-//! counted once, by the kind of the first difference. From there on it only learns by that request.
+//! Shadow mode: runs a second decision module with other settings beside the deciding one.
+//!
+//! The second module sees the same events, but its decisions have no effect. Each request on which it would have decided
+//! differently is counted once, by the kind of the first difference. After that, it only learns from the request's outcomes.
 
 use crate::say;
 use flintwell_core::interface::{
@@ -13,9 +14,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const TELL_EVERY: Duration = Duration::from_secs(60); // between lines with the counts, where any changed
+const TELL_EVERY: Duration = Duration::from_secs(60); // between log lines with the counts, if they changed
 
-/// What a request was told to do.
+/// A decision on a request.
 #[derive(Clone, PartialEq)]
 pub enum Move {
     Attempt(NodeId),
@@ -23,27 +24,29 @@
     Fail,
 }
 
-/// How the other settings would have decided.
+/// Requests on which the other settings would have decided differently, by kind.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub struct Counts {
     pub requests: u64,
     pub another_cache: u64,
-    /// The origin in place of a cache, or a cache in place of the origin.
+    /// The origin instead of a cache, or a cache instead of the origin.
     pub origin_or_cache: u64,
-    /// Given up, where it was sent.
+    /// Refused or failed instead of attempted.
     pub given_up: u64,
-    /// Handed off, where it was given up.
+    /// Attempted instead of refused or failed.
     pub attempted: u64,
-    /// Turned back in place of failed, held longer, or held less.
+    /// Refused instead of failed or the reverse, held longer, or held for less time.
     pub held_or_told: u64,
 }
 
 impl Counts {
+    /// Number of requests with any difference.
     pub fn otherwise(&self) -> u64 {
         self.another_cache + self.origin_or_cache + self.given_up + self.attempted + self.held_or_told
     }
 }
 
+/// The decisions of both modules on one request.
 #[derive(Default)]
 struct Pair {
     ours: Vec<Move>,
@@ -53,7 +56,7 @@
 
 type Pairs = Rc<RefCell<HashMap<RequestId, Pair>>>;
 
-/// The second module's host: it writes down and does nothing.
+/// The shadow module's host: it records decisions and does nothing else.
 struct Notes(Pairs);
 
 impl Notes {
@@ -79,6 +82,7 @@
     fn watch_list(&mut self) {}
 }
 
+/// Runs the shadow module and compares its decisions with those in effect.
 pub struct Watch {
     other: RefCell<Option<Policy<Notes>>>,
     pairs: Pairs,
@@ -94,18 +98,19 @@
         Watch { other, pairs, origin_kind, origins: RefCell::default(), counts: Cell::default() }
     }
 
+    /// The counts so far.
     pub fn counts(&self) -> Counts {
         self.counts.get()
     }
 
-    /// Danger: what goes wrong here must never touch a request; a panic ends the watching and nothing else.
+    /// Calls the shadow module. A fault in it must not affect any request, so a panic ends shadow mode and nothing else.
     fn other(&self, call: impl FnOnce(&mut Policy<Notes>)) {
         let mut other = self.other.borrow_mut();
         let Some(policy) = other.as_mut() else { return };
         if catch_unwind(AssertUnwindSafe(|| call(policy))).is_err() {
             *other = None;
             self.pairs.borrow_mut().clear();
-            say!("the module that is watched panicked; it is watched no more");
+            say!("shadow policy panicked; shadow mode is off until restart");
         }
     }
 
@@ -114,47 +119,52 @@
         self.other(|_| panic!("as a test"));
     }
 
+    /// Passes a list, or changes to it, to the shadow module.
     pub fn list(&self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
         let origins = entries.iter().filter(|entry| Some(entry.kind) == self.origin_kind);
         self.origins.borrow_mut().extend(origins.map(|entry| entry.node.clone()));
         self.other(|other| other.list(now, kind, entries));
     }
 
+    /// Passes a timer call to the shadow module.
     pub fn timer(&self, now: Micros, label: u64) {
         self.other(|other| other.timer(now, label));
     }
 
-    /// A request is about to arrive at the module that decides.
+    /// A request is about to be passed to the deciding module.
     pub fn expects(&self, request: &RequestId) {
         if self.other.borrow().is_some() {
             self.pairs.borrow_mut().insert(request.clone(), Pair::default());
         }
     }
 
-    /// What the module that decides said.
+    /// Records a decision of the deciding module.
     pub fn decided(&self, request: &RequestId, said: Move) {
         if let Some(pair) = self.pairs.borrow_mut().get_mut(request) {
             pair.ours.push(said);
         }
     }
 
+    /// Passes a request to the shadow module.
     pub fn arrives(&self, now: Micros, arrival: Arrival) {
         let id = arrival.id.clone();
         self.other(|other| other.request_arrives(now, arrival));
         self.compare(now, &id);
     }
 
+    /// Passes the outcome of an attempt to the shadow module.
     pub fn outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
         self.compare(now, id);
         self.other(|other| other.outcome(now, id, node, outcome));
     }
 
+    /// The client of a request is gone.
     pub fn gone(&self, now: Micros, id: &RequestId) {
         self.compare(now, id);
         self.other(|other| other.request_gone(now, id));
     }
 
-    /// Nothing more happens to a request.
+    /// A request is over; its remaining difference is counted.
     pub fn over(&self, now: Micros, id: &RequestId) {
         self.compare(now, id);
         let Some(pair) = self.pairs.borrow_mut().remove(id) else { return };
@@ -167,7 +177,7 @@
         self.counts.set(counts);
     }
 
-    /// Counts the first difference, after which the request is over for the module that is watched.
+    /// Counts the first difference between the decisions and withdraws the request from the shadow module.
     fn compare(&self, now: Micros, id: &RequestId) {
         let mut pairs = self.pairs.borrow_mut();
         let Some(pair) = pairs.get_mut(id).filter(|pair| !pair.differs) else { return };
@@ -191,7 +201,7 @@
         self.leave(now, id, &others);
     }
 
-    /// The module that is watched gives the request up, and forgets the attempt that it had out.
+    /// Withdraws the request from the shadow module and reports its attempt in flight, if any, as cancelled.
     fn leave(&self, now: Micros, id: &RequestId, others: &[Move]) {
         if let [earlier @ .., Move::Attempt(node)] = others {
             let (number, ending) = (earlier.len(), Ending::Cancelled);
@@ -201,13 +211,14 @@
         self.other(|other| other.request_gone(now, id));
     }
 
+    /// Logs the counts at intervals.
     pub async fn tell(&self) {
         let mut told = Counts::default();
         loop {
             tokio::time::sleep(TELL_EVERY).await;
             let counts = self.counts();
             if std::mem::replace(&mut told, counts) != counts {
-                say!("watched: {} of {} requests otherwise: {counts:?}", counts.otherwise(), counts.requests);
+                say!("shadow policy: {} of {} requests decided differently: {counts:?}", counts.otherwise(), counts.requests);
             }
         }
     }
