--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -1,13 +1,13 @@
 //! Accepts client connections up to the connection limit and serves each one until it closes.
 
 use crate::clients::framing::Scanner;
-use crate::clients::presence::Presence;
+use crate::clients::client_socket::ClientSocket;
 use crate::nodes::carry::Carry;
 use crate::nodes::relay::{Carried, Content, Way};
 use crate::nodes::stream::Shared;
 use crate::process::clock::PEER_STALL;
 use crate::process::handover::{self, Successor};
-use crate::requests::front::Front;
+use crate::requests::service::ClientService;
 use crate::say;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -420,7 +420,7 @@
 }
 
 /// Accepts connections until shutdown closes the listener, then accepts what is left in the backlog.
-pub async fn accept(listener: &TcpListener, room: &Arc<Semaphore>, front: &Front) {
+pub async fn accept_connections(listener: &TcpListener, room: &Arc<Semaphore>, front: &ClientService) {
     let shutdown = front.shutdown.clone();
     let many = (room.available_permits() as f64 * MANY) as usize;
     let clients = Rc::new(Clients { many, ..Clients::default() });
@@ -453,14 +453,14 @@
     }
 }
 
-fn admit(stream: TcpStream, permit: Option<OwnedSemaphorePermit>, front: Front, clients: &Rc<Clients>) {
+fn admit(stream: TcpStream, permit: Option<OwnedSemaphorePermit>, front: ClientService, clients: &Rc<Clients>) {
     let idle_closed = front.shutdown.idle_closed();
     let taken_over = front.shutdown.clone();
     if let Err(error) = stream.set_nodelay(true) {
         say!("setting TCP_NODELAY on a client connection failed: {error}");
     }
     let client = clients.enter(stream);
-    let front = Front { client: Presence::on(client.stream.clone()), ..front };
+    let front = ClientService { client: ClientSocket::on(client.stream.clone()), ..front };
     let stack = ServiceBuilder::new()
         .map_response({
             let client = client.clone();
--- a/crates/flintwell/src/clients/body.rs
+++ b/crates/flintwell/src/clients/body.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Maximum length of a request or response body.
-pub const LONGEST: u64 = 32 << 20; // bytes
+pub const MAX_BODY_BYTES: u64 = 32 << 20; // bytes
 const WITHIN: Duration = Duration::from_millis(1_300); // added to a body's transfer time; a bad body is rejected soon
 const RATE: u64 = 48_000; // bytes per second; slow clients have 64,000
 const STALL: Duration = Duration::from_millis(2_500); // between two frames of a streamed body
@@ -24,13 +24,13 @@
 const BLOCK_FIRST: usize = 4_096; // bytes of the first block where the body's length is unknown
 
 /// Memory budget, in bytes, shared by buffered bodies.
-pub struct Budget(Cell<usize>);
+pub struct BufferBudget(Cell<usize>);
 
-impl Budget {
+impl BufferBudget {
     pub fn new(bytes: usize) -> Rc<Self> {
-        Rc::new(Budget(Cell::new(bytes)))
+        Rc::new(BufferBudget(Cell::new(bytes)))
     }
-    pub fn left(&self) -> u64 {
+    pub fn available_bytes(&self) -> u64 {
         self.0.get() as u64
     }
     fn take(&self, bytes: usize) -> bool {
@@ -43,18 +43,18 @@
 }
 
 /// Buffered part of a body, in blocks that are charged to the budget.
-pub struct Kept {
+pub struct BodyBuffer {
     /// Blocks with the bytes charged for each.
     blocks: VecDeque<(Bytes, usize)>,
     last: BytesMut,
     held: usize,
     length: u64,
-    budget: Rc<Budget>,
+    budget: Rc<BufferBudget>,
 }
 
-impl Kept {
-    pub fn new(budget: Rc<Budget>) -> Self {
-        Kept { blocks: VecDeque::new(), last: BytesMut::new(), held: 0, length: 0, budget }
+impl BodyBuffer {
+    pub fn new(budget: Rc<BufferBudget>) -> Self {
+        BodyBuffer { blocks: VecDeque::new(), last: BytesMut::new(), held: 0, length: 0, budget }
     }
 
     /// Appends `data`, and leaves in it what does not fit into the budget; returns whether all did fit.
@@ -101,7 +101,7 @@
     }
 }
 
-impl Drop for Kept {
+impl Drop for BodyBuffer {
     fn drop(&mut self) {
         self.budget.give_back(self.held);
     }
@@ -109,38 +109,38 @@
 
 /// A body that is sent to a node while it is still being received.
 pub struct Passing {
-    kept: Kept,
+    kept: BodyBuffer,
     next: Bytes,
     rest: Incoming,
     told: Option<u64>,
     patience: Patience,
-    end: Rc<End>,
+    end: Rc<StreamStatus>,
 }
 
 /// How a streamed body has ended.
 #[derive(Default)]
-pub struct End {
+pub struct StreamStatus {
     /// Notified once the body is complete.
-    pub whole: Notify,
+    pub completed: Notify,
     /// Why receiving the body failed, if it did.
-    pub broken: Cell<Option<Malformed>>,
+    pub error: Cell<Option<Malformed>>,
 }
 
 /// The body of a client's request.
 pub enum Payload {
-    Kept(Rc<Kept>),
+    Kept(Rc<BodyBuffer>),
     /// None once its single attempt has taken it.
-    Passing(Cell<Option<Box<Passing>>>, Rc<End>),
+    Passing(Cell<Option<Box<Passing>>>, Rc<StreamStatus>),
 }
 
 impl Payload {
     /// Receives a body: whole, or as much as the budget has room for; the rest is streamed.
-    pub async fn receive(mut body: Incoming, budget: &Rc<Budget>) -> Result<Self, Malformed> {
+    pub async fn receive(mut body: Incoming, budget: &Rc<BufferBudget>) -> Result<Self, Malformed> {
         let told = body.size_hint().exact();
-        if told.is_some_and(|told| told > LONGEST) {
+        if told.is_some_and(|told| told > MAX_BODY_BYTES) {
             return Err(Malformed::BodyTooLong);
         }
-        let (start, mut kept, mut length) = (Instant::now(), Kept::new(budget.clone()), 0);
+        let (start, mut kept, mut length) = (Instant::now(), BodyBuffer::new(budget.clone()), 0);
         loop {
             // A fixed time limit would be too short for long bodies, and would let a stalled short one wait for long.
             let due = start + WITHIN + Duration::from_micros(length * 1_000_000 / RATE);
@@ -153,12 +153,12 @@
             // Trailers are not part of the body.
             let Ok(mut data) = frame.into_data() else { continue };
             length += data.len() as u64;
-            if length > LONGEST {
+            if length > MAX_BODY_BYTES {
                 return Err(Malformed::BodyTooLong);
             }
             if !kept.push(&mut data, told) {
                 kept.seal();
-                let end = Rc::<End>::default();
+                let end = Rc::<StreamStatus>::default();
                 let patience = Patience::new(STALL);
                 let passing = Passing { kept, next: data, rest: body, told, patience, end: end.clone() };
                 return Ok(Payload::Passing(Cell::new(Some(Box::new(passing))), end));
@@ -169,15 +169,15 @@
     }
 
     /// The body for an attempt; none if it is streamed and an earlier attempt has taken it.
-    pub fn hand_out(&self) -> Option<Outgoing> {
+    pub fn upstream_body(&self) -> Option<UpstreamBody> {
         match self {
-            Payload::Kept(kept) => Some(Outgoing::Kept { kept: kept.clone(), sent: 0 }),
-            Payload::Passing(passing, _) => passing.take().map(Outgoing::Passing),
+            Payload::Kept(kept) => Some(UpstreamBody::Kept { kept: kept.clone(), sent: 0 }),
+            Payload::Passing(passing, _) => passing.take().map(UpstreamBody::Passing),
         }
     }
 
     /// For a streamed body: whether and how it has ended.
-    pub fn passing(&self) -> Option<&End> {
+    pub fn stream_status(&self) -> Option<&StreamStatus> {
         match self {
             Payload::Kept(_) => None,
             Payload::Passing(_, end) => Some(end),
@@ -185,49 +185,49 @@
     }
 
     /// How long the client may still take to send the body.
-    pub fn takes(&self) -> Duration {
+    pub fn max_receive_time(&self) -> Duration {
         match self {
             Payload::Kept(_) => Duration::ZERO,
-            Payload::Passing(..) => WITHIN + Duration::from_micros(LONGEST * 1_000_000 / RATE),
+            Payload::Passing(..) => WITHIN + Duration::from_micros(MAX_BODY_BYTES * 1_000_000 / RATE),
         }
     }
 }
 
 /// A request body as it is sent to a node.
-pub enum Outgoing {
+pub enum UpstreamBody {
     Empty,
-    Kept { kept: Rc<Kept>, sent: usize },
+    Kept { kept: Rc<BodyBuffer>, sent: usize },
     Passing(Box<Passing>),
 }
 
-impl Body for Outgoing {
+impl Body for UpstreamBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            Outgoing::Empty => Poll::Ready(None),
-            Outgoing::Kept { kept, sent } => {
+            UpstreamBody::Empty => Poll::Ready(None),
+            UpstreamBody::Kept { kept, sent } => {
                 *sent += 1;
                 Poll::Ready(kept.blocks.get(*sent - 1).map(|block| Ok(Frame::data(block.0.clone()))))
             }
-            Outgoing::Passing(passing) => passing.poll(cx),
+            UpstreamBody::Passing(passing) => passing.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Empty => true,
-            Outgoing::Kept { kept, sent } => *sent >= kept.blocks.len(),
-            Outgoing::Passing(passing) => passing.ended(),
+            UpstreamBody::Empty => true,
+            UpstreamBody::Kept { kept, sent } => *sent >= kept.blocks.len(),
+            UpstreamBody::Passing(passing) => passing.ended(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Empty => SizeHint::with_exact(0),
-            Outgoing::Kept { kept, .. } => SizeHint::with_exact(kept.length),
-            Outgoing::Passing(passing) => passing.told.map_or_else(SizeHint::default, SizeHint::with_exact),
+            UpstreamBody::Empty => SizeHint::with_exact(0),
+            UpstreamBody::Kept { kept, .. } => SizeHint::with_exact(kept.length),
+            UpstreamBody::Passing(passing) => passing.told.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -249,14 +249,14 @@
                     let Ok(data) = frame.into_data() else { continue };
                     self.patience.renew();
                     self.kept.length += data.len() as u64;
-                    if self.kept.length > LONGEST {
+                    if self.kept.length > MAX_BODY_BYTES {
                         return self.breaks(Malformed::BodyTooLong);
                     }
                     return Poll::Ready(Some(Ok(self.piece(data))));
                 }
                 Poll::Ready(Some(Err(_))) => return self.breaks(Malformed::BodyBroken),
                 Poll::Ready(None) => {
-                    self.end.whole.notify_one();
+                    self.end.completed.notify_one();
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
@@ -271,13 +271,13 @@
 
     fn piece(&self, data: Bytes) -> Frame<Bytes> {
         if self.ended() {
-            self.end.whole.notify_one();
+            self.end.completed.notify_one();
         }
         Frame::data(data)
     }
 
     fn breaks(&self, why: Malformed) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        self.end.broken.set(Some(why));
+        self.end.error.set(Some(why));
         Poll::Ready(Some(Err(io::Error::other("the client's request body is incomplete or invalid"))))
     }
 }
--- a/crates/flintwell/src/clients/presence.rs
+++ b/crates/flintwell/src/clients/client_socket.rs
@@ -10,11 +10,11 @@
 
 /// The socket of a request's client; without one the client counts as connected.
 #[derive(Clone, Default)]
-pub struct Presence(Option<Rc<TcpStream>>);
+pub struct ClientSocket(Option<Rc<TcpStream>>);
 
-impl Presence {
+impl ClientSocket {
     pub fn on(stream: Rc<TcpStream>) -> Self {
-        Presence(Some(stream))
+        ClientSocket(Some(stream))
     }
 
     /// Whether the client has closed its connection, or its sending side; checked directly before an attempt.
@@ -22,7 +22,7 @@
     /// The HTTP server notices a close only after a request has begun, and not at all while bytes of the next request
     /// are unread, so requests would be sent on for nobody. Peeking at unread bytes does not show the end of the stream
     /// after them either; the runtime's readiness does, so it is checked first.
-    pub fn left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         let Some(stream) = &self.0 else { return false };
         let ready = stream.ready(Interest::READABLE).now_or_never();
         if ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed())) {
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -1,9 +1,9 @@
 //! Decodes and validates a client's message into a typed request.
 
-use crate::clients::body::{Budget, Payload};
+use crate::clients::body::{BufferBudget, Payload};
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
-use crate::clients::presence::Presence;
+use crate::clients::client_socket::ClientSocket;
 use flintwell_core::interface::{Arrival, Key, Micros, RequestId};
 use flintwell_settings::Network;
 use hyper::body::Incoming;
@@ -20,12 +20,12 @@
 pub struct ClientRequest {
     pub id: RequestId,
     pub id_header: HeaderValue,
-    pub repeat_mark: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     pub host: Option<HeaderValue>,
     pub method: Method,
     pub path: Uri,
     pub body: Payload,
-    pub client: Presence,
+    pub client: ClientSocket,
     pub class: usize,
     tenant: usize,
     key: Option<Key>,
@@ -40,8 +40,8 @@
         request: Request<Incoming>,
         framing: Framing,
         network: &Network,
-        budget: &Rc<Budget>,
-        client: Presence,
+        budget: &Rc<BufferBudget>,
+        client: ClientSocket,
     ) -> Result<Self, Malformed> {
         let (head, body) = request.into_parts();
         // A message with both a length and a transfer encoding can hide another request in its body (request
@@ -57,7 +57,7 @@
         head: Parts,
         body: Payload,
         network: &Network,
-        client: Presence,
+        client: ClientSocket,
     ) -> Result<Self, Malformed> {
         let Parts { method, uri: path, headers, .. } = head;
         if method != Method::GET && method != Method::PUT {
@@ -92,7 +92,7 @@
             // An invalid cost hint is ignored; it is no reason to reject the request.
             work: number("x-cost-hint").ok().flatten().map(|hint| hint.min(LIMIT_MOST * 1e6) as Micros),
             waits: (waits * 1e6) as Micros,
-            repeat_mark: headers.get("idempotency-key").cloned(),
+            idempotency_key: headers.get("idempotency-key").cloned(),
             host: headers.get(HOST).cloned(),
             method,
             path: path.into_parts().path_and_query.map_or(Uri::default(), Uri::from),
@@ -103,7 +103,7 @@
 
     /// The deadline of the response to a request that the client may have sent at `sent`.
     pub fn deadline(&self, sent: Micros) -> Micros {
-        sent + self.body.takes().as_micros() as Micros + (self.waits - MARGIN).max(0)
+        sent + self.body.max_receive_time().as_micros() as Micros + (self.waits - MARGIN).max(0)
     }
 
     /// The request as the decision module gets it.
--- a/crates/flintwell/src/clients/framing.rs
+++ b/crates/flintwell/src/clients/framing.rs
@@ -87,7 +87,7 @@
 
 /// Position within a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Chunks {
+pub enum ChunkState {
     /// In a chunk's size, with its value so far.
     Size(u64),
     /// After a chunk's size, before the end of that line.
@@ -95,7 +95,8 @@
     /// In a chunk's data, with the number of remaining bytes.
     Data(u64),
     /// In the line end after a chunk's data.
-    Behind,
+    #[serde(rename = "Behind")]
+    DataEnd,
     /// In the trailer section; true while the current line is empty.
     Trailer(bool),
     /// After the end of the body.
@@ -104,25 +105,26 @@
 
 /// Decoder for the remainder of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Coding {
+pub enum BodyDecoder {
     /// Unencoded, with the number of remaining bytes.
     Length(u64),
-    Chunks(Chunks),
+    #[serde(rename = "Chunks")]
+    Chunked(ChunkState),
 }
 
-impl Coding {
+impl BodyDecoder {
     /// Whether the body has been read to its end.
-    pub fn ended(self) -> bool {
-        matches!(self, Coding::Length(0) | Coding::Chunks(Chunks::End))
+    pub fn is_complete(self) -> bool {
+        matches!(self, BodyDecoder::Length(0) | BodyDecoder::Chunked(ChunkState::End))
     }
 
     /// Decodes further bytes and passes the payload in them to `piece`. False if they are not a valid encoding.
-    pub fn read(&mut self, mut bytes: &[u8], mut piece: impl FnMut(&[u8])) -> bool {
-        while !bytes.is_empty() && !self.ended() {
+    pub fn decode(&mut self, mut bytes: &[u8], mut piece: impl FnMut(&[u8])) -> bool {
+        while !bytes.is_empty() && !self.is_complete() {
             let (left, behind) = match self {
-                Coding::Length(left) => (*left, None),
-                Coding::Chunks(Chunks::Data(left)) => (*left, Some(Chunks::Behind)),
-                Coding::Chunks(chunks) => {
+                BodyDecoder::Length(left) => (*left, None),
+                BodyDecoder::Chunked(ChunkState::Data(left)) => (*left, Some(ChunkState::DataEnd)),
+                BodyDecoder::Chunked(chunks) => {
                     let Some(next) = chunks.then(bytes[0]) else { return false };
                     (*chunks, bytes) = (next, &bytes[1..]);
                     continue;
@@ -133,31 +135,31 @@
             bytes = &bytes[taken..];
             let left = left - taken as u64;
             *self = match behind {
-                None => Coding::Length(left),
-                Some(behind) => Coding::Chunks(if left == 0 { behind } else { Chunks::Data(left) }),
+                None => BodyDecoder::Length(left),
+                Some(behind) => BodyDecoder::Chunked(if left == 0 { behind } else { ChunkState::Data(left) }),
             };
         }
         true
     }
 }
 
-impl Chunks {
+impl ChunkState {
     /// The state after this byte, which is not chunk data; none if the byte is invalid here.
     fn then(self, byte: u8) -> Option<Self> {
         Some(match (self, byte) {
-            (Chunks::Size(0) | Chunks::Extension(0), b'\n') => Chunks::Trailer(true),
-            (Chunks::Size(size) | Chunks::Extension(size), b'\n') => Chunks::Data(size),
-            (Chunks::Size(size), byte) if byte.is_ascii_hexdigit() => {
+            (ChunkState::Size(0) | ChunkState::Extension(0), b'\n') => ChunkState::Trailer(true),
+            (ChunkState::Size(size) | ChunkState::Extension(size), b'\n') => ChunkState::Data(size),
+            (ChunkState::Size(size), byte) if byte.is_ascii_hexdigit() => {
                 let digit = char::from(byte).to_digit(16)?;
-                Chunks::Size(size.checked_mul(16)?.checked_add(u64::from(digit))?)
+                ChunkState::Size(size.checked_mul(16)?.checked_add(u64::from(digit))?)
             }
-            (Chunks::Size(size), b'\r' | b';' | b' ' | b'\t') => Chunks::Extension(size),
-            (Chunks::Extension(size), _) => Chunks::Extension(size),
-            (Chunks::Behind, b'\r') => Chunks::Behind,
-            (Chunks::Behind, b'\n') => Chunks::Size(0),
-            (Chunks::Trailer(true), b'\n') => Chunks::End,
-            (Chunks::Trailer(empty), b'\r') => Chunks::Trailer(empty),
-            (Chunks::Trailer(_), byte) => Chunks::Trailer(byte == b'\n'),
+            (ChunkState::Size(size), b'\r' | b';' | b' ' | b'\t') => ChunkState::Extension(size),
+            (ChunkState::Extension(size), _) => ChunkState::Extension(size),
+            (ChunkState::DataEnd, b'\r') => ChunkState::DataEnd,
+            (ChunkState::DataEnd, b'\n') => ChunkState::Size(0),
+            (ChunkState::Trailer(true), b'\n') => ChunkState::End,
+            (ChunkState::Trailer(empty), b'\r') => ChunkState::Trailer(empty),
+            (ChunkState::Trailer(_), byte) => ChunkState::Trailer(byte == b'\n'),
             _ => return None,
         })
     }
@@ -165,24 +167,24 @@
 
 /// Follows a node's response to one request in the bytes read.
 #[derive(Default)]
-pub struct Answers {
+pub struct ResponseScanner {
     head: Vec<u8>,
     /// Decoder for the rest of the body; none before the end of the head, and where the framing is unknown.
-    pub coding: Option<Coding>,
+    pub decoder: Option<BodyDecoder>,
     /// Body bytes read so far.
-    pub body: u64,
+    pub body_bytes: u64,
     headed: bool,
     /// Reading from the connection has been stopped.
     pub halted: bool,
     /// When the first byte was read.
-    pub begun_at: Option<Instant>,
+    pub first_byte_at: Option<Instant>,
 }
 
-impl Answers {
+impl ResponseScanner {
     /// Scans bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         if !bytes.is_empty() {
-            self.begun_at.get_or_insert_with(Instant::now);
+            self.first_byte_at.get_or_insert_with(Instant::now);
         }
         while !self.headed && !bytes.is_empty() {
             self.head.push(bytes[0]);
@@ -192,10 +194,10 @@
                 let between = self.head.split(|b| *b == b' ').nth(1).is_some_and(|s| s.starts_with(b"1"));
                 if !between {
                     self.headed = true;
-                    self.coding = match framing(&self.head) {
-                        (Framing::Coded, _) => Some(Coding::Chunks(Chunks::Size(0))),
+                    self.decoder = match framing(&self.head) {
+                        (Framing::Coded, _) => Some(BodyDecoder::Chunked(ChunkState::Size(0))),
                         // Without a length the body may last until the connection closes; its end is not visible.
-                        (Framing::Length, length) if length > 0 => Some(Coding::Length(length)),
+                        (Framing::Length, length) if length > 0 => Some(BodyDecoder::Length(length)),
                         _ => None,
                     };
                 }
@@ -204,10 +206,10 @@
                 self.headed = true;
             }
         }
-        let seen = &mut self.body;
-        if !self.coding.as_mut().is_none_or(|coding| coding.read(bytes, |piece| *seen += piece.len() as u64))
+        let seen = &mut self.body_bytes;
+        if !self.decoder.as_mut().is_none_or(|coding| coding.decode(bytes, |piece| *seen += piece.len() as u64))
         {
-            self.coding = None;
+            self.decoder = None;
         }
     }
 }
--- a/crates/flintwell/src/clients/framing/tests.rs
+++ b/crates/flintwell/src/clients/framing/tests.rs
@@ -41,20 +41,20 @@
     for (answer, body) in [(&told[..], &b"nine byte"[..]), (coded, b"nine bytes ab")] {
         let answer = [&words[..], answer].concat();
         for cut in 0..=answer.len() {
-            let mut answers = Answers::default();
+            let mut answers = ResponseScanner::default();
             answer[..cut].chunks(1 + cut % 3).for_each(|part| answers.read(part));
             // Another decoder continues from there.
-            let Some(mut coding) = answers.coding else { continue };
+            let Some(mut coding) = answers.decoder else { continue };
             let mut rest = Vec::new();
-            assert!(coding.read(&answer[cut..], |piece| rest.extend_from_slice(piece)) && coding.ended());
-            assert_eq!(rest, body[answers.body as usize..], "cut at {cut}");
+            assert!(coding.decode(&answer[cut..], |piece| rest.extend_from_slice(piece)) && coding.is_complete());
+            assert_eq!(rest, body[answers.body_bytes as usize..], "cut at {cut}");
         }
-        let mut answers = Answers::default();
+        let mut answers = ResponseScanner::default();
         answers.read(&answer);
-        assert!(answers.coding.is_some_and(Coding::ended), "the end of the body is detected");
+        assert!(answers.decoder.is_some_and(BodyDecoder::is_complete), "the end of the body is detected");
     }
     for wrong in ["x", "-3\r\n", "ffffffffffffffff0\r\n", "3\r\nnine"] {
-        assert!(!Coding::Chunks(Chunks::Size(0)).read(wrong.as_bytes(), |_| {}), "{wrong}");
+        assert!(!BodyDecoder::Chunked(ChunkState::Size(0)).decode(wrong.as_bytes(), |_| {}), "{wrong}");
     }
 }
 
--- a/crates/flintwell/src/clients/mod.rs
+++ b/crates/flintwell/src/clients/mod.rs
@@ -6,4 +6,4 @@
 pub mod decode;
 pub mod framing;
 pub mod malformed;
-pub mod presence;
+pub mod client_socket;
--- a/crates/flintwell/src/fleet/calls.rs
+++ b/crates/flintwell/src/fleet/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of discovery as tasks of their own: the connection, and the exchange on it. A call whose time is up stays open, since
 //! its answer may be on the way: whoever leaves a queue has cost discovery a call and has nothing.
 
-use crate::clients::body::Outgoing;
+use crate::clients::body::UpstreamBody;
 use crate::nodes::link::{Broken, Came, Cause, Link, Most, Progress};
 use crate::process::clock::Clock;
 use flintwell_core::interface::Micros;
@@ -167,7 +167,7 @@
         |words| CallError { failure: Failure::Broken, broken: progress.broken(Cause::Garbage(words)) };
     let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
     let path = format!("/registry/instances{query}");
-    let mut request = Request::new(Outgoing::Empty);
+    let mut request = Request::new(UpstreamBody::Empty);
     *request.uri_mut() = path.parse().map_err(|_| garbage(path))?;
     request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
     let most = Most { collected: LIST_MOST, long: LIST_MOST };
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -211,7 +211,7 @@
         self.failed = 0;
         let now = dispatcher.clock.now();
         // Danger: what stood in our socket while we stood still would vouch for the time of its reading.
-        let as_of = begun_at.min(dispatcher.pulse.waited_from());
+        let as_of = begun_at.min(dispatcher.stall_detector.waited_from());
         if current {
             self.watch.answered(as_of);
         } else {
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -153,7 +153,7 @@
             }
             entries.push(entry);
         }
-        self.dispatcher.list(kind, entries);
+        self.dispatcher.apply_list_update(kind, entries);
     }
 
     /// A line with the operators' word laid over it.
--- a/crates/flintwell/src/fleet/words.rs
+++ b/crates/flintwell/src/fleet/words.rs
@@ -165,12 +165,12 @@
 
     fn round(&self, now: u64, wire: &mut Sends) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
-        let wanted = self.dispatcher.granted(share.rate(now));
+        let wanted = self.dispatcher.set_origin_fetch_rate(share.rate(now));
         let (fetches, refused) = (self.counts.fetches.get(), self.counts.refused.get());
         let counted = Counted { wanted, taken: fetches.saturating_sub(refused), refused };
         let others = member.others();
         let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
-        let silent = self.dispatcher.silent();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
         let (hints, probed) = self.probes.borrow_mut().round(now, &names, &numbers);
         for (node, hint) in hints {
@@ -178,7 +178,7 @@
                 Hint::Leave(ms) => ms as Micros * 1_000,
                 Hint::Try => 0,
             };
-            self.dispatcher.tried_by_others(&silent[node], time);
+            self.dispatcher.defer_probe(&silent[node], time);
         }
         let probed = probed.into_iter().map(|(to, word)| (to, word.encode()));
         let shared = share.round(now, counted, &numbers).into_iter().map(|(to, word)| (to, word.encode()));
@@ -214,7 +214,7 @@
 
     pub fn fleet(&self) -> Fleet {
         let member = self.member.borrow();
-        let silent = self.dispatcher.silent();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
         let others: Vec<u32> = member.others().iter().map(|other| other.number).collect();
         Fleet {
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt: a request sent to one node over one connection, and how it ended.
 
-use crate::clients::body::{Budget, LONGEST, Outgoing};
+use crate::clients::body::{BufferBudget, MAX_BODY_BYTES, UpstreamBody};
 use crate::clients::decode::ClientRequest;
 use crate::nodes::link::{Broken, Came, Cause, Link, Most, Progress};
 use crate::nodes::permission::{Permission, Sending};
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, timeout};
 use tower::Service;
 
-const ANSWER: Most = Most { collected: 65_536, long: LONGEST }; // bytes; spoilt ones can be tried elsewhere
+const ANSWER: Most = Most { collected: 65_536, long: MAX_BODY_BYTES }; // bytes; spoilt ones can be tried elsewhere
 const TURNS: usize = 3; // of the runtime: the socket's, the connection's and our own
 
 pub struct Attempt {
@@ -54,11 +54,11 @@
     permission: Permission,
     counts: Rc<Counts>,
     /// For what is read ahead of long answers.
-    room: Rc<Budget>,
+    room: Rc<BufferBudget>,
 }
 
 impl Attempts {
-    pub fn new(permission: Permission, counts: Rc<Counts>, room: Rc<Budget>) -> Self {
+    pub fn new(permission: Permission, counts: Rc<Counts>, room: Rc<BufferBudget>) -> Self {
         Attempts { permission, counts, room }
     }
 }
@@ -77,12 +77,12 @@
         Box::pin(async move {
             let progress = Progress::counted(&counts.attempts);
             let mut exchange = pin!(send(&permission, &attempt, &progress, &room));
-            if let Some(end) = attempt.request.body.passing() {
+            if let Some(end) = attempt.request.body.stream_status() {
                 // Its time counts from its last byte.
                 tokio::select! {
                     ended = exchange.as_mut() => return ended,
-                    () = end.whole.notified() => {}
-                    () = sleep(attempt.request.body.takes()) => {}
+                    () = end.completed.notified() => {}
+                    () = sleep(attempt.request.body.max_receive_time()) => {}
                 }
             }
             if let Ok(ended) = timeout(span(attempt.allow_for), exchange.as_mut()).await {
@@ -107,7 +107,7 @@
     permission: &Permission,
     attempt: &Attempt,
     progress: &Progress,
-    room: &Rc<Budget>,
+    room: &Rc<BufferBudget>,
 ) -> Result<Answered, Broken> {
     let pool = &permission.pool;
     let mut link = open(pool, &attempt.node).await?;
@@ -117,7 +117,7 @@
     let (permitted_at, checks) = (Instant::now(), permission.clone());
     progress.checks(move || checks.check_sent(&sending, permitted_at));
     let (idle, first) = (link.idle_since.elapsed(), link.unused());
-    let body = attempt.request.body.hand_out().ok_or(Broken::unwritten(Cause::Spent))?;
+    let body = attempt.request.body.upstream_body().ok_or(Broken::unwritten(Cause::Spent))?;
     let reply = link.exchange(message(attempt, body), ANSWER, progress).await;
     pool.used_after(idle, reply.as_ref().is_err_and(|broken| broken.ending() == Ending::Reset));
     let reply = reply?;
@@ -145,7 +145,7 @@
     pool.dial(node).await
 }
 
-fn message(attempt: &Attempt, body: Outgoing) -> Request<Outgoing> {
+fn message(attempt: &Attempt, body: UpstreamBody) -> Request<UpstreamBody> {
     let request = &attempt.request;
     let mut message = Request::new(body);
     *message.method_mut() = request.method.clone();
@@ -153,7 +153,7 @@
     let headers = message.headers_mut();
     headers.insert(HOST, request.host.clone().unwrap_or(HeaderValue::from_static("origin.svc")));
     headers.insert("x-request-id", request.id_header.clone());
-    if let Some(mark) = &request.repeat_mark {
+    if let Some(mark) = &request.idempotency_key {
         headers.insert("idempotency-key", mark.clone());
     }
     let wait = format!("{:.6}", attempt.allow_for as f64 / 1e6);
--- a/crates/flintwell/src/nodes/carry.rs
+++ b/crates/flintwell/src/nodes/carry.rs
@@ -1,6 +1,6 @@
 //! The rest of a long answer, from its node to its client byte by byte, whichever process has them now.
 
-use crate::clients::framing::Coding;
+use crate::clients::framing::BodyDecoder;
 use crate::process::clock::PEER_STALL;
 use socket2::SockRef;
 use std::fs::File;
@@ -14,7 +14,7 @@
 const PIECE: usize = 32_768; // bytes read at once; some dozens of such answers share our memory
 
 /// A connection to a node, and how what it still brings comes.
-pub type Rest = (Rc<TcpStream>, Coding);
+pub type Rest = (Rc<TcpStream>, BodyDecoder);
 
 /// A long answer cut off between two bytes.
 pub struct Carry {
@@ -67,17 +67,17 @@
     async fn passes_node(
         &mut self,
         node: &TcpStream,
-        mut coding: Coding,
+        mut coding: BodyDecoder,
         piece: &mut [u8],
     ) -> io::Result<()> {
-        while !coding.ended() {
+        while !coding.is_complete() {
             let read = node.async_io(Interest::READABLE, || node.try_read(piece));
             let bytes = timeout(PEER_STALL, read).await.map_err(|_| io::ErrorKind::TimedOut)??;
             if bytes == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             let (out, chunked, mut came) = (&mut self.unwritten, self.chunked, 0);
-            let well = coding.read(&piece[..bytes], |data| {
+            let well = coding.decode(&piece[..bytes], |data| {
                 came += data.len() as u64;
                 frame(out, chunked, data);
             });
--- a/crates/flintwell/src/nodes/link.rs
+++ b/crates/flintwell/src/nodes/link.rs
@@ -1,7 +1,7 @@
 //! One connection to a cache node, the origin or discovery: an exchange at a time, nothing sent again.
 
-use crate::clients::body::Outgoing;
-use crate::clients::framing::{Answers, Coding};
+use crate::clients::body::UpstreamBody;
+use crate::clients::framing::{ResponseScanner, BodyDecoder};
 use crate::nodes::stream::Shared;
 use crate::process::count::{Count, one_more};
 use bytes::{Bytes, BytesMut};
@@ -137,7 +137,7 @@
     stream: Shared,
     written: Rc<Cell<u64>>,
     message: Rc<Message>,
-    answers: Rc<RefCell<Answers>>,
+    answers: Rc<RefCell<ResponseScanner>>,
 }
 
 /// The message that an exchange writes.
@@ -155,7 +155,7 @@
 
 /// A message's body, which marks its end.
 struct Marked {
-    body: Outgoing,
+    body: UpstreamBody,
     message: Rc<Message>,
 }
 
@@ -281,7 +281,7 @@
     stream: Weak<TcpStream>,
     written: Rc<Cell<u64>>,
     message: Rc<Message>,
-    answers: Rc<RefCell<Answers>>,
+    answers: Rc<RefCell<ResponseScanner>>,
     driver: AbortHandle,
     pub idle_since: Instant,
 }
@@ -295,7 +295,7 @@
         let (stream, written) = (Rc::new(stream), Rc::new(Cell::new(0)));
         let shared = Rc::downgrade(&stream);
         let message = Rc::<Message>::default();
-        let answers = Rc::<RefCell<Answers>>::default();
+        let answers = Rc::<RefCell<ResponseScanner>>::default();
         let (stream, written_too) = (Shared(stream), written.clone());
         let counted =
             Counted { stream, written: written_too, message: message.clone(), answers: answers.clone() };
@@ -348,14 +348,14 @@
     }
 
     /// How many bytes of the answer's body were read, and how the rest of it comes, if that is known.
-    pub fn came(&self) -> Option<(u64, Coding)> {
+    pub fn came(&self) -> Option<(u64, BodyDecoder)> {
         let answers = self.answers.borrow();
-        answers.coding.map(|coding| (answers.body, coding))
+        answers.decoder.map(|coding| (answers.body_bytes, coding))
     }
 
     /// When the first byte of the answer that was read last was read.
     pub fn answer_begun(&self) -> Option<Instant> {
-        self.answers.borrow().begun_at
+        self.answers.borrow().first_byte_at
     }
 
     /// The socket, for one who takes over what it still brings.
@@ -366,12 +366,12 @@
     /// Sends and waits for the whole answer, or for as much of a long one as shows that it is.
     pub async fn exchange(
         &mut self,
-        request: Request<Outgoing>,
+        request: Request<UpstreamBody>,
         most: Most,
         progress: &Progress,
     ) -> Result<Reply, Broken> {
         progress.mark.set(Some((self.written.clone(), self.written.get())));
-        self.answers.replace(Answers::default());
+        self.answers.replace(ResponseScanner::default());
         self.message.ended.set(false);
         self.message.written.set(false);
         let long = request.body().size_hint().exact().is_none_or(|length| length > SHORT);
--- a/crates/flintwell/src/nodes/permission.rs
+++ b/crates/flintwell/src/nodes/permission.rs
@@ -1,7 +1,7 @@
 //! The one place that says whether a request may be sent to a node now, asked directly before its first byte; and the count of
 //! requests that were sent though they might not be, which has to stay zero.
 
-use crate::clients::presence::Presence;
+use crate::clients::client_socket::ClientSocket;
 use crate::fleet::lease::ListLease;
 use crate::nodes::link::{Broken, Cause};
 use crate::nodes::pool::Pool;
@@ -23,7 +23,7 @@
     /// When the module chose it, and for how long it allowed the attempt.
     pub chosen_at: Instant,
     pub allow_for: Micros,
-    pub client: Presence,
+    pub client: ClientSocket,
 }
 
 /// Requests sent though they might not be, by the rule that they broke.
@@ -80,7 +80,7 @@
             return Err(Broken::unwritten(Cause::Stale));
         }
         // Danger: a client that left meanwhile would have its request carried out for nobody.
-        if sending.client.left() { Err(Broken::unwritten(Cause::Left)) } else { Ok(()) }
+        if sending.client.has_disconnected() { Err(Broken::unwritten(Cause::Left)) } else { Ok(()) }
     }
 
     /// The first bytes of what was permitted at `permitted_at` are written: counts it if it may not be sent any more.
--- a/crates/flintwell/src/nodes/relay.rs
+++ b/crates/flintwell/src/nodes/relay.rs
@@ -1,6 +1,6 @@
 //! A node's answer on its way to the client: whole, or a long one passed on piece by piece.
 
-use crate::clients::body::{Budget, Kept};
+use crate::clients::body::{BufferBudget, BodyBuffer};
 use crate::nodes::carry::Rest;
 use crate::nodes::link::Link;
 use crate::nodes::pool::Pool;
@@ -86,8 +86,8 @@
 struct Source {
     /// Bytes of it that have come.
     read: u64,
-    kept: Kept,
-    room: Rc<Budget>,
+    kept: BodyBuffer,
+    room: Rc<BufferBudget>,
     /// Behind what is kept.
     next: Bytes,
     /// None once all has come, or nothing more will.
@@ -165,7 +165,7 @@
     pub fn reads_ahead(&self, cx: &mut Context<'_>) {
         let mut source = self.source.borrow_mut();
         // Danger: room spread over many answers ends none of them sooner; so those go first that fit as a whole.
-        let fits = |rest: &Incoming| rest.size_hint().exact().is_none_or(|rest| rest <= source.room.left());
+        let fits = |rest: &Incoming| rest.size_hint().exact().is_none_or(|rest| rest <= source.room.available_bytes());
         if !self.halted.get() && !source.rest.as_ref().is_some_and(fits) {
             return;
         }
@@ -212,7 +212,7 @@
     pub fn through(&self) -> bool {
         let source = self.source.borrow();
         let came = source.link.as_ref().and_then(Link::came);
-        source.rest.is_none() || came.is_some_and(|(body, coding)| body == source.read && !coding.ended())
+        source.rest.is_none() || came.is_some_and(|(body, coding)| body == source.read && !coding.is_complete())
     }
 
     /// What its node still gives, and how many bytes that may be; the connection there is another's from now on.
@@ -264,12 +264,12 @@
         node: NodeId,
         pool: Rc<Pool>,
         link: Link,
-        room: &Rc<Budget>,
+        room: &Rc<BufferBudget>,
     ) -> Self {
         let told = rest.size_hint().exact().is_some();
         let source = Source {
             read: begun.len() as u64,
-            kept: Kept::new(room.clone()),
+            kept: BodyBuffer::new(room.clone()),
             room: room.clone(),
             next: begun,
             rest: Some(rest),
--- a/crates/flintwell/src/process/handover.rs
+++ b/crates/flintwell/src/process/handover.rs
@@ -2,7 +2,7 @@
 //! from one process to another over a socket of the two. Each has one owner at any time: the old process until
 //! the new one has said that it takes it, and nothing is written by the new one before that.
 
-use crate::clients::framing::Coding;
+use crate::clients::framing::BodyDecoder;
 use crate::nodes::carry::Carry;
 use crate::nodes::relay::Carried;
 use crate::say;
@@ -38,7 +38,7 @@
     /// The place of its class, where it is not counted yet.
     case: Option<usize>,
     /// How the rest comes from its node, if anything still comes.
-    rest: Option<Coding>,
+    rest: Option<BodyDecoder>,
     chunked: bool,
     open: bool,
     left: u64,
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -1,8 +1,8 @@
 //! Puts the parts together and runs them on one core.
 
 use crate::clients::accept;
-use crate::clients::body::Budget;
-use crate::clients::presence::Presence;
+use crate::clients::body::BufferBudget;
+use crate::clients::client_socket::ClientSocket;
 use crate::fleet::calls::Calls;
 use crate::fleet::discovery::Discovery;
 use crate::fleet::kept_list::{KeptList, Left};
@@ -23,8 +23,8 @@
 use crate::process::store::Store;
 use crate::process::succession::Succession;
 use crate::requests::dispatcher::Dispatcher;
-use crate::requests::front::Front;
-use crate::requests::watch::Watch;
+use crate::requests::service::ClientService;
+use crate::requests::shadow::ShadowPolicy;
 use crate::say;
 use crate::staff::counts::Counts;
 use crate::staff::management::{self, Office};
@@ -138,10 +138,10 @@
     let figures = Figures { pushed, fleet, index, grace };
     let origin_kind = config.settings.origin_kind;
     let (clock, seed) = (Clock::start(), config.seed);
-    let watch = config.watch_with.map(|other| Rc::new(Watch::new(clock.now(), other, seed)));
+    let watch = config.watch_with.map(|other| Rc::new(ShadowPolicy::new(clock.now(), other, seed)));
     let dispatcher = Rc::new(Dispatcher::new(clock, config.settings, seed, pool.clone(), watch.clone()));
     if let Some(watch) = watch {
-        spawn_local(lasting("watch", async move || watch.tell().await));
+        spawn_local(lasting("watch", async move || watch.log_counts().await));
     }
     let succession = Succession::open(store.clone(), dispatcher.clock.now());
     let succession = Rc::new(succession.map_err(|e| format!("folder for temporary files: {e}"))?);
@@ -185,9 +185,9 @@
     let reloading = async move || reload::on_signal(&mut hangup, &path, &moves).await;
     spawn_local(lasting("reload", reloading));
     let timed = dispatcher.clone();
-    spawn_local(lasting("timer", async move || timed.keep_time().await));
+    spawn_local(lasting("timer", async move || timed.run_timers().await));
     let beating = dispatcher.clone();
-    spawn_local(lasting("pulse", async move || beating.pulse.beat().await));
+    spawn_local(lasting("pulse", async move || beating.stall_detector.beat().await));
     let followed = registry.clone();
     spawn_local(lasting("registry", async move || followed.follow().await));
     let swept = pool.clone();
@@ -205,7 +205,7 @@
             (Ok(settings), Ok(network)) => {
                 put_counts.knows(&network.classes);
                 put_network.set(network);
-                put_dispatcher.change(settings);
+                put_dispatcher.apply_settings(settings);
                 put_registry.retell();
             }
             // They were checked when they were staged.
@@ -258,17 +258,17 @@
         }
     }
     let permission = Permission { pool, lease: lease.clone(), violations: counts.violations.clone() };
-    let attempts = Attempts::new(permission, counts.clone(), Budget::new(config.answers));
-    let budget = Budget::new(config.bodies);
+    let attempts = Attempts::new(permission, counts.clone(), BufferBudget::new(config.answers));
+    let budget = BufferBudget::new(config.bodies);
     let longest_now = network.clone();
     let front =
-        Front { dispatcher, attempts, counts, network, budget, lease, shutdown, client: Presence::default() };
+        ClientService { dispatcher, attempts, counts, network, budget, lease, shutdown, client: ClientSocket::default() };
     let at = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
     succession.serves().map_err(|e| format!("folder for temporary files: {e}"))?;
     say!("{} serves on {at}", config.name);
     let client_room = room.clone();
     let accepting =
-        spawn_local(lasting("accept", async move || accept::accept(&listener, &client_room, &front).await));
+        spawn_local(lasting("accept", async move || accept::accept_connections(&listener, &client_room, &front).await));
     let longest = || span(longest_now.get().longest);
     let has_successor = || inherits && succession.succeeded();
     let successor = async || handover::successor(succession.successor().as_deref()).await;
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -5,7 +5,7 @@
 
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, Pulse};
-use crate::requests::watch::{Move, Watch};
+use crate::requests::shadow::{Move, ShadowPolicy};
 use crate::say;
 use flintwell_core::interface::{
     Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
@@ -42,7 +42,7 @@
     timers: RefCell<BTreeSet<(Micros, u64)>>,
     timer_set: Notify,
     pool: Rc<Pool>,
-    watch: Option<Rc<Watch>>,
+    watch: Option<Rc<ShadowPolicy>>,
 }
 
 impl Mailboxes {
@@ -91,7 +91,7 @@
 /// Owns the decision module and passes events to it.
 pub struct Dispatcher {
     pub clock: Clock,
-    pub pulse: Pulse,
+    pub stall_detector: Pulse,
     module: RefCell<Policy<HostCalls>>,
     mailboxes: Rc<Mailboxes>,
 }
@@ -102,7 +102,7 @@
         settings: Settings,
         seed: u64,
         pool: Rc<Pool>,
-        watch: Option<Rc<Watch>>,
+        watch: Option<Rc<ShadowPolicy>>,
     ) -> Self {
         let mailboxes = Rc::new(Mailboxes {
             places: RefCell::default(),
@@ -112,13 +112,13 @@
             watch,
         });
         let module = RefCell::new(Policy::start(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
-        Dispatcher { clock, pulse: Pulse::new(clock), module, mailboxes }
+        Dispatcher { clock, stall_detector: Pulse::new(clock), module, mailboxes }
     }
 
     /// Calls the module, and then the watched one with `watched`. False if the module panicked.
     ///
     /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
-    fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&Watch)) -> bool {
+    fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&ShadowPolicy)) -> bool {
         let done = catch_unwind(AssertUnwindSafe(|| call(&mut self.module.borrow_mut())));
         if done.is_err() {
             say!("decision module panicked during a call");
@@ -129,41 +129,41 @@
     }
 
     /// Passes a list, or changes to it, to the module.
-    pub fn list(&self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn apply_list_update(&self, kind: ListKind, entries: Vec<Entry>) {
         let (now, copy) = (self.clock.now(), self.mailboxes.watch.as_ref().map(|_| entries.clone()));
-        let watched = |watch: &Watch| watch.list(now, kind, copy.unwrap_or_default());
+        let watched = |watch: &ShadowPolicy| watch.list(now, kind, copy.unwrap_or_default());
         self.module(|module| module.list(now, kind, entries), watched);
     }
 
     /// Switches to other settings; the list has to be passed again afterwards.
-    pub fn change(&self, settings: Settings) {
+    pub fn apply_settings(&self, settings: Settings) {
         let now = self.clock.now();
         self.module(|module| module.change(now, settings), |_| ());
     }
 
     /// Sets the rate, in fetches per second, that the fleet grants this process. Returns how many fetches requests have
     /// needed so far.
-    pub fn granted(&self, rate: Option<f64>) -> u64 {
+    pub fn set_origin_fetch_rate(&self, rate: Option<f64>) -> u64 {
         let (now, mut wanted) = (self.clock.now(), 0);
         self.module(|module| wanted = module.granted(now, rate), |_| ());
         wanted
     }
 
     /// Caches that have stopped answering this process.
-    pub fn silent(&self) -> Vec<NodeId> {
+    pub fn silent_caches(&self) -> Vec<NodeId> {
         self.module.borrow().silent()
     }
 
     /// Other proxies probe this node for the next `time`.
-    pub fn tried_by_others(&self, node: &NodeId, time: Micros) {
+    pub fn defer_probe(&self, node: &NodeId, time: Micros) {
         let until = self.clock.now() + time;
         self.module(|module| module.tried_by_others(node, until), |_| ());
     }
 
     /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
     /// a request decided on before the stall could go to a server that a list, received but not read, says is leaving.
-    pub async fn settles(&self) {
-        if self.pulse.waited_from() < self.clock.now() {
+    pub async fn catch_up_after_stall(&self) {
+        if self.stall_detector.waited_from() < self.clock.now() {
             for _ in 0..SETTLES {
                 yield_now().await;
             }
@@ -176,7 +176,7 @@
     }
 
     /// Number of listed caches that the module avoids now.
-    pub fn avoided(&self) -> usize {
+    pub fn count_avoided_caches(&self) -> usize {
         self.module.borrow().avoided(self.clock.now())
     }
 
@@ -193,7 +193,7 @@
 
     /// Calls the module at the times it asked for, with a minimum interval between calls. Without it, a module that asks
     /// at each call for a time in the past would leave our single core no time for requests.
-    pub async fn keep_time(&self) {
+    pub async fn run_timers(&self) {
         let mut not_before = 0;
         loop {
             let first =
@@ -238,7 +238,7 @@
             watch.expects(&self.id);
             arrival.clone()
         });
-        let watched = |watch: &Watch| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
+        let watched = |watch: &ShadowPolicy| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
         self.or_fail(self.dispatcher.module(|module| module.request_arrives(now, arrival), watched));
     }
 
@@ -276,7 +276,7 @@
         let outcome = Outcome { number: self.attempts, ending, wait, settled: self.over, first };
         self.attempts += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
-        let watched = |watch: &Watch| watch.outcome(now, id, &node, outcome);
+        let watched = |watch: &ShadowPolicy| watch.outcome(now, id, &node, outcome);
         self.or_fail(self.dispatcher.module(|module| module.outcome(now, id, &node, outcome), watched));
     }
 }
--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::requests::watch::Counts;
+use crate::requests::shadow::Counts;
 use flintwell_core::interface::Standing;
 
 fn dispatcher() -> Rc<Dispatcher> {
@@ -14,7 +14,7 @@
     let watch = other.map(|other| {
         let other =
             flintwell_settings::decode(&flintwell_settings::laid_over(conf, other)).expect("settings");
-        Rc::new(Watch::new(0, other, 1))
+        Rc::new(ShadowPolicy::new(0, other, 1))
     });
     Rc::new(Dispatcher::new(Clock::start(), settings, 1, Pool::new(1, 1, 1), watch))
 }
@@ -65,7 +65,7 @@
     let dispatcher = dispatcher_with(other);
     let far = [entry("far 1", 0, 1), entry("far 2", 0, 1)];
     let near = [entry("near 1", 0, 0), entry("near 2", 0, 0), entry("origin", 1, 0)];
-    dispatcher.list(ListKind::Whole, far.into_iter().chain(near).collect());
+    dispatcher.apply_list_update(ListKind::Whole, far.into_iter().chain(near).collect());
     let mut sent = Vec::new();
     for n in 0..60 {
         let (mut handle, step, first) = read(&dispatcher, &format!("a{n}"), &format!("k{n}"));
@@ -101,7 +101,7 @@
     let dispatcher = dispatcher_with(Some(serde_json::json!({})));
     let watch = dispatcher.mailboxes.watch.clone().expect("it");
     watch.fails();
-    dispatcher.list(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     assert!(matches!(missed(&dispatcher, "a", "k").1, Some(Step::Attempt { .. })));
     assert_eq!(watch.counts(), Counts::default());
 }
@@ -109,7 +109,7 @@
 #[test]
 fn a_client_that_leaves_while_held_leaves_no_fetch_behind() {
     let dispatcher = dispatcher();
-    dispatcher.list(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     let (mut leader, step) = missed(&dispatcher, "leader", "k");
     assert!(matches!(step, Some(Step::Attempt { .. })));
     for n in 0..8 {
@@ -123,7 +123,7 @@
 #[test]
 fn a_step_told_to_one_whose_client_leaves_before_it_is_taken_leaves_nothing_out() {
     let dispatcher = dispatcher();
-    dispatcher.list(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     // Far more than may be out at the origin at once; each is told to go there and dropped before it takes its step.
     for n in 0..64 {
         let (mut leader, step) = missed(&dispatcher, &format!("leader {n}"), &format!("k{n}"));
--- a/crates/flintwell/src/requests/mod.rs
+++ b/crates/flintwell/src/requests/mod.rs
@@ -1,6 +1,6 @@
 //! Request handling from arrival to response, and the adapter to the decision module.
 
 pub mod dispatcher;
-pub mod front;
+pub mod service;
 pub mod request;
-pub mod watch;
+pub mod shadow;
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -30,7 +30,7 @@
     let Some(mut handle) = dispatcher.handle(request.id.clone()) else { return Answer::InHand };
     // A request that arrives while the process is stalled is read late. Measured from the read, its response time would
     // look too short and its deadline would be too late.
-    let began = dispatcher.pulse.waited_from();
+    let began = dispatcher.stall_detector.waited_from();
     let wait = (request.deadline(began) - dispatcher.clock.now()) / LIST_WAIT_PARTS;
     lease.first_in_force(span(wait.min(LIST_WAIT_MOST))).await;
     let mut answer = decide(request, began, &mut handle, dispatcher, attempts, counts).await;
@@ -57,10 +57,10 @@
         match handle.next(deadline).await {
             Some(Step::Attempt { node, allow_for }) => {
                 handle.sends(&node);
-                dispatcher.settles().await;
+                dispatcher.catch_up_after_stall().await;
                 // The client may have closed its connection right after the request, or while the request was held.
                 // The HTTP server reports that only later, and the attempt would be made for nobody.
-                if request.client.left() {
+                if request.client.has_disconnected() {
                     return Answer::Left;
                 }
                 let sent_at = dispatcher.clock.now();
@@ -86,7 +86,7 @@
                     }
                     Err(broken) => {
                         // A streamed body allows this one attempt only.
-                        if let Some(why) = request.body.passing().and_then(|end| end.broken.take()) {
+                        if let Some(why) = request.body.stream_status().and_then(|end| end.error.take()) {
                             return Answer::Malformed(why);
                         }
                         if broken.cause == Cause::Left {
--- a/crates/flintwell/src/requests/front.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -1,10 +1,10 @@
 //! The client-facing service: readiness check, or else decode, serve and encode.
 
 use crate::clients::answer::Answer;
-use crate::clients::body::Budget;
+use crate::clients::body::BufferBudget;
 use crate::clients::decode::ClientRequest;
 use crate::clients::framing::Framing;
-use crate::clients::presence::Presence;
+use crate::clients::client_socket::ClientSocket;
 use crate::fleet::lease::ListLease;
 use crate::nodes::attempt::Attempts;
 use crate::nodes::relay::Content;
@@ -26,19 +26,19 @@
 
 /// Service for the messages of one client connection.
 #[derive(Clone)]
-pub struct Front {
+pub struct ClientService {
     pub dispatcher: Rc<Dispatcher>,
     pub attempts: Attempts,
     pub counts: Rc<Counts>,
     pub network: Rc<Live<Network>>,
-    pub budget: Rc<Budget>,
+    pub budget: Rc<BufferBudget>,
     pub lease: Rc<ListLease>,
     pub shutdown: Shutdown,
     /// The client's side of the connection that is served.
-    pub client: Presence,
+    pub client: ClientSocket,
 }
 
-impl Front {
+impl ClientService {
     async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Answer {
         if request.uri().path() == "/health/ready" {
             // Before any list is in force requests would be refused here, although another proxy could serve them.
@@ -61,7 +61,7 @@
     }
 }
 
-impl Service<Request<Incoming>> for Front {
+impl Service<Request<Incoming>> for ClientService {
     type Response = Response<Content>;
     type Error = Infallible;
     type Future = LocalBoxFuture<'static, Result<Self::Response, Infallible>>;
--- a/crates/flintwell/src/requests/watch.rs
+++ b/crates/flintwell/src/requests/shadow.rs
@@ -83,7 +83,7 @@
 }
 
 /// Runs the shadow module and compares its decisions with those in effect.
-pub struct Watch {
+pub struct ShadowPolicy {
     other: RefCell<Option<Policy<Notes>>>,
     pairs: Pairs,
     origin_kind: Option<u32>,
@@ -91,11 +91,11 @@
     counts: Cell<Counts>,
 }
 
-impl Watch {
+impl ShadowPolicy {
     pub fn new(now: Micros, settings: Settings, seed: u64) -> Self {
         let (pairs, origin_kind) = (Pairs::default(), settings.origin_kind);
         let other = RefCell::new(Some(Policy::start(now, settings, seed, Notes(pairs.clone()))));
-        Watch { other, pairs, origin_kind, origins: RefCell::default(), counts: Cell::default() }
+        ShadowPolicy { other, pairs, origin_kind, origins: RefCell::default(), counts: Cell::default() }
     }
 
     /// The counts so far.
@@ -212,7 +212,7 @@
     }
 
     /// Logs the counts at intervals.
-    pub async fn tell(&self) {
+    pub async fn log_counts(&self) {
         let mut told = Counts::default();
         loop {
             tokio::time::sleep(TELL_EVERY).await;
--- a/crates/flintwell/src/staff/management.rs
+++ b/crates/flintwell/src/staff/management.rs
@@ -136,7 +136,7 @@
             false => Ok((StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#.into())),
         },
         "/api/telemetry" => {
-            let figures = office.counts.figures(office.registry.known(), office.dispatcher.avoided());
+            let figures = office.counts.figures(office.registry.known(), office.dispatcher.count_avoided_caches());
             let text = serde_json::to_string(&figures).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
             Ok((StatusCode::OK, text))
         }
