--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -219,7 +219,7 @@
         let now = dispatcher.clock.now();
         // Danger: a response that waited in the socket buffer during a stall of this process would confirm
         // the list as of when it was read, not as of when it was sent.
-        let as_of = first_byte_at.min(dispatcher.pulse.queued_since());
+        let as_of = first_byte_at.min(dispatcher.stall_detector.queued_since());
         if current {
             self.watch.on_answer(as_of);
         } else {
--- a/crates/flintwell/src/fleet/peer_messaging.rs
+++ b/crates/flintwell/src/fleet/peer_messaging.rs
@@ -172,12 +172,12 @@
     /// Announces this proxy's demand and its probes, and applies the hints of others.
     fn run_round(&self, now: u64, wire: &mut PeerWire) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
-        let wanted = self.dispatcher.granted(share.rate(now));
+        let wanted = self.dispatcher.set_origin_fetch_rate(share.rate(now));
         let (fetches, refused) = (self.counts.origin_attempts.get(), self.counts.origin_refusals.get());
         let counted = FetchCounts { demanded: wanted, accepted: fetches.saturating_sub(refused), refused };
         let others = member.peers();
         let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
-        let silent = self.dispatcher.silent();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
         let (hints, probed) = self.probes.borrow_mut().run_round(now, &names, &numbers);
         for (node, hint) in hints {
@@ -185,7 +185,7 @@
                 ProbeHint::SkipFor(ms) => ms as Micros * 1_000,
                 ProbeHint::ProbeNow => 0,
             };
-            self.dispatcher.tried_by_others(&silent[node], time);
+            self.dispatcher.defer_probe(&silent[node], time);
         }
         let probed = probed.into_iter().map(|(to, word)| (to, word.encode()));
         let shared = share.run_round(now, counted, &numbers).into_iter().map(|(to, word)| (to, word.encode()));
@@ -223,7 +223,7 @@
     /// The current status of the fleet.
     pub fn status(&self) -> FleetStatus {
         let member = self.member.borrow();
-        let silent = self.dispatcher.silent();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
         let others: Vec<u32> = member.peers().iter().map(|other| other.number).collect();
         FleetStatus {
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -156,7 +156,7 @@
             }
             entries.push(entry);
         }
-        self.dispatcher.list(kind, entries);
+        self.dispatcher.apply_list_update(kind, entries);
     }
 
     /// A list entry with its known start time, the state of the lease and the operators' override applied.
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt: a request sent to one node over one connection, and its outcome.
 
-use crate::clients::body::{Budget, LONGEST, Outgoing};
+use crate::clients::body::{BufferBudget, MAX_BODY_BYTES, UpstreamBody};
 use crate::clients::decode::ClientRequest;
 use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Link, Progress, ReceivedBody};
 use crate::nodes::send_guard::{PendingSend, SendGuard};
@@ -21,7 +21,7 @@
 use tower::Service;
 
 // A response that fails while it is still buffered can be retried on another node.
-const RESPONSE_LIMITS: BodyLimits = BodyLimits { buffered: 65_536, total: LONGEST };
+const RESPONSE_LIMITS: BodyLimits = BodyLimits { buffered: 65_536, total: MAX_BODY_BYTES };
 const FINAL_YIELDS: usize = 3; // turns of the runtime: for the socket, the connection's driver and this task
 
 /// A request for one node.
@@ -59,11 +59,11 @@
     permission: SendGuard,
     counts: Rc<Metrics>,
     /// Memory for reading ahead of long responses.
-    read_ahead_budget: Rc<Budget>,
+    read_ahead_budget: Rc<BufferBudget>,
 }
 
 impl AttemptService {
-    pub fn new(permission: SendGuard, counts: Rc<Metrics>, read_ahead_budget: Rc<Budget>) -> Self {
+    pub fn new(permission: SendGuard, counts: Rc<Metrics>, read_ahead_budget: Rc<BufferBudget>) -> Self {
         AttemptService { permission, counts, read_ahead_budget }
     }
 }
@@ -82,12 +82,12 @@
         Box::pin(async move {
             let progress = Progress::with_count(&counts.cache_attempts);
             let mut exchange = pin!(send(&permission, &attempt, &progress, &read_ahead_budget));
-            if let Some(end) = attempt.request.body.passing() {
+            if let Some(end) = attempt.request.body.stream_status() {
                 // For a body that is streamed from the client, the time limit starts at its last byte.
                 tokio::select! {
                     ended = exchange.as_mut() => return ended,
-                    () = end.whole.notified() => {}
-                    () = sleep(attempt.request.body.takes()) => {}
+                    () = end.completed.notified() => {}
+                    () = sleep(attempt.request.body.max_receive_time()) => {}
                 }
             }
             if let Ok(ended) = timeout(to_duration(attempt.timeout), exchange.as_mut()).await {
@@ -112,7 +112,7 @@
     permission: &SendGuard,
     attempt: &Attempt,
     progress: &Progress,
-    read_ahead_budget: &Rc<Budget>,
+    read_ahead_budget: &Rc<BufferBudget>,
 ) -> Result<NodeResponse, ExchangeError> {
     let pool = &permission.pool;
     let mut link = acquire_connection(pool, &attempt.node).await?;
@@ -122,7 +122,7 @@
     let (permitted_at, checker) = (Instant::now(), permission.clone());
     progress.set_on_first_write(move || checker.check_sent(&pending, permitted_at));
     let (idle, first_on_connection) = (link.idle_since.elapsed(), link.is_unused());
-    let body = attempt.request.body.hand_out().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
+    let body = attempt.request.body.upstream_body().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
     let reply = link.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
     pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == Ending::Reset));
     let reply = reply?;
@@ -150,7 +150,7 @@
     pool.dial(node).await
 }
 
-fn message(attempt: &Attempt, body: Outgoing) -> Request<Outgoing> {
+fn message(attempt: &Attempt, body: UpstreamBody) -> Request<UpstreamBody> {
     let request = &attempt.request;
     let mut message = Request::new(body);
     *message.method_mut() = request.method.clone();
@@ -158,7 +158,7 @@
     let headers = message.headers_mut();
     headers.insert(HOST, request.host.clone().unwrap_or(HeaderValue::from_static("origin.svc")));
     headers.insert("x-request-id", request.id_header.clone());
-    if let Some(mark) = &request.repeat_mark {
+    if let Some(mark) = &request.idempotency_key {
         headers.insert("idempotency-key", mark.clone());
     }
     let deadline = format!("{:.6}", attempt.timeout as f64 / 1e6);
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -1,8 +1,8 @@
 //! One HTTP/1.1 connection to a cache node, the origin or discovery: one exchange at a time, nothing is
 //! retried here.
 
-use crate::clients::body::Outgoing;
-use crate::clients::framing::{Answers, Coding};
+use crate::clients::body::UpstreamBody;
+use crate::clients::framing::{ResponseScanner, BodyDecoder};
 use crate::nodes::stream::SharedStream;
 use crate::process::counter::{Counter, increment};
 use bytes::{Bytes, BytesMut};
@@ -144,7 +144,7 @@
     stream: SharedStream,
     bytes_written: Rc<Cell<u64>>,
     message: Rc<OutgoingMessage>,
-    answers: Rc<RefCell<Answers>>,
+    answers: Rc<RefCell<ResponseScanner>>,
 }
 
 /// Write progress of the request of the current exchange.
@@ -162,7 +162,7 @@
 
 /// A request body that records when its last byte was handed out.
 struct TrackedBody {
-    body: Outgoing,
+    body: UpstreamBody,
     message: Rc<OutgoingMessage>,
 }
 
@@ -297,7 +297,7 @@
     stream: Weak<TcpStream>,
     bytes_written: Rc<Cell<u64>>,
     message: Rc<OutgoingMessage>,
-    answers: Rc<RefCell<Answers>>,
+    answers: Rc<RefCell<ResponseScanner>>,
     driver: AbortHandle,
     pub idle_since: Instant,
 }
@@ -312,7 +312,7 @@
         let (stream, bytes_written) = (Rc::new(stream), Rc::new(Cell::new(0)));
         let weak_stream = Rc::downgrade(&stream);
         let message = Rc::<OutgoingMessage>::default();
-        let answers = Rc::<RefCell<Answers>>::default();
+        let answers = Rc::<RefCell<ResponseScanner>>::default();
         let metered = MeteredStream {
             stream: SharedStream(stream),
             bytes_written: bytes_written.clone(),
@@ -370,14 +370,14 @@
     }
 
     /// The number of bytes read of the response's body and the framing of the rest, if that is known.
-    pub fn body_progress(&self) -> Option<(u64, Coding)> {
+    pub fn body_progress(&self) -> Option<(u64, BodyDecoder)> {
         let answers = self.answers.borrow();
-        answers.coding.map(|coding| (answers.body, coding))
+        answers.decoder.map(|coding| (answers.body_bytes, coding))
     }
 
     /// When the first byte of the most recent response was read.
     pub fn first_byte_at(&self) -> Option<Instant> {
-        self.answers.borrow().begun_at
+        self.answers.borrow().first_byte_at
     }
 
     /// The socket, for a process that takes over the rest of the response.
@@ -389,12 +389,12 @@
     /// long.
     pub async fn exchange(
         &mut self,
-        request: Request<Outgoing>,
+        request: Request<UpstreamBody>,
         limits: BodyLimits,
         progress: &Progress,
     ) -> Result<Reply, ExchangeError> {
         progress.baseline.set(Some((self.bytes_written.clone(), self.bytes_written.get())));
-        self.answers.replace(Answers::default());
+        self.answers.replace(ResponseScanner::default());
         self.message.is_body_done.set(false);
         self.message.is_written.set(false);
         let is_long = request.body().size_hint().exact().is_none_or(|length| length > MAX_SHORT_BODY_BYTES);
--- a/crates/flintwell/src/nodes/response_body.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -1,6 +1,6 @@
 //! Response bodies on their way from a node to the client: buffered whole, or streamed as they are received.
 
-use crate::clients::body::{Budget, Kept};
+use crate::clients::body::{BufferBudget, BodyBuffer};
 use crate::nodes::response_transfer::Rest;
 use crate::nodes::connection::Link;
 use crate::nodes::pool::Pool;
@@ -92,8 +92,8 @@
 struct Source {
     /// Body bytes received.
     bytes_received: u64,
-    buffered: Kept,
-    budget: Rc<Budget>,
+    buffered: BodyBuffer,
+    budget: Rc<BufferBudget>,
     /// Received data that follows the buffered data.
     next: Bytes,
     /// None once the body has ended or failed.
@@ -175,7 +175,7 @@
         let mut source = self.source.borrow_mut();
         // Danger: a budget spread over many responses completes none of them sooner; so only responses whose
         // rest fits as a whole, or is of unknown length, are read ahead.
-        let fits = |body: &Incoming| body.size_hint().exact().is_none_or(|rest| rest <= source.budget.left());
+        let fits = |body: &Incoming| body.size_hint().exact().is_none_or(|rest| rest <= source.budget.available_bytes());
         if !self.is_halted.get() && !source.incoming.as_ref().is_some_and(fits) {
             return;
         }
@@ -228,7 +228,7 @@
         let source = self.source.borrow();
         let progress = source.link.as_ref().and_then(Link::body_progress);
         source.incoming.is_none()
-            || progress.is_some_and(|(body, coding)| body == source.bytes_received && !coding.ended())
+            || progress.is_some_and(|(body, coding)| body == source.bytes_received && !coding.is_complete())
     }
 
     /// Takes the node's socket with the framing of the rest, and the maximum number of remaining bytes. The
@@ -282,12 +282,12 @@
         node: NodeId,
         pool: Rc<Pool>,
         link: Link,
-        budget: &Rc<Budget>,
+        budget: &Rc<BufferBudget>,
     ) -> Self {
         let has_known_length = incoming.size_hint().exact().is_some();
         let source = Source {
             bytes_received: begun.len() as u64,
-            buffered: Kept::new(budget.clone()),
+            buffered: BodyBuffer::new(budget.clone()),
             budget: budget.clone(),
             next: begun,
             incoming: Some(incoming),
--- a/crates/flintwell/src/nodes/response_transfer.rs
+++ b/crates/flintwell/src/nodes/response_transfer.rs
@@ -1,7 +1,7 @@
 //! Forwards the remainder of a long response from its node to its client. The sockets may have been handed
 //! over by an earlier process.
 
-use crate::clients::framing::Coding;
+use crate::clients::framing::BodyDecoder;
 use crate::process::clock::PEER_IDLE_TIMEOUT;
 use socket2::SockRef;
 use std::fs::File;
@@ -15,7 +15,7 @@
 const CHUNK_BYTES: usize = 32_768; // read at once; several dozen such responses share the process's memory
 
 /// The socket to a node, and the framing of the bytes that it still sends.
-pub type Rest = (Rc<TcpStream>, Coding);
+pub type Rest = (Rc<TcpStream>, BodyDecoder);
 
 /// A long response that was interrupted between two bytes.
 pub struct ResponseTransfer {
@@ -71,17 +71,17 @@
     async fn forward_from_node(
         &mut self,
         node: &TcpStream,
-        mut coding: Coding,
+        mut coding: BodyDecoder,
         chunk: &mut [u8],
     ) -> io::Result<()> {
-        while !coding.ended() {
+        while !coding.is_complete() {
             let read = node.async_io(Interest::READABLE, || node.try_read(chunk));
             let bytes = timeout(PEER_IDLE_TIMEOUT, read).await.map_err(|_| io::ErrorKind::TimedOut)??;
             if bytes == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             let (out, chunked, mut received) = (&mut self.unwritten, self.chunked, 0);
-            let is_valid = coding.read(&chunk[..bytes], |data| {
+            let is_valid = coding.decode(&chunk[..bytes], |data| {
                 received += data.len() as u64;
                 append_framed(out, chunked, data);
             });
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -1,7 +1,7 @@
 //! The final check, directly before the first byte of a request, of whether it may be sent to its node; and
 //! counters of requests that were sent although a rule forbade it, which have to stay zero.
 
-use crate::clients::presence::Presence;
+use crate::clients::client_socket::ClientSocket;
 use crate::fleet::lease::ListLease;
 use crate::nodes::connection::{ExchangeError, FailureCause};
 use crate::nodes::pool::Pool;
@@ -24,7 +24,7 @@
     pub chosen_at: Instant,
     /// Time limit of the attempt.
     pub timeout: Micros,
-    pub client: Presence,
+    pub client: ClientSocket,
 }
 
 /// Counters of requests that were sent against a rule, by rule.
@@ -84,7 +84,7 @@
             return Err(ExchangeError::before_write(FailureCause::Stale));
         }
         // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
-        if pending.client.left() { Err(ExchangeError::before_write(FailureCause::ClientDisconnected)) } else { Ok(()) }
+        if pending.client.has_disconnected() { Err(ExchangeError::before_write(FailureCause::ClientDisconnected)) } else { Ok(()) }
     }
 
     /// Called when the first bytes of a request that passed the check at `permitted_at` were written: counts
--- a/crates/flintwell/src/process/handover.rs
+++ b/crates/flintwell/src/process/handover.rs
@@ -3,7 +3,7 @@
 //! response has exactly one owner: the old process until the new one has acknowledged it. The new process writes
 //! nothing before that.
 
-use crate::clients::framing::Coding;
+use crate::clients::framing::BodyDecoder;
 use crate::nodes::response_transfer::ResponseTransfer;
 use crate::nodes::response_body::RequestGuard;
 use crate::log_line;
@@ -39,7 +39,7 @@
     /// Index of the request's class, if its outcome has not been counted yet.
     case: Option<usize>,
     /// Framing state of the data still to come from the node; `None` if the node has sent everything.
-    rest: Option<Coding>,
+    rest: Option<BodyDecoder>,
     /// Whether the client gets the response in chunked coding.
     chunked: bool,
     /// Whether the final chunk still has to be written.
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -1,8 +1,8 @@
 //! Builds the components of the proxy and runs them on one thread.
 
 use crate::clients::accept;
-use crate::clients::body::Budget;
-use crate::clients::presence::Presence;
+use crate::clients::body::BufferBudget;
+use crate::clients::client_socket::ClientSocket;
 use crate::fleet::discovery_calls::DiscoveryCalls;
 use crate::fleet::discovery::DiscoveryClient;
 use crate::fleet::list_store::{ListStore, StoredList};
@@ -23,8 +23,8 @@
 use crate::process::store::Store;
 use crate::process::succession::Succession;
 use crate::requests::dispatcher::Dispatcher;
-use crate::requests::front::Front;
-use crate::requests::watch::Watch;
+use crate::requests::service::ClientService;
+use crate::requests::shadow::ShadowPolicy;
 use crate::log_line;
 use crate::management::metrics::Metrics;
 use crate::management::api::{self, Office};
@@ -141,10 +141,10 @@
     let figures = WatchConfig { pushed, fleet_size: fleet, index, drain_grace: grace };
     let origin_kind = config.settings.origin_kind;
     let (clock, seed) = (Clock::start(), config.seed);
-    let watch = config.watch_with.map(|other| Rc::new(Watch::new(clock.now(), other, seed)));
+    let watch = config.watch_with.map(|other| Rc::new(ShadowPolicy::new(clock.now(), other, seed)));
     let dispatcher = Rc::new(Dispatcher::new(clock, config.settings, seed, pool.clone(), watch.clone()));
     if let Some(watch) = watch {
-        spawn_local(lasting("settings comparison", async move || watch.tell().await));
+        spawn_local(lasting("settings comparison", async move || watch.log_counts().await));
     }
     let succession = Succession::open(store.clone(), dispatcher.clock.now());
     let succession = Rc::new(succession.map_err(|e| format!("directory for temporary files: {e}"))?);
@@ -188,9 +188,9 @@
     let reloading = async move || reload::on_signal(&mut hangup, &path, &moves).await;
     spawn_local(lasting("reload", reloading));
     let timed = dispatcher.clone();
-    spawn_local(lasting("timers", async move || timed.keep_time().await));
+    spawn_local(lasting("timers", async move || timed.run_timers().await));
     let beating = dispatcher.clone();
-    spawn_local(lasting("stall detector", async move || beating.pulse.run().await));
+    spawn_local(lasting("stall detector", async move || beating.stall_detector.run().await));
     let followed = registry.clone();
     spawn_local(lasting("registry", async move || followed.sync_store().await));
     let swept = pool.clone();
@@ -208,7 +208,7 @@
             (Ok(settings), Ok(network)) => {
                 put_counts.knows(&network.classes);
                 put_network.set(network);
-                put_dispatcher.change(settings);
+                put_dispatcher.apply_settings(settings);
                 put_registry.republish();
             }
             // Not expected: settings are validated when they are staged.
@@ -261,17 +261,17 @@
         }
     }
     let permission = SendGuard { pool, lease: lease.clone(), violations: counts.violations.clone() };
-    let attempts = AttemptService::new(permission, counts.clone(), Budget::new(config.answers));
-    let budget = Budget::new(config.bodies);
+    let attempts = AttemptService::new(permission, counts.clone(), BufferBudget::new(config.answers));
+    let budget = BufferBudget::new(config.bodies);
     let longest_now = network.clone();
     let front =
-        Front { dispatcher, attempts, counts, network, budget, lease, shutdown, client: Presence::default() };
+        ClientService { dispatcher, attempts, counts, network, budget, lease, shutdown, client: ClientSocket::default() };
     let at = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
     succession.serves().map_err(|e| format!("directory for temporary files: {e}"))?;
     log_line!("{} serves on {at}", config.name);
     let client_room = room.clone();
     let accepting =
-        spawn_local(lasting("accept", async move || accept::accept(&listener, &client_room, &front).await));
+        spawn_local(lasting("accept", async move || accept::accept_connections(&listener, &client_room, &front).await));
     let longest = || to_duration(longest_now.get().longest);
     let has_successor = || inherits && succession.succeeded();
     let successor = async || handover::successor(succession.successor().as_deref()).await;
