--- a/crates/flintwell/tests/process/support.rs
+++ b/crates/flintwell/tests/process/support.rs
@@ -284,9 +284,17 @@
     Server::start(|_, _| Does::Answers(404, ""))
 }
 
+/// A loopback address that no other test uses. A port that was picked by binding and then released can be given to
+/// another test's server before this test is over.
+fn unique_address(port: u16) -> SocketAddr {
+    static ADDRESSES: AtomicUsize = AtomicUsize::new(1);
+    let (process, number) = (std::process::id(), ADDRESSES.fetch_add(1, Ordering::Relaxed));
+    SocketAddr::from(([127, 64 + (process >> 8 & 63) as u8, process as u8, number as u8], port))
+}
+
 /// An address at which nothing listens.
 pub fn closed() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+    unique_address(9_700)
 }
 
 /// What the second address says to these words, and after how long.
@@ -327,10 +335,7 @@
 
 /// With a second address, and where that is.
 pub fn managed(mut config: Value) -> (Value, SocketAddr) {
-    // Of its own loopback address, since a port picked and left again may be another test's meanwhile.
-    static MANAGED: AtomicUsize = AtomicUsize::new(1);
-    let (process, number) = (std::process::id(), MANAGED.fetch_add(1, Ordering::Relaxed));
-    let at = SocketAddr::from(([127, 64 + (process >> 8 & 63) as u8, process as u8, number as u8], 9600));
+    let at = unique_address(9_600);
     config["mgmt"] = json!(at.to_string());
     (config, at)
 }
