--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -4,7 +4,7 @@
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
 use crate::clients::client_socket::ClientSocket;
-use flintwell_core::interface::{Arrival, Key, Micros, RequestId};
+use flintwell_core::interface::{IncomingRequest, Key, Micros, RequestId};
 use flintwell_settings::Network;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
@@ -107,15 +107,15 @@
     }
 
     /// The request as the decision module gets it.
-    pub fn arrival(&self, deadline: Micros) -> Arrival {
-        Arrival {
+    pub fn arrival(&self, deadline: Micros) -> IncomingRequest {
+        IncomingRequest {
             id: self.id.clone(),
             class: self.class,
             tenant: self.tenant,
             key: self.key.clone(),
             deadline,
-            work: self.work,
-            write: self.method == Method::PUT,
+            expected_work: self.work,
+            is_write: self.method == Method::PUT,
         }
     }
 }
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -9,7 +9,7 @@
 use crate::nodes::connection::{ExchangeError, FailureCause, Link, Stage};
 use crate::requests::dispatcher::Dispatcher;
 use crate::log_line;
-use flintwell_core::interface::{ListKind, Micros};
+use flintwell_core::interface::{ListUpdateKind, Micros};
 use flintwell_list_watch::Watch;
 use flintwell_settings::listing::Listing;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
 
     /// Publishes the list that is known at startup.
     pub fn load_initial(&mut self, known: &Listing) {
-        self.publish(known, ListKind::Kept);
+        self.publish(known, ListUpdateKind::Restored);
     }
 
     /// Calls discovery in an endless loop, at the times given by `flintwell-list-watch`.
@@ -231,7 +231,7 @@
         self.status.on_answer(now, listing.version);
         self.publish_lease();
         self.link = Some(link);
-        let kind = if listing.full { ListKind::Whole } else { ListKind::Changes };
+        let kind = if listing.full { ListUpdateKind::Snapshot } else { ListUpdateKind::Delta };
         self.publish(&listing, kind);
         // Danger: a discovery that answers long polls at once would be called in a busy loop.
         let too_soon =
@@ -262,7 +262,7 @@
         self.status.on_lease_change(lease);
     }
 
-    fn publish(&mut self, listing: &Listing, kind: ListKind) {
+    fn publish(&mut self, listing: &Listing, kind: ListUpdateKind) {
         self.version = Some(listing.version);
         self.registry.update(listing, kind);
     }
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -9,7 +9,7 @@
 use crate::process::store::Store;
 use crate::requests::dispatcher::Dispatcher;
 use crate::log_line;
-use flintwell_core::interface::{ListKind, Micros, NodeId, Standing};
+use flintwell_core::interface::{ListUpdateKind, Micros, NodeId, NodeState};
 use flintwell_list_watch::NodeStarts;
 use flintwell_settings::Network;
 use flintwell_settings::listing::{Line, Listing};
@@ -69,10 +69,10 @@
     }
 
     /// Applies a list, or changes to it, and publishes them.
-    pub fn update(&self, listing: &Listing, kind: ListKind) {
+    pub fn update(&self, listing: &Listing, kind: ListUpdateKind) {
         {
             let mut lines = self.lines.borrow_mut();
-            if kind != ListKind::Changes {
+            if kind != ListUpdateKind::Delta {
                 lines.clear();
             }
             for line in &listing.servers {
@@ -83,7 +83,7 @@
             }
         }
         self.learn_starts(listing, kind);
-        if kind != ListKind::Kept {
+        if kind != ListUpdateKind::Restored {
             self.list_store.mark_changed(listing.version);
         }
         if self.is_lapsed.get() && self.lease.is_valid() {
@@ -97,9 +97,9 @@
         self.publish(&listing.servers, kind);
     }
 
-    fn learn_starts(&self, listing: &Listing, kind: ListKind) {
+    fn learn_starts(&self, listing: &Listing, kind: ListUpdateKind) {
         // The list at process start has no earlier list: its confirmation precedes its publication.
-        let since = if kind == ListKind::Kept { None } else { self.confirmed_at.get() };
+        let since = if kind == ListUpdateKind::Restored { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
         for line in &listing.servers {
             starts.record(&line.id, (line.started_ms * 1e3) as Micros, since, now);
@@ -133,8 +133,8 @@
         self.publish_all(&[]);
     }
 
-    fn publish(&self, lines: &[Line], kind: ListKind) {
-        if kind != ListKind::Changes {
+    fn publish(&self, lines: &[Line], kind: ListUpdateKind) {
+        if kind != ListUpdateKind::Delta {
             self.pool.retain_listed(|node| lines.iter().any(|line| *line.id == **node));
         }
         let mut entries = Vec::with_capacity(lines.len());
@@ -143,14 +143,14 @@
             let mut entry = line.entry(&self.network.get());
             // Danger: one address that can't be parsed would block the publication of all other nodes.
             match line.addr.parse() {
-                Ok(addr) if entry.standing != Standing::Gone => {
-                    let ready = entry.standing == Standing::Ready;
+                Ok(addr) if entry.state != NodeState::Gone => {
+                    let ready = entry.state == NodeState::Ready;
                     self.pool.upsert(&entry.node, addr, line.started_ms, ready);
                 }
                 Ok(_) => self.pool.remove(&entry.node),
                 Err(error) => {
                     log_line!("discovery: invalid address {:?} of node {}: {error}", line.addr, line.id);
-                    entry.standing = Standing::Gone;
+                    entry.state = NodeState::Gone;
                     self.pool.remove(&entry.node);
                 }
             }
@@ -196,7 +196,7 @@
     fn publish_all(&self, changed: &[NodeId]) {
         let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
         // As a kept list: nothing new came from discovery.
-        self.publish(&lines, ListKind::Kept);
+        self.publish(&lines, ListUpdateKind::Restored);
         changed.iter().for_each(|node| self.pool.close_idle(node));
     }
 
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -8,7 +8,7 @@
 use crate::nodes::response_body::{ResponseBody, StreamedBody};
 use crate::process::clock::to_duration;
 use crate::management::metrics::Metrics;
-use flintwell_core::interface::{Ending, Micros, NodeId};
+use flintwell_core::interface::{AttemptStatus, Micros, NodeId};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use hyper::header::{HOST, HeaderValue};
@@ -47,7 +47,7 @@
 
 /// The response of a node.
 pub struct NodeResponse {
-    pub ending: Ending,
+    pub ending: AttemptStatus,
     /// Whether it is the first response on its connection.
     pub first_on_connection: bool,
     pub body: ResponseBody,
@@ -124,7 +124,7 @@
     let (idle, first_on_connection) = (link.idle_since.elapsed(), link.is_unused());
     let body = attempt.request.body.upstream_body().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
     let reply = link.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
-    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == Ending::Reset));
+    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == AttemptStatus::Reset));
     let reply = reply?;
     let ending = ending(reply.status, &reply.headers);
     let body = match reply.body {
@@ -168,13 +168,13 @@
     message
 }
 
-fn ending(status: StatusCode, headers: &HeaderMap) -> Ending {
+fn ending(status: StatusCode, headers: &HeaderMap) -> AttemptStatus {
     let not_run = headers.get("x-not-run").is_some_and(|value| value == "1");
     match status {
-        StatusCode::OK => Ending::Served,
-        StatusCode::NOT_FOUND => Ending::Miss,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Ending::Full,
-        status if status.is_server_error() => Ending::Error,
-        _ => Ending::Unknown,
+        StatusCode::OK => AttemptStatus::Served,
+        StatusCode::NOT_FOUND => AttemptStatus::Miss,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => AttemptStatus::Full,
+        status if status.is_server_error() => AttemptStatus::Error,
+        _ => AttemptStatus::Unknown,
     }
 }
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -6,7 +6,7 @@
 use crate::nodes::stream::SharedStream;
 use crate::process::counter::{Counter, increment};
 use bytes::{Bytes, BytesMut};
-use flintwell_core::interface::Ending;
+use flintwell_core::interface::AttemptStatus;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -84,7 +84,7 @@
     }
 
     /// The outcome that is reported for the attempt.
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptStatus {
         match (self.stage, &self.cause) {
             (
                 Stage::Unwritten,
@@ -96,10 +96,10 @@
                 | FailureCause::Lapsed
                 // Danger: a local fault reported as a failed connection would count against a healthy node.
                 | FailureCause::LocalFault(_),
-            ) => Ending::NotSent,
-            (Stage::Unwritten, _) => Ending::ConnectFailed,
-            (_, FailureCause::TimedOut) => Ending::TimedOut,
-            (_, FailureCause::InvalidResponse(_)) => Ending::Spoilt,
+            ) => AttemptStatus::NotSent,
+            (Stage::Unwritten, _) => AttemptStatus::ConnectFailed,
+            (_, FailureCause::TimedOut) => AttemptStatus::TimedOut,
+            (_, FailureCause::InvalidResponse(_)) => AttemptStatus::InvalidResponse,
             (
                 _,
                 FailureCause::Closed(_)
@@ -111,7 +111,7 @@
                 | FailureCause::Lapsed
                 | FailureCause::Unreachable(_)
                 | FailureCause::LocalFault(_),
-            ) => Ending::Reset,
+            ) => AttemptStatus::Reset,
         }
     }
 }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -172,8 +172,8 @@
     if !peers.iter().any(|peer| *peer != advertise) {
         return Err("words: peers lists nobody but this proxy".into());
     }
-    if settings.index >= settings.fleet_size {
-        let (index, size) = (settings.index, settings.fleet_size);
+    if settings.proxy_index >= settings.fleet_size {
+        let (index, size) = (settings.proxy_index, settings.fleet_size);
         return Err(format!("words: index {index} must be less than fleet_size {size}"));
     }
     let key = match key_file {
@@ -206,7 +206,7 @@
         writeln!(
             f,
             "proxy {} of {}, {} descriptors",
-            self.settings.index, self.settings.fleet_size, self.sockets
+            self.settings.proxy_index, self.settings.fleet_size, self.sockets
         )?;
         let watched = if self.watch_with.is_some() { "; settings of watch_with are compared" } else { "" };
         write!(f, "classes: {cases}; initial nodes: {}{watched}", self.known.len())
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -135,7 +135,7 @@
     let counts = Metrics::new(&config.network.classes, changes.is_some());
     let pool = Pool::new(connections, config.network.dial_within, config.network.idle_most);
     let network = Reloadable::new(config.network);
-    let place = (config.settings.index, config.settings.fleet_size);
+    let place = (config.settings.proxy_index, config.settings.fleet_size);
     let pushed = !config.settings.list_on_request;
     let (index, fleet, grace) = (place.0, place.1, network.get().drain_grace);
     let figures = WatchConfig { pushed, fleet_size: fleet, index, drain_grace: grace };
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -8,7 +8,7 @@
 use crate::requests::shadow::{Move, ShadowPolicy};
 use crate::log_line;
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::RefCell;
@@ -68,7 +68,7 @@
 struct HostCalls(Rc<Mailboxes>);
 
 impl Host for HostCalls {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
         self.0.call(request, Step::Attempt { node: node.clone(), allow_for });
     }
     fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
@@ -80,12 +80,12 @@
     fn close_idle(&mut self, node: &NodeId) {
         self.0.pool.close_idle(node);
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.0.timers.borrow_mut().insert((at, label));
         self.0.timer_set.notify_one();
     }
     /// The list is watched from the process's start, so there is nothing to do.
-    fn watch_list(&mut self) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 /// Owns the decision module and passes events to it.
@@ -111,7 +111,7 @@
             pool,
             watch,
         });
-        let module = RefCell::new(Policy::start(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
+        let module = RefCell::new(Policy::new(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
         Dispatcher { clock, stall_detector: StallDetector::new(clock), module, mailboxes }
     }
 
@@ -129,35 +129,35 @@
     }
 
     /// Passes a list, or changes to it, to the module.
-    pub fn apply_list_update(&self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn apply_list_update(&self, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         let (now, copy) = (self.clock.now(), self.mailboxes.watch.as_ref().map(|_| entries.clone()));
         let watched = |watch: &ShadowPolicy| watch.list(now, kind, copy.unwrap_or_default());
-        self.module(|module| module.list(now, kind, entries), watched);
+        self.module(|module| module.on_list_update(now, kind, entries), watched);
     }
 
     /// Switches to other settings; the list has to be passed again afterwards.
     pub fn apply_settings(&self, settings: Settings) {
         let now = self.clock.now();
-        self.module(|module| module.change(now, settings), |_| ());
+        self.module(|module| module.apply_settings(now, settings), |_| ());
     }
 
     /// Sets the rate, in fetches per second, that the fleet grants this process. Returns how many fetches requests have
     /// needed so far.
     pub fn set_origin_fetch_rate(&self, rate: Option<f64>) -> u64 {
         let (now, mut wanted) = (self.clock.now(), 0);
-        self.module(|module| wanted = module.granted(now, rate), |_| ());
+        self.module(|module| wanted = module.set_origin_fetch_rate(now, rate), |_| ());
         wanted
     }
 
     /// Caches that have stopped answering this process.
     pub fn silent_caches(&self) -> Vec<NodeId> {
-        self.module.borrow().silent()
+        self.module.borrow().silent_caches()
     }
 
     /// Other proxies probe this node for the next `time`.
     pub fn defer_probe(&self, node: &NodeId, time: Micros) {
         let until = self.clock.now() + time;
-        self.module(|module| module.tried_by_others(node, until), |_| ());
+        self.module(|module| module.defer_probe(node, until), |_| ());
     }
 
     /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
@@ -177,7 +177,7 @@
 
     /// Number of listed caches that the module avoids now.
     pub fn count_avoided_caches(&self) -> usize {
-        self.module.borrow().avoided(self.clock.now())
+        self.module.borrow().count_avoided_caches(self.clock.now())
     }
 
     /// A handle for a request; none while another request with the same id is in flight.
@@ -202,7 +202,7 @@
                 () = sleep_until(self.clock.instant_at(first.max(not_before))) => {
                     let now = self.clock.now();
                     while let Some(label) = self.due(now) {
-                        self.module(|module| module.timer(now, label), |watch| watch.timer(now, label));
+                        self.module(|module| module.on_timer(now, label), |watch| watch.timer(now, label));
                     }
                     not_before = now + STEP;
                 }
@@ -231,7 +231,7 @@
 
 impl RequestHandle {
     /// Passes the request to the module.
-    pub fn arrives(&mut self, arrival: Arrival) {
+    pub fn arrives(&mut self, arrival: IncomingRequest) {
         self.over = false;
         let now = self.dispatcher.clock.now();
         let copy = self.dispatcher.mailboxes.watch.as_ref().map(|watch| {
@@ -239,7 +239,7 @@
             arrival.clone()
         });
         let watched = |watch: &ShadowPolicy| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
-        self.or_fail(self.dispatcher.module(|module| module.request_arrives(now, arrival), watched));
+        self.or_fail(self.dispatcher.module(|module| module.on_request(now, arrival), watched));
     }
 
     /// Fails the request if the module could not decide on it.
@@ -270,14 +270,14 @@
     }
 
     /// Reports to the module how the attempt in flight has ended, after `wait`.
-    pub fn ended(&mut self, ending: Ending, wait: Micros, first: bool) {
+    pub fn ended(&mut self, ending: AttemptStatus, wait: Micros, first: bool) {
         let Some(node) = self.out.take() else { return };
-        self.over |= ending == Ending::Served;
-        let outcome = Outcome { number: self.attempts, ending, wait, settled: self.over, first };
+        self.over |= ending == AttemptStatus::Served;
+        let outcome = AttemptOutcome { attempt_index: self.attempts, status: ending, latency: wait, request_finished: self.over, first_on_connection: first };
         self.attempts += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
         let watched = |watch: &ShadowPolicy| watch.outcome(now, id, &node, outcome);
-        self.or_fail(self.dispatcher.module(|module| module.outcome(now, id, &node, outcome), watched));
+        self.or_fail(self.dispatcher.module(|module| module.on_attempt_outcome(now, id, &node, outcome), watched));
     }
 }
 
@@ -290,9 +290,9 @@
             self.out.get_or_insert(node);
         }
         if !std::mem::replace(&mut self.over, true) {
-            self.dispatcher.module(|module| module.request_gone(now, &id), |watch| watch.gone(now, &id));
+            self.dispatcher.module(|module| module.on_request_closed(now, &id), |watch| watch.gone(now, &id));
         }
-        self.ended(Ending::Cancelled, 0, false);
+        self.ended(AttemptStatus::Cancelled, 0, false);
         self.dispatcher.mailboxes.watch.as_deref().inspect(|watch| watch.over(now, &id));
         self.dispatcher.mailboxes.places.borrow_mut().remove(&self.id);
     }
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -10,7 +10,7 @@
 use crate::process::counter::increment;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
 use crate::management::metrics::Metrics;
-use flintwell_core::interface::{Ending, Micros};
+use flintwell_core::interface::{AttemptStatus, Micros};
 use std::rc::Rc;
 use std::time::Instant;
 use tower::ServiceExt;
@@ -76,11 +76,11 @@
                 }
                 match ended {
                     Ok(answered) => {
-                        if fetch && answered.ending == Ending::Full {
+                        if fetch && answered.ending == AttemptStatus::Full {
                             increment(&counts.origin_refusals);
                         }
                         handle.ended(answered.ending, wait, answered.first_on_connection);
-                        if answered.ending == Ending::Served {
+                        if answered.ending == AttemptStatus::Served {
                             return Answer::Served(answered.body);
                         }
                     }
