--- a/crates/flintwell/src/clients/answer.rs
+++ b/crates/flintwell/src/clients/answer.rs
@@ -1,44 +1,52 @@
-//! The answer to a client, encoded once.
+//! Responses to clients and their encoding.
 
 use crate::clients::malformed::Malformed;
-use crate::nodes::relay::Content;
-use crate::staff::counts::End;
+use crate::nodes::response_body::ResponseBody;
+use crate::management::metrics::RequestOutcome;
 use bytes::Bytes;
 use flintwell_core::interface::Micros;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
+/// How a client's message is answered.
 pub enum Answer {
-    Served(Content),
+    Served(ResponseBody),
+    /// Not processed; `stay_away` is the advised delay before a retry, 0 for none.
     Refused {
         stay_away: Micros,
     },
+    /// Failed; whether it took effect is unknown.
     Failed,
     Malformed(Malformed),
-    /// Another request of this id is in hand.
+    /// Another request with the same id is in flight.
     InHand,
+    /// Readiness check.
     Ready(bool),
-    /// Its client has left; nobody hears it.
+    /// The client has disconnected.
     Left,
 }
 
 impl Answer {
-    /// How its request has ended; not yet, if it is still passed on, and none if it never was one.
-    pub fn end(&self) -> Option<End> {
+    /// The request's outcome, if it is known by now and is counted.
+    ///
+    /// None while the response is still being streamed, and where no valid request was served.
+    pub fn end(&self) -> Option<RequestOutcome> {
         match self {
-            Answer::Served(Content::Whole(_)) => Some(End::Served),
-            Answer::Refused { .. } => Some(End::Refused),
-            Answer::Failed => Some(End::Failed),
-            Answer::Served(Content::Long(_)) => None,
+            Answer::Served(ResponseBody::Buffered(_)) => Some(RequestOutcome::Served),
+            Answer::Refused { .. } => Some(RequestOutcome::Refused),
+            Answer::Failed => Some(RequestOutcome::Failed),
+            Answer::Served(ResponseBody::Streamed(_)) => None,
             Answer::Malformed(_) | Answer::InHand | Answer::Ready(_) | Answer::Left => None,
         }
     }
 
-    pub fn encode(self, last: bool) -> Response<Content> {
-        // Danger: behind what is malformed, what comes next may be no message of its own.
+    /// Encodes the response; `last` closes the connection after it.
+    pub fn encode(self, last: bool) -> Response<ResponseBody> {
+        // After a malformed message the next request's start is unknown: the following bytes might belong to its
+        // body. So the connection is closed.
         let last = last || matches!(self, Answer::Malformed(_) | Answer::Left);
         let stay_away = if let Answer::Refused { stay_away } = self { stay_away } else { 0 };
-        let text = |words: &'static [u8]| Content::from(Bytes::from_static(words));
+        let text = |words: &'static [u8]| ResponseBody::from(Bytes::from_static(words));
         let (status, body) = match self {
             Answer::Served(body) => (StatusCode::OK, body),
             Answer::Refused { .. } => (StatusCode::SERVICE_UNAVAILABLE, text(b"")),
@@ -62,7 +70,7 @@
     }
 }
 
-fn malformed(why: &Malformed) -> (StatusCode, Content) {
+fn malformed(why: &Malformed) -> (StatusCode, ResponseBody) {
     let (status, words) = match why {
         Malformed::Method => (StatusCode::METHOD_NOT_ALLOWED, "GET reads, PUT writes\n".into()),
         Malformed::Header(name) => {
--- a/crates/flintwell/src/clients/framing.rs
+++ b/crates/flintwell/src/clients/framing.rs
@@ -1,33 +1,35 @@
-//! How messages are framed, by their raw bytes: what a parser that takes a length out of a head, or a body out
-//! of its chunks, no longer shows.
+//! Message framing, determined from the raw bytes.
+//!
+//! The HTTP parser no longer shows it: it drops a content length beside a transfer encoding and decodes chunked
+//! bodies.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const HEAD_MOST: usize = 65_536; // bytes of a head that are kept; longer ones are refused before
+const HEAD_MOST: usize = 65_536; // of a head that is scanned; the HTTP parser rejects longer ones before
 
 /// How a message's body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length, 0 where none is given.
+    /// By content length, 0 if there is none.
     Length,
-    /// By a transfer encoding. What comes behind it is not told apart any more.
+    /// By a transfer encoding. The messages after it are not scanned.
     Coded,
-    /// By both, or by lengths that differ or are none.
+    /// By both, by several lengths or by an invalid length.
     Doubtful,
 }
 
-/// What the next byte belongs to.
+/// Which part of a message the next byte belongs to.
 enum At {
     Head(Vec<u8>),
-    /// Bytes that are left of it.
+    /// Remaining bytes of the body.
     Body(u64),
-    /// Not known any more; the connection closes with the answer.
+    /// Unknown; the connection is closed after the response.
     Lost,
 }
 
-/// Reads along with a connection.
+/// Determines the framing of each request on a client's connection from the bytes read.
 pub struct Scanner {
     at: At,
     heads: VecDeque<Framing>,
@@ -40,11 +42,12 @@
 }
 
 impl Scanner {
-    /// Of the message whose head came first; doubtful if none did.
+    /// Removes and returns the framing of the oldest scanned message; `Doubtful` if there is none.
     pub fn next(&mut self) -> Framing {
         self.heads.pop_front().unwrap_or(Framing::Doubtful)
     }
 
+    /// Scans bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match &mut self.at {
@@ -60,7 +63,7 @@
                 At::Head(head) => {
                     let (byte, rest) = (bytes[0], &bytes[1..]);
                     bytes = rest;
-                    // Empty lines before a head are no part of it.
+                    // Empty lines before a head are skipped.
                     if head.is_empty() && matches!(byte, b'\r' | b'\n') {
                         continue;
                     }
@@ -82,42 +85,46 @@
     }
 }
 
-/// Where a body in chunks stands.
+/// Position within a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Chunks {
-    /// In the size of the next, as read so far.
+pub enum ChunkState {
+    /// In a chunk's size, with its value so far.
     Size(u64),
-    /// Behind that size, in its line.
+    /// After a chunk's size, before the end of that line.
     Extension(u64),
-    /// Bytes that are left of one.
+    /// In a chunk's data, with the number of remaining bytes.
     Data(u64),
-    /// Before the end of the line behind one.
-    Behind,
-    /// Behind the last, in a line that is empty so far.
+    /// In the line end after a chunk's data.
+    #[serde(rename = "Behind")]
+    DataEnd,
+    /// In the trailer section; true while the current line is empty.
     Trailer(bool),
+    /// After the end of the body.
     End,
 }
 
-/// How what is left of a body comes.
+/// Decoder for the remainder of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Coding {
-    /// As it is, so many bytes.
+pub enum BodyDecoder {
+    /// Unencoded, with the number of remaining bytes.
     Length(u64),
-    Chunks(Chunks),
+    #[serde(rename = "Chunks")]
+    Chunked(ChunkState),
 }
 
-impl Coding {
-    pub fn ended(self) -> bool {
-        matches!(self, Coding::Length(0) | Coding::Chunks(Chunks::End))
+impl BodyDecoder {
+    /// Whether the body has been read to its end.
+    pub fn is_complete(self) -> bool {
+        matches!(self, BodyDecoder::Length(0) | BodyDecoder::Chunked(ChunkState::End))
     }
 
-    /// Reads on: hands out the pieces of the body among these bytes. False where they are no such body.
-    pub fn read(&mut self, mut bytes: &[u8], mut piece: impl FnMut(&[u8])) -> bool {
-        while !bytes.is_empty() && !self.ended() {
+    /// Decodes further bytes and passes the payload in them to `piece`. False if they are not a valid encoding.
+    pub fn decode(&mut self, mut bytes: &[u8], mut piece: impl FnMut(&[u8])) -> bool {
+        while !bytes.is_empty() && !self.is_complete() {
             let (left, behind) = match self {
-                Coding::Length(left) => (*left, None),
-                Coding::Chunks(Chunks::Data(left)) => (*left, Some(Chunks::Behind)),
-                Coding::Chunks(chunks) => {
+                BodyDecoder::Length(left) => (*left, None),
+                BodyDecoder::Chunked(ChunkState::Data(left)) => (*left, Some(ChunkState::DataEnd)),
+                BodyDecoder::Chunked(chunks) => {
                     let Some(next) = chunks.then(bytes[0]) else { return false };
                     (*chunks, bytes) = (next, &bytes[1..]);
                     continue;
@@ -128,68 +135,69 @@
             bytes = &bytes[taken..];
             let left = left - taken as u64;
             *self = match behind {
-                None => Coding::Length(left),
-                Some(behind) => Coding::Chunks(if left == 0 { behind } else { Chunks::Data(left) }),
+                None => BodyDecoder::Length(left),
+                Some(behind) => BodyDecoder::Chunked(if left == 0 { behind } else { ChunkState::Data(left) }),
             };
         }
         true
     }
 }
 
-impl Chunks {
-    /// Behind this byte, which is none of a chunk's data.
+impl ChunkState {
+    /// The state after this byte, which is not chunk data; none if the byte is invalid here.
     fn then(self, byte: u8) -> Option<Self> {
         Some(match (self, byte) {
-            (Chunks::Size(0) | Chunks::Extension(0), b'\n') => Chunks::Trailer(true),
-            (Chunks::Size(size) | Chunks::Extension(size), b'\n') => Chunks::Data(size),
-            (Chunks::Size(size), byte) if byte.is_ascii_hexdigit() => {
+            (ChunkState::Size(0) | ChunkState::Extension(0), b'\n') => ChunkState::Trailer(true),
+            (ChunkState::Size(size) | ChunkState::Extension(size), b'\n') => ChunkState::Data(size),
+            (ChunkState::Size(size), byte) if byte.is_ascii_hexdigit() => {
                 let digit = char::from(byte).to_digit(16)?;
-                Chunks::Size(size.checked_mul(16)?.checked_add(u64::from(digit))?)
+                ChunkState::Size(size.checked_mul(16)?.checked_add(u64::from(digit))?)
             }
-            (Chunks::Size(size), b'\r' | b';' | b' ' | b'\t') => Chunks::Extension(size),
-            (Chunks::Extension(size), _) => Chunks::Extension(size),
-            (Chunks::Behind, b'\r') => Chunks::Behind,
-            (Chunks::Behind, b'\n') => Chunks::Size(0),
-            (Chunks::Trailer(true), b'\n') => Chunks::End,
-            (Chunks::Trailer(empty), b'\r') => Chunks::Trailer(empty),
-            (Chunks::Trailer(_), byte) => Chunks::Trailer(byte == b'\n'),
+            (ChunkState::Size(size), b'\r' | b';' | b' ' | b'\t') => ChunkState::Extension(size),
+            (ChunkState::Extension(size), _) => ChunkState::Extension(size),
+            (ChunkState::DataEnd, b'\r') => ChunkState::DataEnd,
+            (ChunkState::DataEnd, b'\n') => ChunkState::Size(0),
+            (ChunkState::Trailer(true), b'\n') => ChunkState::End,
+            (ChunkState::Trailer(empty), b'\r') => ChunkState::Trailer(empty),
+            (ChunkState::Trailer(_), byte) => ChunkState::Trailer(byte == b'\n'),
             _ => return None,
         })
     }
 }
 
-/// Reads along with what a node answers to one message.
+/// Follows a node's response to one request in the bytes read.
 #[derive(Default)]
-pub struct Answers {
+pub struct ResponseScanner {
     head: Vec<u8>,
-    /// How the rest of the body comes; none while the head has not ended, or if it does not say.
-    pub coding: Option<Coding>,
-    /// Bytes of the body that were read.
-    pub body: u64,
+    /// Decoder for the rest of the body; none before the end of the head, and where the framing is unknown.
+    pub decoder: Option<BodyDecoder>,
+    /// Body bytes read so far.
+    pub body_bytes: u64,
     headed: bool,
-    /// Nothing more is read.
+    /// Reading from the connection has been stopped.
     pub halted: bool,
-    /// When its first byte was read.
-    pub begun_at: Option<Instant>,
+    /// When the first byte was read.
+    pub first_byte_at: Option<Instant>,
 }
 
-impl Answers {
+impl ResponseScanner {
+    /// Scans bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         if !bytes.is_empty() {
-            self.begun_at.get_or_insert_with(Instant::now);
+            self.first_byte_at.get_or_insert_with(Instant::now);
         }
         while !self.headed && !bytes.is_empty() {
             self.head.push(bytes[0]);
             bytes = &bytes[1..];
             if self.head.ends_with(b"\n") && ends(&self.head) {
-                // A word in between is no answer yet.
+                // An interim (1xx) response is not the response yet.
                 let between = self.head.split(|b| *b == b' ').nth(1).is_some_and(|s| s.starts_with(b"1"));
                 if !between {
                     self.headed = true;
-                    self.coding = match framing(&self.head) {
-                        (Framing::Coded, _) => Some(Coding::Chunks(Chunks::Size(0))),
-                        // None told, a body lasts until the connection ends; such a one can't be told apart.
-                        (Framing::Length, length) if length > 0 => Some(Coding::Length(length)),
+                    self.decoder = match framing(&self.head) {
+                        (Framing::Coded, _) => Some(BodyDecoder::Chunked(ChunkState::Size(0))),
+                        // Without a length the body may last until the connection closes; its end is not visible.
+                        (Framing::Length, length) if length > 0 => Some(BodyDecoder::Length(length)),
                         _ => None,
                     };
                 }
@@ -198,19 +206,20 @@
                 self.headed = true;
             }
         }
-        let seen = &mut self.body;
-        if !self.coding.as_mut().is_none_or(|coding| coding.read(bytes, |piece| *seen += piece.len() as u64))
+        let seen = &mut self.body_bytes;
+        if !self.decoder.as_mut().is_none_or(|coding| coding.decode(bytes, |piece| *seen += piece.len() as u64))
         {
-            self.coding = None;
+            self.decoder = None;
         }
     }
 }
 
-/// An empty line ends a head, whichever way its lines end.
+/// Whether the head is complete: it ends with an empty line, with or without carriage returns.
 fn ends(head: &[u8]) -> bool {
     head.ends_with(b"\n\n") || head.ends_with(b"\n\r\n")
 }
 
+/// Framing by a head's fields, and the content length.
 fn framing(head: &[u8]) -> (Framing, u64) {
     let (mut coded, mut lengths) = (false, Vec::new());
     for line in head.split(|byte| *byte == b'\n').skip(1) {
@@ -226,7 +235,8 @@
         (true, []) => (Framing::Coded, 0),
         (false, []) => (Framing::Length, 0),
         (false, [Some(length)]) => (Framing::Length, *length),
-        // Danger: a length beside a transfer encoding, or a second one, hides another request in the body.
+        // A length beside a transfer encoding, or a second length, can hide another request in the body (request
+        // smuggling).
         _ => (Framing::Doubtful, 0),
     }
 }
--- a/crates/flintwell/src/fleet/words.rs
+++ b/crates/flintwell/src/fleet/peer_messaging.rs
@@ -1,11 +1,12 @@
-//! Words between proxies: the socket, the clock and the figures. Who is there and what each may ask of the origin is
-//! decided by `flintwell-membership`, `flintwell-shared-limits` and the module.
+//! Messages between proxies: the UDP socket, the timing and the status report. Membership, shares of the
+//! origin's capacity and shared probes are decided by `flintwell-membership`, `flintwell-shared-limits`,
+//! `flintwell-shared-probes` and the routing policy.
 
 use crate::process::clock::Clock;
-use crate::process::config::Words as Config;
+use crate::process::config::PeerMessagingConfig as Config;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
-use crate::staff::counts::Counts;
+use crate::log_line;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::Micros;
 use flintwell_membership::member::{self, MemberId, Member, Settings, Transport};
 use flintwell_membership::datagram::DropCounts;
@@ -21,29 +22,31 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until};
 
-const DATAGRAM: usize = 512; // bytes that are read of one; what is longer than any of ours shows by that
-const AGAIN: Duration = Duration::from_millis(500); // before the address is tried again, which a former process may hold
-const STEP: u64 = 5; // ms between looks at the time at least
+const RECV_BUFFER_BYTES: usize = 512; // more than any valid datagram, so that longer ones are recognised
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(500); // an earlier process may still hold the address
+const MIN_TICK_INTERVAL_MS: u64 = 5;
 
-/// What the second address tells, and `flintwell fleet status` shows.
+/// Status of the fleet as this proxy sees it: served by the management address, and printed by `flintwell
+/// fleet status`.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct FleetStatus {
     pub name: String,
     pub number: u32,
-    /// The others, as far as they were heard of.
+    /// The other proxies that are known.
     pub members: Vec<member::MemberStatus>,
     pub share: limit::LimitStatus,
-    /// Caches silent to us, and who tries them.
+    /// Caches that do not answer this proxy, and which proxy probes each.
     #[serde(default)]
     pub silent: Vec<probes::ProbeStatus>,
     pub dropped: DropCounts,
-    /// Members that were taken as gone since our start.
+    /// Members that were declared gone since this process started.
     pub taken_as_gone: u64,
     pub datagrams_sent: u64,
     pub bytes_sent: u64,
 }
 
-pub struct Words {
+/// Exchange of messages with the other proxies of the fleet.
+pub struct PeerMessaging {
     name: String,
     addr: SocketAddr,
     clock: Clock,
@@ -51,36 +54,36 @@
     share: RefCell<SharedLimit>,
     probes: RefCell<ProbeCoordinator>,
     dispatcher: Rc<Dispatcher>,
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    next_round: Cell<u64>,
-    left: Notify,
+    next_round_ms: Cell<u64>,
+    stop: Notify,
 }
 
-/// The wire of one call.
-struct Sends<'a> {
+/// Sends on the socket, and collects received messages until they are handled.
+struct PeerWire<'a> {
     socket: &'a UdpSocket,
-    heard: Vec<(MemberId, Vec<u8>)>,
+    received: Vec<(MemberId, Vec<u8>)>,
 }
 
-impl Transport for Sends<'_> {
+impl Transport for PeerWire<'_> {
     fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
-        // A full buffer loses it, as any path may.
+        // A datagram that does not fit into the send buffer is lost, like one lost on the network.
         let _ = self.socket.try_send_to(datagram, to);
     }
     fn deliver(&mut self, from: &MemberId, word: &[u8]) {
-        self.heard.push((from.clone(), word.to_vec()));
+        self.received.push((from.clone(), word.to_vec()));
     }
 }
 
-impl Words {
+impl PeerMessaging {
     pub fn new(
         config: Config,
         name: String,
         (number, fleet): (u32, u32),
         seed: u64,
         dispatcher: Rc<Dispatcher>,
-        counts: Rc<Counts>,
+        counts: Rc<Metrics>,
     ) -> Self {
         let clock = dispatcher.clock;
         let now = ms(clock.now());
@@ -88,58 +91,61 @@
         let settings =
             Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet_size: fleet, rng_seed: seed };
         let mut share = SharedLimit::new(now, now, fleet, seed);
-        Words {
+        PeerMessaging {
             name,
             addr: config.listen,
             clock,
             member: RefCell::new(Member::new(now, settings)),
-            next_round: Cell::new(now + share.first_round_delay_ms()),
+            next_round_ms: Cell::new(now + share.first_round_delay_ms()),
             share: RefCell::new(share),
             probes: RefCell::new(ProbeCoordinator::new(number, seed)),
             dispatcher,
             counts,
             socket: RefCell::default(),
-            left: Notify::new(),
+            stop: Notify::new(),
         }
     }
 
-    /// Speaks and hears for as long as we serve.
-    pub async fn speak(&self) {
-        let socket = self.open().await;
-        let mut buffer = [0; DATAGRAM];
-        let mut not_before = 0;
+    /// Sends and receives until `leave` is called.
+    pub async fn run(&self) {
+        let socket = self.bind().await;
+        let mut buffer = [0; RECV_BUFFER_BYTES];
+        let mut next_tick_ms = 0;
         loop {
-            let due = self.member.borrow().next_tick_at().min(self.next_round.get()).max(not_before);
-            let at = self.clock.instant(due as Micros * 1_000);
-            let mut wire = Sends { socket: &socket, heard: Vec::new() };
+            let due = self.member.borrow().next_tick_at().min(self.next_round_ms.get()).max(next_tick_ms);
+            let at = self.clock.instant_at(due as Micros * 1_000);
+            let mut wire = PeerWire { socket: &socket, received: Vec::new() };
             tokio::select! {
-                came = socket.recv_from(&mut buffer) => {
-                    if let Ok((bytes, _)) = came {
+                received = socket.recv_from(&mut buffer) => {
+                    if let Ok((bytes, _)) = received {
                         self.member.borrow_mut().handle_datagram(self.now(), &buffer[..bytes], &mut wire);
                     }
                 }
                 () = sleep_until(at) => {}
-                // Danger: held on to, the address would keep whoever takes our place from speaking.
-                () = self.left.notified() => return,
+                // Danger: if the socket stayed bound, a successor could not bind the address and would send
+                // no messages.
+                () = self.stop.notified() => return,
             }
             let now = self.now();
             if now >= due {
-                not_before = now + STEP;
+                next_tick_ms = now + MIN_TICK_INTERVAL_MS;
                 self.member.borrow_mut().tick(now, &mut wire);
             }
-            if now >= self.next_round.get() {
-                self.next_round.set(now + ROUND_MS);
-                self.round(now, &mut wire);
+            if now >= self.next_round_ms.get() {
+                self.next_round_ms.set(now + ROUND_MS);
+                self.run_round(now, &mut wire);
             }
-            self.answers(now, &mut wire);
+            self.handle_received(now, &mut wire);
         }
     }
 
-    /// Danger: on a hand-over a former process speaks there still; the fleet must not hear two under one number.
-    async fn open(&self) -> Rc<UdpSocket> {
-        // Ours, where this starts again.
+    /// Binds the socket, and retries until the address is free. Danger: during a hand-over the earlier
+    /// process still sends from this address; two processes sending at once would appear to the fleet as two
+    /// members with the same number.
+    async fn bind(&self) -> Rc<UdpSocket> {
+        // The previous socket of this process, if the loop was restarted.
         drop(self.socket.take());
-        let mut told = false;
+        let mut is_logged = false;
         loop {
             match UdpSocket::bind(self.addr).await {
                 Ok(socket) => {
@@ -148,14 +154,14 @@
                     return socket;
                 }
                 Err(error) => {
-                    if !std::mem::replace(&mut told, true) {
-                        let held = error.kind() == io::ErrorKind::AddrInUse;
-                        let why = if held { "held by another process".into() } else { error.to_string() };
-                        say!("words at {}: {why}; tried again", self.addr);
+                    if !std::mem::replace(&mut is_logged, true) {
+                        let in_use = error.kind() == io::ErrorKind::AddrInUse;
+                        let why = if in_use { "in use by another process".into() } else { error.to_string() };
+                        log_line!("cannot bind {} for messages between proxies, will retry: {why}", self.addr);
                     }
                 }
             }
-            sleep(AGAIN).await;
+            sleep(BIND_RETRY_INTERVAL).await;
         }
     }
 
@@ -163,14 +169,15 @@
         ms(self.clock.now())
     }
 
-    fn round(&self, now: u64, wire: &mut Sends) {
+    /// Announces this proxy's demand and its probes, and applies the hints of others.
+    fn run_round(&self, now: u64, wire: &mut PeerWire) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
-        let wanted = self.dispatcher.granted(share.rate(now));
-        let (fetches, refused) = (self.counts.fetches.get(), self.counts.refused.get());
+        let wanted = self.dispatcher.set_origin_fetch_rate(share.rate(now));
+        let (fetches, refused) = (self.counts.origin_attempts.get(), self.counts.origin_refusals.get());
         let counted = FetchCounts { demanded: wanted, accepted: fetches.saturating_sub(refused), refused };
         let others = member.peers();
         let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
-        let silent = self.dispatcher.silent();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
         let (hints, probed) = self.probes.borrow_mut().run_round(now, &names, &numbers);
         for (node, hint) in hints {
@@ -178,7 +185,7 @@
                 ProbeHint::SkipFor(ms) => ms as Micros * 1_000,
                 ProbeHint::ProbeNow => 0,
             };
-            self.dispatcher.tried_by_others(&silent[node], time);
+            self.dispatcher.defer_probe(&silent[node], time);
         }
         let probed = probed.into_iter().map(|(to, word)| (to, word.encode()));
         let shared = share.run_round(now, counted, &numbers).into_iter().map(|(to, word)| (to, word.encode()));
@@ -189,8 +196,9 @@
         }
     }
 
-    fn answers(&self, now: u64, wire: &mut Sends) {
-        for (from, bytes) in std::mem::take(&mut wire.heard) {
+    /// Processes received messages, and answers those about shared limits.
+    fn handle_received(&self, now: u64, wire: &mut PeerWire) {
+        for (from, bytes) in std::mem::take(&mut wire.received) {
             if let Some(word) = probes::ProbeMessage::decode(&bytes) {
                 self.probes.borrow_mut().handle_message(now, from.number, &word);
                 continue;
@@ -203,21 +211,22 @@
         }
     }
 
-    /// We go: others need not find out.
+    /// Announces that this proxy leaves, so that the others need not detect it, and closes the socket.
     pub fn leave(&self) {
         if let Some(socket) = self.socket.take() {
-            let mut wire = Sends { socket: &socket, heard: Vec::new() };
+            let mut wire = PeerWire { socket: &socket, received: Vec::new() };
             self.member.borrow_mut().leave(self.now(), &mut wire);
-            self.left.notify_one();
+            self.stop.notify_one();
         }
     }
 
-    pub fn fleet(&self) -> Fleet {
+    /// The current status of the fleet.
+    pub fn status(&self) -> FleetStatus {
         let member = self.member.borrow();
-        let silent = self.dispatcher.silent();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
         let others: Vec<u32> = member.peers().iter().map(|other| other.number).collect();
-        Fleet {
+        FleetStatus {
             name: self.name.clone(),
             number: member.id().number,
             members: member.member_statuses(),
--- a/crates/flintwell/src/nodes/stream.rs
+++ b/crates/flintwell/src/nodes/stream.rs
@@ -1,4 +1,5 @@
-//! A socket that a connection's driver reads and writes, while somebody else holds it too.
+//! A TCP stream with shared ownership: a connection's driver reads and writes it while another owner holds
+//! the socket.
 
 use socket2::SockRef;
 use std::io;
@@ -9,9 +10,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-pub struct Shared(pub Rc<TcpStream>);
+/// A reference-counted TCP stream.
+pub struct SharedStream(pub Rc<TcpStream>);
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -27,7 +29,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -1,12 +1,14 @@
-//! Where requests meet the decision module: the module in its cell, the handles of the requests in hand, and
-//! the host's calls, which only reach a handle and never re-enter the module.
+//! Adapter between requests and the decision module.
+//!
+//! Holds the module and a handle for each request in flight. The module's calls to its host only leave a step for
+//! a handle and never re-enter the module.
 
 use crate::nodes::pool::Pool;
-use crate::process::clock::{Clock, Pulse};
-use crate::requests::watch::{Move, Watch};
-use crate::say;
+use crate::process::clock::{Clock, StallDetector};
+use crate::requests::shadow::{Move, ShadowPolicy};
+use crate::log_line;
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::RefCell;
@@ -17,11 +19,11 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, timeout_at};
 
-const STEP: Micros = 1_000; // us; between calls for the timer, as fine as the runtime's own
-const SETTLES: usize = 16; // turns of the runtime: its sockets', connections' and the list's own, also of a long list
-const FAR: Micros = 3_600_000_000; // us; a sleep without a timer, ended by the next one set
+const STEP: Micros = 1_000; // between timer calls; the resolution of the runtime's timers
+const SETTLES: usize = 16; // runtime turns in which sockets, connections and list are read, a long list included
+const FAR: Micros = 3_600_000_000; // sleep while no timer is set; setting one ends it
 
-/// What a request does next.
+/// The next step of a request.
 pub enum Step {
     Attempt { node: NodeId, allow_for: Micros },
     Refuse { stay_away: Micros },
@@ -34,13 +36,13 @@
     called: Notify,
 }
 
-/// What the module's calls reach.
+/// State that the module's calls to its host act on.
 struct Mailboxes {
     places: RefCell<HashMap<RequestId, Rc<Place>>>,
     timers: RefCell<BTreeSet<(Micros, u64)>>,
     timer_set: Notify,
     pool: Rc<Pool>,
-    watch: Option<Rc<Watch>>,
+    watch: Option<Rc<ShadowPolicy>>,
 }
 
 impl Mailboxes {
@@ -58,7 +60,7 @@
                 place.next.replace(Some(step));
                 place.called.notify_one();
             }
-            None => say!("a step for request {request}, which is not in hand"),
+            None => log_line!("decision module returned a step for request {request}, which is not in flight"),
         }
     }
 }
@@ -66,7 +68,7 @@
 struct HostCalls(Rc<Mailboxes>);
 
 impl Host for HostCalls {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
         self.0.call(request, Step::Attempt { node: node.clone(), allow_for });
     }
     fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
@@ -78,17 +80,18 @@
     fn close_idle(&mut self, node: &NodeId) {
         self.0.pool.close_idle(node);
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.0.timers.borrow_mut().insert((at, label));
         self.0.timer_set.notify_one();
     }
-    /// It is watched from the process's start, whenever the module would ask for it.
-    fn watch_list(&mut self) {}
+    /// The list is watched from the process's start, so there is nothing to do.
+    fn subscribe_to_list(&mut self) {}
 }
 
+/// Owns the decision module and passes events to it.
 pub struct Dispatcher {
     pub clock: Clock,
-    pub pulse: Pulse,
+    pub stall_detector: StallDetector,
     module: RefCell<Policy<HostCalls>>,
     mailboxes: Rc<Mailboxes>,
 }
@@ -99,7 +102,7 @@
         settings: Settings,
         seed: u64,
         pool: Rc<Pool>,
-        watch: Option<Rc<Watch>>,
+        watch: Option<Rc<ShadowPolicy>>,
     ) -> Self {
         let mailboxes = Rc::new(Mailboxes {
             places: RefCell::default(),
@@ -108,72 +111,76 @@
             pool,
             watch,
         });
-        let module = RefCell::new(Policy::start(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
-        Dispatcher { clock, pulse: Pulse::new(clock), module, mailboxes }
+        let module = RefCell::new(Policy::new(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
+        Dispatcher { clock, stall_detector: StallDetector::new(clock), module, mailboxes }
     }
 
-    /// Calls the module; nothing is awaited in there. False if it panicked. Danger: a panic in a call made
-    /// for the timer or the list would end those for good, and lose every request held.
-    fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&Watch)) -> bool {
+    /// Calls the module, and then the watched one with `watched`. False if the module panicked.
+    ///
+    /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
+    fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&ShadowPolicy)) -> bool {
         let done = catch_unwind(AssertUnwindSafe(|| call(&mut self.module.borrow_mut())));
         if done.is_err() {
-            say!("a call of the module panicked");
+            log_line!("decision module panicked during a call");
         }
-        // After the one that decides, and whatever became of that.
+        // After the deciding module, and also if that panicked.
         self.mailboxes.watch.as_deref().inspect(|watch| watched(watch));
         done.is_ok()
     }
 
-    pub fn list(&self, kind: ListKind, entries: Vec<Entry>) {
+    /// Passes a list, or changes to it, to the module.
+    pub fn apply_list_update(&self, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         let (now, copy) = (self.clock.now(), self.mailboxes.watch.as_ref().map(|_| entries.clone()));
-        let watched = |watch: &Watch| watch.list(now, kind, copy.unwrap_or_default());
-        self.module(|module| module.list(now, kind, entries), watched);
+        let watched = |watch: &ShadowPolicy| watch.list(now, kind, copy.unwrap_or_default());
+        self.module(|module| module.on_list_update(now, kind, entries), watched);
     }
 
-    /// Other settings from now on; the list has to be told again.
-    pub fn change(&self, settings: Settings) {
+    /// Switches to other settings; the list has to be passed again afterwards.
+    pub fn apply_settings(&self, settings: Settings) {
         let now = self.clock.now();
-        self.module(|module| module.change(now, settings), |_| ());
+        self.module(|module| module.apply_settings(now, settings), |_| ());
     }
 
-    /// Fetches a second that the fleet grants us from now on; how many requests were to be fetched so far.
-    pub fn granted(&self, rate: Option<f64>) -> u64 {
+    /// Sets the rate, in fetches per second, that the fleet grants this process. Returns how many fetches requests have
+    /// needed so far.
+    pub fn set_origin_fetch_rate(&self, rate: Option<f64>) -> u64 {
         let (now, mut wanted) = (self.clock.now(), 0);
-        self.module(|module| wanted = module.granted(now, rate), |_| ());
+        self.module(|module| wanted = module.set_origin_fetch_rate(now, rate), |_| ());
         wanted
     }
 
-    /// Caches that fell silent to us.
-    pub fn silent(&self) -> Vec<NodeId> {
-        self.module.borrow().silent()
+    /// Caches that have stopped answering this process.
+    pub fn silent_caches(&self) -> Vec<NodeId> {
+        self.module.borrow().silent_caches()
     }
 
-    /// Others try this node, for so long from now.
-    pub fn tried_by_others(&self, node: &NodeId, time: Micros) {
+    /// Other proxies probe this node for the next `time`.
+    pub fn defer_probe(&self, node: &NodeId, time: Micros) {
         let until = self.clock.now() + time;
-        self.module(|module| module.tried_by_others(node, until), |_| ());
+        self.module(|module| module.defer_probe(node, until), |_| ());
     }
 
-    /// After a standstill of ours, what has come meanwhile is read before anything is sent. Danger: a list that has come
-    /// tells of servers that leave, and a request decided on before it would still go there.
-    pub async fn settles(&self) {
-        if self.pulse.waited_from() < self.clock.now() {
+    /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
+    /// a request decided on before the stall could go to a server that a list, received but not read, says is leaving.
+    pub async fn catch_up_after_stall(&self) {
+        if self.stall_detector.queued_since() < self.clock.now() {
             for _ in 0..SETTLES {
                 yield_now().await;
             }
         }
     }
 
+    /// Whether this node is an origin.
     pub fn is_origin(&self, node: &NodeId) -> bool {
         self.module.borrow().is_origin(node)
     }
 
-    /// How many listed caches the module avoids now.
-    pub fn avoided(&self) -> usize {
-        self.module.borrow().avoided(self.clock.now())
+    /// Number of listed caches that the module avoids now.
+    pub fn count_avoided_caches(&self) -> usize {
+        self.module.borrow().count_avoided_caches(self.clock.now())
     }
 
-    /// A handle for a request; none while another of the same id is in hand.
+    /// A handle for a request; none while another request with the same id is in flight.
     pub fn handle(self: &Rc<Self>, id: RequestId) -> Option<RequestHandle> {
         let place = Rc::new(Place::default());
         let mut places = self.mailboxes.places.borrow_mut();
@@ -184,18 +191,18 @@
         Some(RequestHandle { dispatcher: self.clone(), id, place, attempts: 0, out: None, over: true })
     }
 
-    /// Calls the module at the times it asked for. Danger: a time that has passed, asked for again at each
-    /// call, would leave our one core nothing for the requests; so there is a step between calls.
-    pub async fn keep_time(&self) {
+    /// Calls the module at the times it asked for, with a minimum interval between calls. Without it, a module that asks
+    /// at each call for a time in the past would leave our single core no time for requests.
+    pub async fn run_timers(&self) {
         let mut not_before = 0;
         loop {
             let first =
                 self.mailboxes.timers.borrow().first().map_or(self.clock.now() + FAR, |timer| timer.0);
             tokio::select! {
-                () = sleep_until(self.clock.instant(first.max(not_before))) => {
+                () = sleep_until(self.clock.instant_at(first.max(not_before))) => {
                     let now = self.clock.now();
                     while let Some(label) = self.due(now) {
-                        self.module(|module| module.timer(now, label), |watch| watch.timer(now, label));
+                        self.module(|module| module.on_timer(now, label), |watch| watch.timer(now, label));
                     }
                     not_before = now + STEP;
                 }
@@ -211,8 +218,8 @@
     }
 }
 
-/// A request's place before the module. Dropped before the request is over, it tells the module that the
-/// client is gone and that the attempt out, if any, was cancelled.
+/// A request's connection to the module. If it is dropped before the request is over, the module is told that the client
+/// is gone and that the attempt in flight, if any, was cancelled.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
     id: RequestId,
@@ -223,25 +230,26 @@
 }
 
 impl RequestHandle {
-    pub fn arrives(&mut self, arrival: Arrival) {
+    /// Passes the request to the module.
+    pub fn arrives(&mut self, arrival: IncomingRequest) {
         self.over = false;
         let now = self.dispatcher.clock.now();
         let copy = self.dispatcher.mailboxes.watch.as_ref().map(|watch| {
             watch.expects(&self.id);
             arrival.clone()
         });
-        let watched = |watch: &Watch| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
-        self.or_fail(self.dispatcher.module(|module| module.request_arrives(now, arrival), watched));
+        let watched = |watch: &ShadowPolicy| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
+        self.or_fail(self.dispatcher.module(|module| module.on_request(now, arrival), watched));
     }
 
-    /// A request that the module could not decide on is failed.
+    /// Fails the request if the module could not decide on it.
     fn or_fail(&self, decided: bool) {
         if !decided {
             self.dispatcher.mailboxes.call(&self.id, Step::Fail);
         }
     }
 
-    /// The module's next word; none by the deadline.
+    /// Waits for the module's next step; none if there is none by the deadline.
     pub async fn next(&mut self, deadline: Micros) -> Option<Step> {
         let word = async {
             loop {
@@ -251,38 +259,40 @@
                 self.place.called.notified().await;
             }
         };
-        let step = timeout_at(self.dispatcher.clock.instant(deadline), word).await.ok()?;
+        let step = timeout_at(self.dispatcher.clock.instant_at(deadline), word).await.ok()?;
         self.over = !matches!(step, Step::Attempt { .. });
         Some(step)
     }
 
+    /// Records that the attempt at this node is in flight.
     pub fn sends(&mut self, node: &NodeId) {
         self.out = Some(node.clone());
     }
 
-    /// How the attempt that is out has ended, after `wait`.
-    pub fn ended(&mut self, ending: Ending, wait: Micros, first: bool) {
+    /// Reports to the module how the attempt in flight has ended, after `wait`.
+    pub fn ended(&mut self, ending: AttemptStatus, wait: Micros, first: bool) {
         let Some(node) = self.out.take() else { return };
-        self.over |= ending == Ending::Served;
-        let outcome = Outcome { number: self.attempts, ending, wait, settled: self.over, first };
+        self.over |= ending == AttemptStatus::Served;
+        let outcome = AttemptOutcome { attempt_index: self.attempts, status: ending, latency: wait, request_finished: self.over, first_on_connection: first };
         self.attempts += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
-        let watched = |watch: &Watch| watch.outcome(now, id, &node, outcome);
-        self.or_fail(self.dispatcher.module(|module| module.outcome(now, id, &node, outcome), watched));
+        let watched = |watch: &ShadowPolicy| watch.outcome(now, id, &node, outcome);
+        self.or_fail(self.dispatcher.module(|module| module.on_attempt_outcome(now, id, &node, outcome), watched));
     }
 }
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
         let (now, id) = (self.dispatcher.clock.now(), self.id.clone());
-        // Danger: an attempt that the module has told and nobody has taken yet would count as out for good.
+        // If the module has chosen an attempt and the step was not taken yet, the module would count that attempt as in
+        // flight for good. So it is reported as cancelled below.
         if let Some(Step::Attempt { node, .. }) = self.place.next.take() {
             self.out.get_or_insert(node);
         }
         if !std::mem::replace(&mut self.over, true) {
-            self.dispatcher.module(|module| module.request_gone(now, &id), |watch| watch.gone(now, &id));
+            self.dispatcher.module(|module| module.on_request_closed(now, &id), |watch| watch.gone(now, &id));
         }
-        self.ended(Ending::Cancelled, 0, false);
+        self.ended(AttemptStatus::Cancelled, 0, false);
         self.dispatcher.mailboxes.watch.as_deref().inspect(|watch| watch.over(now, &id));
         self.dispatcher.mailboxes.places.borrow_mut().remove(&self.id);
     }
--- a/crates/flintwell/src/requests/front.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -1,18 +1,18 @@
-//! The client-facing service: health, else decode, serve, encode.
+//! The client-facing service: readiness check, or else decode, serve and encode.
 
 use crate::clients::answer::Answer;
-use crate::clients::body::Budget;
+use crate::clients::body::BufferBudget;
 use crate::clients::decode::ClientRequest;
 use crate::clients::framing::Framing;
-use crate::clients::presence::Presence;
+use crate::clients::client_socket::ClientSocket;
 use crate::fleet::lease::ListLease;
-use crate::nodes::attempt::Attempts;
-use crate::nodes::relay::Content;
-use crate::process::live::Live;
+use crate::nodes::attempt::AttemptService;
+use crate::nodes::response_body::ResponseBody;
+use crate::process::reloadable::Reloadable;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::request;
-use crate::staff::counts::Counts;
+use crate::management::metrics::Metrics;
 use flintwell_settings::Network;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
@@ -24,31 +24,33 @@
 use std::task::{Context, Poll};
 use tower::Service;
 
+/// Service for the messages of one client connection.
 #[derive(Clone)]
-pub struct Front {
+pub struct ClientService {
     pub dispatcher: Rc<Dispatcher>,
-    pub attempts: Attempts,
-    pub counts: Rc<Counts>,
-    pub network: Rc<Live<Network>>,
-    pub budget: Rc<Budget>,
+    pub attempts: AttemptService,
+    pub counts: Rc<Metrics>,
+    pub network: Rc<Reloadable<Network>>,
+    pub budget: Rc<BufferBudget>,
     pub lease: Rc<ListLease>,
     pub shutdown: Shutdown,
-    /// Of the connection that it serves.
-    pub client: Presence,
+    /// The client's side of the connection that is served.
+    pub client: ClientSocket,
 }
 
-impl Front {
+impl ClientService {
     async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Answer {
         if request.uri().path() == "/health/ready" {
-            // Danger: clients that come before any list is in force are refused, where others could serve them.
-            return Answer::Ready(self.lease.ready() && !self.shutdown.begun());
+            // Before any list is in force requests would be refused here, although another proxy could serve them.
+            return Answer::Ready(self.lease.is_ready() && !self.shutdown.has_begun());
         }
         let client = self.client.clone();
         match ClientRequest::decode(request, framing, &self.network.get(), &self.budget, client).await {
-            // It came slowly, or crossed the closing; a successor has longer to answer it than we have.
-            Ok(request) if self.shutdown.succeeded() => {
+            // The request arrived slowly, or while its connection was being closed. The successor has more time left
+            // to answer a retry than this process has.
+            Ok(request) if self.shutdown.has_successor() => {
                 let answer = Answer::Refused { stay_away: 0 };
-                answer.end().inspect(|&end| self.counts.ended(request.class, end));
+                answer.end().inspect(|&end| self.counts.record_outcome(request.class, end));
                 answer
             }
             Ok(request) => {
@@ -59,8 +61,8 @@
     }
 }
 
-impl Service<Request<Incoming>> for Front {
-    type Response = Response<Content>;
+impl Service<Request<Incoming>> for ClientService {
+    type Response = Response<ResponseBody>;
     type Error = Infallible;
     type Future = LocalBoxFuture<'static, Result<Self::Response, Infallible>>;
 
@@ -72,11 +74,12 @@
         let front = self.clone();
         Box::pin(async move {
             let framing = request.extensions().get().copied().unwrap_or(Framing::Doubtful);
-            // A panic stops here: the request it struck is failed, the others go on.
+            // A panic is contained: its request fails, the others go on.
             let answered = AssertUnwindSafe(front.answer(request, framing)).catch_unwind().await;
             let answer = answered.unwrap_or(Answer::Failed);
-            // Danger: what comes behind a chunked body is not told apart by its raw bytes.
-            Ok(answer.encode(front.shutdown.begun() || framing == Framing::Coded))
+            // Messages after a chunked body cannot be told apart in the raw bytes, so their framing could not be
+            // checked. The connection is closed instead.
+            Ok(answer.encode(front.shutdown.has_begun() || framing == Framing::Coded))
         })
     }
 }
