--- a/crates/flintwell-list-watch/src/backoff.rs
+++ b/crates/flintwell-list-watch/src/backoff.rs
@@ -95,7 +95,11 @@
     /// Time for which calls have failed; grows with its square beyond [`LONG_OUTAGE_US`].
     pub fn age(&self, now: Micros) -> Micros {
         let age = self.since.map_or(0, |since| (now - since).clamp(0, MAX_AGE_US));
-        if age <= LONG_OUTAGE_US { age } else { age / 1_000 * (age / 1_000) / (LONG_OUTAGE_US / 1_000) * 1_000 }
+        if age <= LONG_OUTAGE_US {
+            age
+        } else {
+            age / 1_000 * (age / 1_000) / (LONG_OUTAGE_US / 1_000) * 1_000
+        }
     }
 
     /// Resets the state, when an answer has arrived or discovery was unreachable: earlier failures then say
--- a/crates/flintwell-list-watch/src/lib.rs
+++ b/crates/flintwell-list-watch/src/lib.rs
@@ -15,7 +15,7 @@
 pub use backoff::Failure;
 pub use lease::{Basis, Lease, MAX_PROPAGATION_US};
 pub use starts::NodeStarts;
-pub use watch::{Call, WatchConfig, Watch};
+pub use watch::{Call, Watch, WatchConfig};
 
 /// Whole microseconds: an instant or a duration.
 pub type Micros = i64;
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -4,7 +4,7 @@
 //! wait of a watch, the margin after it and the calls that replace a lost one fit together into a lease.
 
 use crate::Micros;
-use crate::backoff::{Failure, Failures, FleetPosition, may_be_unreachable, frame_within, was_queued};
+use crate::backoff::{Failure, Failures, FleetPosition, frame_within, may_be_unreachable, was_queued};
 use crate::lease::{Basis, Lease};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -147,7 +147,9 @@
         }
         let timeout = match (self.failures.count, self.last_failure) {
             // This call may be lost as well, so the lease must leave time for another.
-            (1, Some(Failure::Silent)) => (self.lease.remaining(now) / 2).clamp(MIN_CALL_TIMEOUT_US, CALL_TIMEOUT_US),
+            (1, Some(Failure::Silent)) => {
+                (self.lease.remaining(now) / 2).clamp(MIN_CALL_TIMEOUT_US, CALL_TIMEOUT_US)
+            }
             // Danger: a caller that leaves the queue of a busy discovery early has cost it a call and got
             // nothing. A time limit that shrank with the age of the list fell below the wait in a full queue,
             // and no proxy was ever answered again.
--- a/crates/flintwell-list-watch/tests/fleet.rs
+++ b/crates/flintwell-list-watch/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time whose open watches all lose their answers at once, before a discovery that
 //! processes calls in turn.
 
-use flintwell_list_watch::{Failure, WatchConfig, Lease, Micros, MAX_PROPAGATION_US, Watch};
+use flintwell_list_watch::{Failure, Lease, MAX_PROPAGATION_US, Micros, Watch, WatchConfig};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -25,7 +25,13 @@
 
 /// Runs the fleet; returns the calls per proxy and minute, and how many proxies got the change after it had
 /// taken effect.
-fn simulate(pushed: bool, fleet: u32, time_per_new_call: Micros, faults_after: Faults, seed: u64) -> (f64, usize) {
+fn simulate(
+    pushed: bool,
+    fleet: u32,
+    time_per_new_call: Micros,
+    faults_after: Faults,
+    seed: u64,
+) -> (f64, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (mut busy_until, mut calls, mut late, mut down_from) = (0, 0, 0, Micros::MAX);
     let mut watches: Vec<Watch> = (0..fleet)
@@ -69,7 +75,12 @@
             continue;
         }
         // Discovery processes the call when its turn comes.
-        busy_until = now.max(busy_until) + if continues_watch { time_per_new_call / CONTINUED_CALLS_PER_NEW_CALL } else { time_per_new_call };
+        busy_until = now.max(busy_until)
+            + if continues_watch {
+                time_per_new_call / CONTINUED_CALLS_PER_NEW_CALL
+            } else {
+                time_per_new_call
+            };
         if busy_until - now > call.timeout {
             due.insert((watch.on_failure(now + call.timeout, Failure::Silent).max(now + 1), n, false));
             continue;
@@ -98,7 +109,8 @@
     for pushed in [false, true] {
         for fleet in [1, 2, 6, 60, 350, 1_024] {
             for seed in 0..20 {
-                let (calls, late) = simulate(pushed, fleet, time_per_call(fleet, 4 * S).min(130_000), no_faults, seed);
+                let (calls, late) =
+                    simulate(pushed, fleet, time_per_call(fleet, 4 * S).min(130_000), no_faults, seed);
                 assert_eq!(late, 0, "{fleet} proxies, pushed {pushed}, seed {seed}");
                 assert!(calls < 27.0, "{calls} calls per proxy and minute, {fleet} proxies");
             }
@@ -124,7 +136,12 @@
 #[test]
 fn retries_come_within_the_drain_grace_if_lists_are_pushed_and_are_spread_over_the_fleet_otherwise() {
     let watch = |pushed, fleet, grace, seed: u64| {
-        Watch::new(0, WatchConfig { pushed, fleet_size: fleet, index: seed as u32, drain_grace: grace }, Lease::restored(0, 0), seed)
+        Watch::new(
+            0,
+            WatchConfig { pushed, fleet_size: fleet, index: seed as u32, drain_grace: grace },
+            Lease::restored(0, 0),
+            seed,
+        )
     };
     // A reset that hits all at once: the calls are evenly spread, and the last one comes soon enough.
     let ends: Vec<Micros> = (0..350)
@@ -155,8 +172,12 @@
 
 #[test]
 fn calls_do_not_wait_after_a_lost_one_until_one_is_answered() {
-    let mut watch =
-        Watch::new(0, WatchConfig { pushed: false, fleet_size: 350, index: 0, drain_grace: 0 }, Lease::restored(0, 0), 1);
+    let mut watch = Watch::new(
+        0,
+        WatchConfig { pushed: false, fleet_size: 350, index: 0, drain_grace: 0 },
+        Lease::restored(0, 0),
+        1,
+    );
     let first = watch.begin_call(0, false);
     assert!(first.wait >= 2 * S && first.timeout < first.wait + S);
     watch.on_failure(first.timeout, Failure::Silent);
--- a/crates/flintwell-list-watch/tests/lease.rs
+++ b/crates/flintwell-list-watch/tests/lease.rs
@@ -1,6 +1,6 @@
 //! How long a list may be used, and which failures show that discovery was unreachable.
 
-use flintwell_list_watch::{Basis, Failure, WatchConfig, Lease, Micros, MAX_PROPAGATION_US, Watch};
+use flintwell_list_watch::{Basis, Failure, Lease, MAX_PROPAGATION_US, Micros, Watch, WatchConfig};
 
 const S: Micros = 1_000_000; // microseconds in a second
 
@@ -14,7 +14,10 @@
 fn a_list_is_valid_until_changes_it_may_lack_take_effect() {
     for pushed in [false, true] {
         let mut watch = watch(pushed);
-        assert!(watch.lease().is_valid(100 * S + MAX_PROPAGATION_US - 1) && !watch.lease().is_valid(100 * S + MAX_PROPAGATION_US));
+        assert!(
+            watch.lease().is_valid(100 * S + MAX_PROPAGATION_US - 1)
+                && !watch.lease().is_valid(100 * S + MAX_PROPAGATION_US)
+        );
         watch.begin_call(101 * S, false);
         watch.on_answer(103 * S);
         assert_eq!(watch.lease().expires_at(), Some(103 * S + MAX_PROPAGATION_US));
@@ -96,7 +99,10 @@
     let mut answered = new_watch();
     answered.begin_call(101 * S, false);
     answered.on_answer(101 * S);
-    assert_eq!((answered.lease().expires_at(), answered.lease().basis()), (Some(101 * S + MAX_PROPAGATION_US), Basis::Answer));
+    assert_eq!(
+        (answered.lease().expires_at(), answered.lease().basis()),
+        (Some(101 * S + MAX_PROPAGATION_US), Basis::Answer)
+    );
     let mut unreachable = new_watch();
     unreachable.on_connecting(101 * S);
     unreachable.on_failure(102 * S, Failure::Unreachable);
@@ -124,7 +130,8 @@
 fn the_first_call_is_due_within_a_second_for_any_fleet_size() {
     for fleet in [1, 2, 32, 300, 1_024] {
         let config = |index| WatchConfig { pushed: false, fleet_size: fleet, index, drain_grace: 0 };
-        let first = |index| Watch::new(0, config(index), Lease::unconfirmed(), 1).first_call_at(123_456) - 123_456;
+        let first =
+            |index| Watch::new(0, config(index), Lease::unconfirmed(), 1).first_call_at(123_456) - 123_456;
         assert!((0..fleet).map(first).all(|wait| (0..S).contains(&wait)), "{fleet} proxies");
     }
 }
@@ -137,7 +144,11 @@
         outage.begin_call((100 + second) * S, false);
         outage.on_failure((101 + second) * S, Failure::Refused);
     }
-    assert_eq!(outage.lease().expires_at(), initial.expires_at().map(|at| at + MAX_PROPAGATION_US), "after any number of refusals");
+    assert_eq!(
+        outage.lease().expires_at(),
+        initial.expires_at().map(|at| at + MAX_PROPAGATION_US),
+        "after any number of refusals"
+    );
     // A discovery that refuses at once is up but overloaded, so its changes take effect, also behind a slow
     // path.
     for dial in [20_000, 300_000] {
--- a/crates/flintwell-list-watch/tests/overload.rs
+++ b/crates/flintwell-list-watch/tests/overload.rs
@@ -2,7 +2,7 @@
 //! proxy. From every initial state the fleet's call rate must settle below discovery's capacity, and every
 //! proxy must get its answer.
 
-use flintwell_list_watch::{Failure, WatchConfig, Lease, Micros, Watch};
+use flintwell_list_watch::{Failure, Lease, Micros, Watch, WatchConfig};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -164,8 +164,9 @@
     let fleets = [1, 6, 32, 300, 1_024];
     let runs =
         fleets.iter().flat_map(|&fleet| (0..if fleet < 100 { 3 } else { 1 }).map(move |seed| (fleet, seed)));
-    let times: Option<Vec<Micros>> =
-        runs.map(|(fleet, seed)| simulate(pushed, fleet, round, overload, start, seed).answered_after).collect();
+    let times: Option<Vec<Micros>> = runs
+        .map(|(fleet, seed)| simulate(pushed, fleet, round, overload, start, seed).answered_after)
+        .collect();
     times.and_then(|times| times.into_iter().max())
 }
 
@@ -177,7 +178,10 @@
         for start in STARTS {
             for round in [1, 3, 5, 8, 15, 30].map(|seconds| seconds * S) {
                 let answered_at = longest_time(pushed, round, overload, start);
-                println!("{overload:?}, {start:?}: round {} s, all answered after {answered_at:?} us", round / S);
+                println!(
+                    "{overload:?}, {start:?}: round {} s, all answered after {answered_at:?} us",
+                    round / S
+                );
                 let timeout = answered_at.is_some_and(|answered_at| answered_at <= max_time(round));
                 assert!(timeout, "{overload:?}, {start:?}, round {round} us: {answered_at:?}");
             }
--- a/crates/flintwell-membership/src/datagram.rs
+++ b/crates/flintwell-membership/src/datagram.rs
@@ -159,7 +159,8 @@
             dropped.unknown += 1;
             return None;
         }
-        let new_sender = Sender { generation, highest_sequence: 0, received: 0, tokens: MAX_BURST, refilled_at: now };
+        let new_sender =
+            Sender { generation, highest_sequence: 0, received: 0, tokens: MAX_BURST, refilled_at: now };
         let sender = self.senders.entry(from).or_insert(new_sender);
         // Danger: a delayed or replayed datagram of an earlier generation would revive the state that it
         // announced then.
--- a/crates/flintwell-membership/src/datagram/tests.rs
+++ b/crates/flintwell-membership/src/datagram/tests.rs
@@ -10,22 +10,50 @@
     let (mut receiver, mut sender) = (codec(0, 5, b"key"), codec(1, 7, b"key"));
     let datagram = sender.seal(PayloadKind::Message, b"hello").expect("short enough");
     let opened = receiver.open(0, &datagram).expect("valid datagram");
-    assert_eq!((opened.kind, opened.from, opened.generation, opened.body), (PayloadKind::Message, 1, 7, &b"hello"[..]));
+    assert_eq!(
+        (opened.kind, opened.from, opened.generation, opened.body),
+        (PayloadKind::Message, 1, 7, &b"hello"[..])
+    );
     assert!(receiver.open(0, &datagram).is_none(), "a replay");
-    let datagrams: Vec<_> = (0..70).map(|n| sender.seal(PayloadKind::Message, &[n]).expect("short")).collect();
-    assert!(receiver.open(0, &datagrams[69]).is_some() && receiver.open(0, &datagrams[30]).is_some(), "reordered within the replay window");
-    assert!(receiver.open(0, &datagrams[30]).is_none() && receiver.open(0, &datagrams[2]).is_none(), "a duplicate, and one too old for the window");
+    let datagrams: Vec<_> =
+        (0..70).map(|n| sender.seal(PayloadKind::Message, &[n]).expect("short")).collect();
+    assert!(
+        receiver.open(0, &datagrams[69]).is_some() && receiver.open(0, &datagrams[30]).is_some(),
+        "reordered within the replay window"
+    );
+    assert!(
+        receiver.open(0, &datagrams[30]).is_none() && receiver.open(0, &datagrams[2]).is_none(),
+        "a duplicate, and one too old for the window"
+    );
     let mut changed = datagrams[40].clone();
     changed[28] ^= 1;
-    assert!(receiver.open(0, &changed).is_none() && receiver.open(0, &datagram[..datagram.len() - 1]).is_none());
+    assert!(
+        receiver.open(0, &changed).is_none() && receiver.open(0, &datagram[..datagram.len() - 1]).is_none()
+    );
     assert!(
         receiver.open(0, &codec(1, 6, b"key").seal(PayloadKind::Message, b"").expect("short")).is_none(),
         "an earlier generation"
     );
-    assert!(receiver.open(0, &codec(1, 9, b"other").seal(PayloadKind::Message, b"").expect("short")).is_none());
+    assert!(
+        receiver.open(0, &codec(1, 9, b"other").seal(PayloadKind::Message, b"").expect("short")).is_none()
+    );
     assert!(receiver.open(0, &codec(1, 9, b"").seal(PayloadKind::Message, b"").expect("short")).is_none());
-    assert!(receiver.open(0, &DatagramCodec::new("d", b"key", 8, 1, 9).seal(PayloadKind::Message, b"").expect("short")).is_none());
-    assert!(receiver.open(0, &DatagramCodec::new("c", b"key", 99, 9, 9).seal(PayloadKind::Message, b"").expect("short")).is_none());
+    assert!(
+        receiver
+            .open(
+                0,
+                &DatagramCodec::new("d", b"key", 8, 1, 9).seal(PayloadKind::Message, b"").expect("short")
+            )
+            .is_none()
+    );
+    assert!(
+        receiver
+            .open(
+                0,
+                &DatagramCodec::new("c", b"key", 99, 9, 9).seal(PayloadKind::Message, b"").expect("short")
+            )
+            .is_none()
+    );
     let mut other_version = datagrams[41].clone();
     other_version[0] = 2;
     assert!(receiver.open(0, &other_version).is_none() && receiver.open(0, &[1; 300]).is_none());
@@ -50,7 +78,10 @@
         let datagram = sender.seal(PayloadKind::Membership, &[0; 100]).expect("short");
         accepted += u64::from(receiver.open(ms, &datagram).is_some());
     }
-    assert!((600..=MAX_BURST + 600).contains(&accepted), "{accepted} of 10000 datagrams accepted in ten seconds");
+    assert!(
+        (600..=MAX_BURST + 600).contains(&accepted),
+        "{accepted} of 10000 datagrams accepted in ten seconds"
+    );
 }
 
 proptest! {
--- a/crates/flintwell-membership/src/lib.rs
+++ b/crates/flintwell-membership/src/lib.rs
@@ -3,5 +3,5 @@
 //! 2002) as implemented by the `foca` library. This crate adds datagram framing and authentication, size and
 //! rate limits, and protection of the other members against a local process pause.
 
-pub mod member;
 pub mod datagram;
+pub mod member;
--- a/crates/flintwell-membership/src/member.rs
+++ b/crates/flintwell-membership/src/member.rs
@@ -1,7 +1,7 @@
 //! One fleet member: takes received datagrams and the time, sends datagrams and tracks which members are
 //! alive.
 
-use crate::datagram::{MAX_BODY_BYTES, DropCounts, PayloadKind, DatagramCodec};
+use crate::datagram::{DatagramCodec, DropCounts, MAX_BODY_BYTES, PayloadKind};
 use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, State, Timer};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -57,7 +57,7 @@
 pub trait Transport {
     /// Sends one datagram; it may be lost.
     fn send(&mut self, to: SocketAddr, datagram: &[u8]);
-    /// Delivers a message that a member sent with [`Member::tells`].
+    /// Delivers a message that a member sent with [`Member::send_message`].
     fn deliver(&mut self, from: &MemberId, message: &[u8]);
 }
 
@@ -152,13 +152,15 @@
 /// Settings of the SWIM protocol for a fleet of this size.
 fn config(fleet_size: u32) -> Config {
     let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let periodic = |frequency, members| Some(foca::PeriodicParams { frequency, num_members: non_zero(members) });
+    let periodic =
+        |frequency, members| Some(foca::PeriodicParams { frequency, num_members: non_zero(members) });
     let mut config = Config::new_lan(NonZeroU32::new(fleet_size).unwrap_or(NonZeroU32::MIN));
     config.probe_period = PROBE_PERIOD;
     config.probe_rtt = PROBE_TIMEOUT;
     config.num_indirect_probes = non_zero(INDIRECT_PROBES);
     config.max_transmissions = NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN);
-    config.suspect_to_down_after = PROBE_PERIOD.mul_f64(SUSPICION_PERIODS_PER_DOUBLING * f64::from(fleet_size.max(2)).log2());
+    config.suspect_to_down_after =
+        PROBE_PERIOD.mul_f64(SUSPICION_PERIODS_PER_DOUBLING * f64::from(fleet_size.max(2)).log2());
     config.remove_down_after = Some(DOWN_RETENTION);
     config.max_packet_size = non_zero(MAX_BODY_BYTES);
     config.notify_down_members = true;
@@ -219,7 +221,8 @@
             self.next_seed_announce_at = now + SEED_ANNOUNCE_PERIOD_MS;
             // Danger: when all members start together, two groups may form whose members know only their own
             // group, and gossip never joins them. Announcing to unknown seeds does.
-            let known: Vec<SocketAddr> = self.protocol.iter_members().map(|member| member.id().addr).collect();
+            let known: Vec<SocketAddr> =
+                self.protocol.iter_members().map(|member| member.id().addr).collect();
             let unknown: Vec<SocketAddr> =
                 self.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect();
             if !unknown.is_empty() {
@@ -236,10 +239,12 @@
     pub fn handle_datagram(&mut self, now: u64, datagram: &[u8], transport: &mut impl Transport) {
         let Some(opened) = self.codec.open(now, datagram) else { return };
         match opened.kind {
-            PayloadKind::Message => match self.protocol.iter_members().find(|member| member.id().number == opened.from) {
-                Some(from) => transport.deliver(&from.id().clone(), opened.body),
-                None => self.codec.dropped.unknown += 1,
-            },
+            PayloadKind::Message => {
+                match self.protocol.iter_members().find(|member| member.id().number == opened.from) {
+                    Some(from) => transport.deliver(&from.id().clone(), opened.body),
+                    None => self.codec.dropped.unknown += 1,
+                }
+            }
             PayloadKind::Membership => {
                 let mut is_malformed = false;
                 self.run_protocol(now, transport, |protocol, actions| {
@@ -260,9 +265,16 @@
     }
 
     /// Frames and sends a body; drops it if it is too long.
-    fn send_datagram(&mut self, to: SocketAddr, kind: PayloadKind, body: &[u8], transport: &mut impl Transport) {
+    fn send_datagram(
+        &mut self,
+        to: SocketAddr,
+        kind: PayloadKind,
+        body: &[u8],
+        transport: &mut impl Transport,
+    ) {
         if let Some(datagram) = self.codec.seal(kind, body) {
-            (self.datagrams_sent, self.bytes_sent) = (self.datagrams_sent + 1, self.bytes_sent + datagram.len() as u64);
+            (self.datagrams_sent, self.bytes_sent) =
+                (self.datagrams_sent + 1, self.bytes_sent + datagram.len() as u64);
             transport.send(to, &datagram);
         }
     }
@@ -279,7 +291,8 @@
 
     /// The other members that are alive or suspect, by number.
     pub fn peers(&self) -> Vec<MemberId> {
-        let mut peers: Vec<MemberId> = self.protocol.iter_members().map(|member| member.id().clone()).collect();
+        let mut peers: Vec<MemberId> =
+            self.protocol.iter_members().map(|member| member.id().clone()).collect();
         peers.sort_by_key(|id| id.number);
         peers
     }
@@ -309,7 +322,12 @@
     }
 
     /// Calls the protocol, then sends what it asked to send and sets the timers it asked for.
-    fn run_protocol(&mut self, now: u64, transport: &mut impl Transport, call: impl FnOnce(&mut Protocol, &mut ProtocolActions)) {
+    fn run_protocol(
+        &mut self,
+        now: u64,
+        transport: &mut impl Transport,
+        call: impl FnOnce(&mut Protocol, &mut ProtocolActions),
+    ) {
         let mut actions = ProtocolActions::default();
         call(&mut self.protocol, &mut actions);
         self.declared_down += actions.declared_down;
--- a/crates/flintwell-membership/tests/fleet.rs
+++ b/crates/flintwell-membership/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets in virtual time over a simulated network that loses, duplicates and delays datagrams and can be
 //! partitioned.
 
-use flintwell_membership::member::{MemberId, Member, Settings, Transport};
+use flintwell_membership::member::{Member, MemberId, Settings, Transport};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -96,7 +96,8 @@
             // A member that resumes runs its timers before it reads the datagrams that wait: the worse order.
             for n in 0..self.members.len() {
                 let paused = self.paused.get(&n).is_some_and(|&until| self.now < until);
-                let mut transport = MemberTransport { from: n, flights: &mut flights, delivered: &mut self.delivered };
+                let mut transport =
+                    MemberTransport { from: n, flights: &mut flights, delivered: &mut self.delivered };
                 if let Some(member) =
                     self.members[n].as_mut().filter(|member| !paused && member.next_tick_at() <= self.now)
                 {
@@ -112,7 +113,8 @@
                     self.in_flight.insert((self.paused[&n], key.1), (0, to, datagram));
                     continue;
                 }
-                let mut transport = MemberTransport { from: n, flights: &mut flights, delivered: &mut self.delivered };
+                let mut transport =
+                    MemberTransport { from: n, flights: &mut flights, delivered: &mut self.delivered };
                 if let Some(member) = self.members.get_mut(n).and_then(Option::as_mut) {
                     member.handle_datagram(self.now, &datagram, &mut transport);
                 }
@@ -158,7 +160,11 @@
     let took_ms = network.run_until_converged(30_000);
     assert!(took_ms < 20_000, "converged after {took_ms} ms");
     network.run(60_000);
-    assert!(network.is_converged() && network.downs() == 0, "{} members declared down by lost datagrams alone", network.downs());
+    assert!(
+        network.is_converged() && network.downs() == 0,
+        "{} members declared down by lost datagrams alone",
+        network.downs()
+    );
     network.members[5] = None;
     let took_ms = network.run_until_converged(60_000);
     assert!((1_000..20_000).contains(&took_ms), "{took_ms} ms until all declared it down");
@@ -177,7 +183,11 @@
         network.in_flight.insert((now + 5, network.count), flight);
     }
     let took_ms = network.run_until_converged(20_000);
-    assert!(took_ms < 4_000 && network.delivered == 1, "{took_ms} ms after it announced that it leaves, {} messages delivered", network.delivered);
+    assert!(
+        took_ms < 4_000 && network.delivered == 1,
+        "{took_ms} ms after it announced that it leaves, {} messages delivered",
+        network.delivered
+    );
 }
 
 #[test]
@@ -220,7 +230,11 @@
         println!("{count}: converged after {took_ms} ms");
         assert!(network.is_converged(), "{count}: {:?}", network.known_peers());
         let sum = |network: &Network| {
-            network.members.iter().flatten().fold((0, 0), |sum, one| (sum.0 + one.datagrams_sent, sum.1 + one.bytes_sent))
+            network
+                .members
+                .iter()
+                .flatten()
+                .fold((0, 0), |sum, one| (sum.0 + one.datagrams_sent, sum.1 + one.bytes_sent))
         };
         let before = sum(&network);
         network.run(10_000);
@@ -237,7 +251,10 @@
         );
         assert!(took_ms < 45_000, "{took_ms}");
     }
-    assert!(rates_per_member[2].0 < rates_per_member[0].0 * 1.3 && rates_per_member[2].0 < 30.0, "{rates_per_member:?}");
+    assert!(
+        rates_per_member[2].0 < rates_per_member[0].0 * 1.3 && rates_per_member[2].0 < 30.0,
+        "{rates_per_member:?}"
+    );
 }
 
 /// Two groups that each know only their own members from the start can merge only through the seeds.
@@ -247,7 +264,11 @@
     network.is_cut = Box::new(|from, to| (from == 1 || from == 5) != (to == 1 || to == 5));
     network.run(1_500);
     network.is_cut = Box::new(|_, _| false);
-    assert!(network.known_peers().iter().any(|&known_peers| known_peers > 0), "the groups have formed: {:?}", network.known_peers());
+    assert!(
+        network.known_peers().iter().any(|&known_peers| known_peers > 0),
+        "the groups have formed: {:?}",
+        network.known_peers()
+    );
     let took_ms = network.run_until_converged(20_000);
     assert!(took_ms < 10_000, "{took_ms} ms, {:?}", network.known_peers());
 }
--- a/crates/flintwell-shared-limits/src/lib.rs
+++ b/crates/flintwell-shared-limits/src/lib.rs
@@ -4,5 +4,5 @@
 //! ([`loans`]). How many fetches per second a unit is worth is learned by the whole fleet from what the
 //! origin accepted and refused ([`limit`]).
 
-pub mod loans;
 pub mod limit;
+pub mod loans;
--- a/crates/flintwell-shared-limits/src/limit.rs
+++ b/crates/flintwell-shared-limits/src/limit.rs
@@ -7,7 +7,7 @@
 //! origin's capacity and the worth falls to it; while few are refused, the worth rises. Units are borrowed
 //! from members that have some to spare.
 
-use crate::loans::{UNITS_PER_MEMBER, RESERVED_UNITS, Loans};
+use crate::loans::{Loans, RESERVED_UNITS, UNITS_PER_MEMBER};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -62,21 +62,13 @@
     },
     /// Requests a loan of units.
     #[serde(rename = "Ask")]
-    LoanRequest {
-        loan: u64,
-        units: u32,
-    },
+    LoanRequest { loan: u64, units: u32 },
     /// Grants a loan.
     #[serde(rename = "Grant")]
-    LoanGrant {
-        loan: u64,
-        units: u32,
-    },
+    LoanGrant { loan: u64, units: u32 },
     /// Returns a loan before its end.
     #[serde(rename = "Back")]
-    LoanReturn {
-        loan: u64,
-    },
+    LoanReturn { loan: u64 },
 }
 
 impl LimitMessage {
@@ -91,10 +83,10 @@
         let message: LimitMessage = postcard::from_bytes(bytes).ok()?;
         let is_valid = |number: f32| number.is_finite() && number >= 0.0;
         match &message {
-            LimitMessage::Report { accepted, refused, worth, .. } => {
-                (is_valid(*accepted) && is_valid(*refused) && worth.is_none_or(|worth| is_valid(worth) && worth > 0.0))
-                    .then_some(message)
-            }
+            LimitMessage::Report { accepted, refused, worth, .. } => (is_valid(*accepted)
+                && is_valid(*refused)
+                && worth.is_none_or(|worth| is_valid(worth) && worth > 0.0))
+            .then_some(message),
             _ => Some(message),
         }
     }
@@ -215,7 +207,8 @@
             worth: self.worth.map(|worth| worth as f32),
             spare_units: self.spare_units(now),
         };
-        messages.extend(peers.choose_multiple(&mut self.rng, GOSSIP_FANOUT).map(|&peer| (peer, report.clone())));
+        messages
+            .extend(peers.choose_multiple(&mut self.rng, GOSSIP_FANOUT).map(|&peer| (peer, report.clone())));
         messages
     }
 
@@ -223,25 +216,36 @@
     fn update_worth(&mut self, now: u64) {
         let (accepted, refused) = (self.mean_accepted, self.mean_refused);
         let refused_share = refused / (accepted + refused).max(1e-9);
-        let overloaded = refused_share > OVERLOAD_REFUSED_SHARE && (accepted + refused) * self.fleet_size > MIN_FLEET_RATE;
+        let overloaded =
+            refused_share > OVERLOAD_REFUSED_SHARE && (accepted + refused) * self.fleet_size > MIN_FLEET_RATE;
         self.overloaded_since = overloaded.then(|| self.overloaded_since.unwrap_or(now));
         if refused_share > SPARE_REFUSED_SHARE {
             self.low_refusals_since = now;
         }
-        if self.overloaded_since.is_some_and(|since| now >= since + MIN_OVERLOAD_MS) && now >= self.no_decrease_until {
+        if self.overloaded_since.is_some_and(|since| now >= since + MIN_OVERLOAD_MS)
+            && now >= self.no_decrease_until
+        {
             // Danger: if nothing was accepted, the limit would fall to zero and nothing would be sent that
             // could raise it.
-            let capacity = (accepted * ACCEPTED_TO_LIMIT).max(MIN_FLEET_RATE / self.fleet_size) / f64::from(self.loans.base_units(now));
-            self.worth = Some(self.worth.map_or(capacity, |worth| capacity.clamp(worth * MIN_DECREASE_FACTOR, worth)));
+            let capacity = (accepted * ACCEPTED_TO_LIMIT).max(MIN_FLEET_RATE / self.fleet_size)
+                / f64::from(self.loans.base_units(now));
+            self.worth =
+                Some(self.worth.map_or(capacity, |worth| capacity.clamp(worth * MIN_DECREASE_FACTOR, worth)));
             self.no_decrease_until = now + DECREASE_HOLD_MS;
             // Danger: refusals from before this decrease would count against the new limit. While hardly
             // anything is sent they would never be averaged out, and the limit would keep falling.
             self.mean_refused = accepted * SPARE_REFUSED_SHARE;
         } else if let Some(worth) = self.worth.filter(|_| refused_share < SPARE_REFUSED_SHARE) {
-            let factor = if refused_share < CLEAR_REFUSED_SHARE { CLEAR_INCREASE_FACTOR } else { INCREASE_FACTOR };
+            let factor =
+                if refused_share < CLEAR_REFUSED_SHARE { CLEAR_INCREASE_FACTOR } else { INCREASE_FACTOR };
             let utilization = self.needed_units() as f64 / f64::from(UNITS_PER_MEMBER);
-            let removable = now >= self.low_refusals_since + LIMIT_REMOVAL_MS && utilization < MIN_UTILIZATION;
-            self.worth = if removable { None } else { Some(if utilization > MIN_UTILIZATION { worth * factor } else { worth }) };
+            let removable =
+                now >= self.low_refusals_since + LIMIT_REMOVAL_MS && utilization < MIN_UTILIZATION;
+            self.worth = if removable {
+                None
+            } else {
+                Some(if utilization > MIN_UTILIZATION { worth * factor } else { worth })
+            };
         }
     }
 
@@ -254,7 +258,8 @@
     /// Units that this proxy can lend.
     fn spare_units(&self, now: u64) -> u32 {
         // Borrowed units cannot be lent on, so they meet our own need first.
-        let needed_units = self.needed_units().saturating_sub(self.loans.borrowed_units_at(now)).max(RESERVED_UNITS);
+        let needed_units =
+            self.needed_units().saturating_sub(self.loans.borrowed_units_at(now)).max(RESERVED_UNITS);
         let own_units = self.loans.usable_units(now) - self.loans.borrowed_units_at(now);
         own_units.saturating_sub(needed_units).min(self.loans.lendable_units(now))
     }
@@ -267,15 +272,21 @@
         let keep = needed_units.saturating_sub(own_units);
         let returned = self.loans.return_loans(now, keep);
         messages.extend(returned.into_iter().map(|(owner, loan)| (owner, LimitMessage::LoanReturn { loan })));
-        let missing = needed_units.saturating_sub(own_units + self.loans.borrowed_units_at(now + RENEW_AHEAD_MS));
+        let missing =
+            needed_units.saturating_sub(own_units + self.loans.borrowed_units_at(now + RENEW_AHEAD_MS));
         if self.worth.is_none() || missing < MIN_LOAN_UNITS {
             return messages;
         }
         // Asks the peers that reported most spare units, then a random one.
-        let mut by_spare: Vec<(u32, u32)> = self.reported_spare.iter().map(|(&number, report)| (report.0, number)).collect();
+        let mut by_spare: Vec<(u32, u32)> =
+            self.reported_spare.iter().map(|(&number, report)| (report.0, number)).collect();
         by_spare.sort_unstable_by(|a, b| b.cmp(a));
-        let mut chosen: Vec<u32> =
-            by_spare.iter().filter(|entry| entry.0 >= MIN_LOAN_UNITS).take(LOAN_REQUESTS_PER_ROUND).map(|entry| entry.1).collect();
+        let mut chosen: Vec<u32> = by_spare
+            .iter()
+            .filter(|entry| entry.0 >= MIN_LOAN_UNITS)
+            .take(LOAN_REQUESTS_PER_ROUND)
+            .map(|entry| entry.1)
+            .collect();
         if chosen.len() < LOAN_REQUESTS_PER_ROUND {
             chosen.extend(
                 peers
@@ -288,7 +299,8 @@
         }
         for owner in chosen {
             if let Some(loan) = self.loans.request_loan(now, owner) {
-                messages.push((owner, LimitMessage::LoanRequest { loan, units: missing.min(UNITS_PER_MEMBER) }));
+                messages
+                    .push((owner, LimitMessage::LoanRequest { loan, units: missing.min(UNITS_PER_MEMBER) }));
             }
             // Other members ask for these units too, so the report is not used twice.
             self.reported_spare.remove(&owner);
@@ -305,10 +317,16 @@
                 self.mean_refused = (self.mean_refused + bounded(self.mean_refused, refused)) / 2.0;
                 if let Some(reported) = worth.map(f64::from) {
                     self.worth = Some(match self.worth {
-                        Some(own) => (own * reported).sqrt().clamp(own / MAX_REPORT_FACTOR, own * MAX_REPORT_FACTOR),
+                        Some(own) => {
+                            (own * reported).sqrt().clamp(own / MAX_REPORT_FACTOR, own * MAX_REPORT_FACTOR)
+                        }
                         // A member that has seen no refusals itself adopts a peer's worth while peers report
                         // refusals.
-                        None if self.mean_refused > SPARE_REFUSED_SHARE * (self.mean_accepted + self.mean_refused) => reported,
+                        None if self.mean_refused
+                            > SPARE_REFUSED_SHARE * (self.mean_accepted + self.mean_refused) =>
+                        {
+                            reported
+                        }
                         None => return self.record_spare(now, from, spare_units),
                     });
                 }
--- a/crates/flintwell-shared-limits/src/loans.rs
+++ b/crates/flintwell-shared-limits/src/loans.rs
@@ -56,7 +56,13 @@
     /// start under this member's number, so that loan numbers are never reused.
     pub fn new(now: u64, generation: u64) -> Self {
         let last_loan = generation << 20;
-        Loans { started_at: now, last_loan, lent: BTreeMap::new(), borrowed: BTreeMap::new(), requests: BTreeMap::new() }
+        Loans {
+            started_at: now,
+            last_loan,
+            lent: BTreeMap::new(),
+            borrowed: BTreeMap::new(),
+            requests: BTreeMap::new(),
+        }
     }
 
     /// Units that this member may use now, its own and borrowed ones.
@@ -71,7 +77,8 @@
 
     /// Own units that are not lent.
     fn unlent_units(&self, now: u64) -> u32 {
-        let lent: u32 = self.lent.values().filter(|entry| now < entry.expires_at).map(|entry| entry.units).sum();
+        let lent: u32 =
+            self.lent.values().filter(|entry| now < entry.expires_at).map(|entry| entry.units).sum();
         self.base_units(now).saturating_sub(lent)
     }
 
--- a/crates/flintwell-shared-limits/src/loans/tests.rs
+++ b/crates/flintwell-shared-limits/src/loans/tests.rs
@@ -5,15 +5,28 @@
 #[test]
 fn a_loan_starts_at_its_request_and_counts_once() {
     let (mut owner, mut borrower) = (Loans::new(0, 1), Loans::new(0, 1));
-    assert_eq!((owner.usable_units(0), owner.lendable_units(0), owner.usable_units(3_000)), (RESERVED_UNITS, 0, UNITS_PER_MEMBER));
+    assert_eq!(
+        (owner.usable_units(0), owner.lendable_units(0), owner.usable_units(3_000)),
+        (RESERVED_UNITS, 0, UNITS_PER_MEMBER)
+    );
     let loan = borrower.request_loan(3_000, 7).expect("room");
     assert_eq!(owner.lend(3_050, 1, loan, 100), 100);
-    assert_eq!((owner.lend(3_060, 1, loan, 900), owner.usable_units(3_060)), (100, UNITS_PER_MEMBER - 100), "a repeated request gets the same answer");
+    assert_eq!(
+        (owner.lend(3_060, 1, loan, 900), owner.usable_units(3_060)),
+        (100, UNITS_PER_MEMBER - 100),
+        "a repeated request gets the same answer"
+    );
     borrower.accept_grant(3_100, 7, loan, 100);
     borrower.accept_grant(3_100, 7, loan, 100);
     borrower.accept_grant(3_100, 7, loan + 1, 100);
-    assert_eq!((borrower.usable_units(4_999), borrower.usable_units(5_000)), (UNITS_PER_MEMBER + 100, UNITS_PER_MEMBER));
-    assert_eq!((owner.usable_units(5_100), owner.usable_units(5_131)), (UNITS_PER_MEMBER - 100, UNITS_PER_MEMBER));
+    assert_eq!(
+        (borrower.usable_units(4_999), borrower.usable_units(5_000)),
+        (UNITS_PER_MEMBER + 100, UNITS_PER_MEMBER)
+    );
+    assert_eq!(
+        (owner.usable_units(5_100), owner.usable_units(5_131)),
+        (UNITS_PER_MEMBER - 100, UNITS_PER_MEMBER)
+    );
     let loan = borrower.request_loan(6_000, 7).expect("room");
     assert_eq!(owner.lend(6_000, 1, loan, 5_000), UNITS_PER_MEMBER - RESERVED_UNITS);
     borrower.accept_grant(8_001, 7, loan, UNITS_PER_MEMBER - RESERVED_UNITS);
@@ -23,7 +36,10 @@
     borrower.accept_grant(9_000, 7, loan, units);
     assert_eq!(borrower.return_loans(9_100, 0), [(7, loan)]);
     owner.end_loan(1, loan);
-    assert_eq!((borrower.usable_units(9_100), owner.usable_units(9_100)), (UNITS_PER_MEMBER, UNITS_PER_MEMBER));
+    assert_eq!(
+        (borrower.usable_units(9_100), owner.usable_units(9_100)),
+        (UNITS_PER_MEMBER, UNITS_PER_MEMBER)
+    );
 }
 
 #[derive(Clone)]
@@ -39,8 +55,9 @@
 fn max_units_in_use(seed: u64) -> u32 {
     const FLEET: usize = 6;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let rates: Vec<f64> =
-        (0..FLEET).map(|_| rng.random_range(1.0 - MAX_CLOCK_DRIFT / 2.0..1.0 + MAX_CLOCK_DRIFT / 2.0)).collect();
+    let rates: Vec<f64> = (0..FLEET)
+        .map(|_| rng.random_range(1.0 - MAX_CLOCK_DRIFT / 2.0..1.0 + MAX_CLOCK_DRIFT / 2.0))
+        .collect();
     let offsets: Vec<f64> = (0..FLEET).map(|_| rng.random_range(0.0..1e9)).collect();
     let clock = |n: usize, now: u64| (offsets[n] + now as f64 * rates[n]) as u64;
     let mut members: Vec<Loans> = (0..FLEET).map(|n| Loans::new(clock(n, 0), 1)).collect();
@@ -103,8 +120,9 @@
         // What each member would use if it looked now, including paused ones.
         let all: u32 = members.iter().enumerate().map(|(n, one)| one.usable_units(clock(n, now))).sum();
         assert!(all <= UNITS_PER_MEMBER * FLEET as u32, "seed {seed} at {now}: {all}");
-        max_units_in_use =
-            max_units_in_use.max(members.iter().enumerate().map(|(n, one)| one.usable_units(clock(n, now))).max().unwrap_or(0));
+        max_units_in_use = max_units_in_use.max(
+            members.iter().enumerate().map(|(n, one)| one.usable_units(clock(n, now))).max().unwrap_or(0),
+        );
     }
     max_units_in_use
 }
@@ -112,5 +130,8 @@
 #[test]
 fn units_in_use_stay_bounded_under_message_loss_pauses_clock_drift_and_restarts() {
     let most: Vec<u32> = (0..200).map(max_units_in_use).collect();
-    assert!(most.iter().filter(|&&most| most > 3 * UNITS_PER_MEMBER / 2).count() > 100, "loans were granted in most runs");
+    assert!(
+        most.iter().filter(|&&most| most > 3 * UNITS_PER_MEMBER / 2).count() > 100,
+        "loans were granted in most runs"
+    );
 }
--- a/crates/flintwell-shared-limits/tests/orders.rs
+++ b/crates/flintwell-shared-limits/tests/orders.rs
@@ -2,7 +2,7 @@
 //! A message may arrive at any later time, any number of times or never, and the members' clocks differ as
 //! much as is allowed.
 
-use flintwell_shared_limits::loans::{MAX_CLOCK_DRIFT, UNITS_PER_MEMBER, Loans, LOAN_MS};
+use flintwell_shared_limits::loans::{LOAN_MS, Loans, MAX_CLOCK_DRIFT, UNITS_PER_MEMBER};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -53,7 +53,14 @@
 
     fn init_states(&self) -> Vec<State> {
         let members = [Loans::new(0, 1), Loans::new(0, 1)];
-        vec![State { step: 0, requests: 0, generations: [1, 1], members, messages: BTreeSet::new(), restarts: 0 }]
+        vec![State {
+            step: 0,
+            requests: 0,
+            generations: [1, 1],
+            members,
+            messages: BTreeSet::new(),
+            restarts: 0,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Event>) {
--- a/crates/flintwell-shared-probes/src/lib.rs
+++ b/crates/flintwell-shared-probes/src/lib.rs
@@ -52,8 +52,10 @@
     /// Parses a message; returns `None` if it is malformed or belongs to another subsystem.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&tag, rest) = bytes.split_first()?;
-        let message: ProbeMessage = (tag == MESSAGE_TAG).then(|| postcard::from_bytes(rest).ok()).flatten()?;
-        (message.silent.len() <= MAX_NODES_PER_MESSAGE && message.recovered.len() <= MAX_NODES_PER_MESSAGE).then_some(message)
+        let message: ProbeMessage =
+            (tag == MESSAGE_TAG).then(|| postcard::from_bytes(rest).ok()).flatten()?;
+        (message.silent.len() <= MAX_NODES_PER_MESSAGE && message.recovered.len() <= MAX_NODES_PER_MESSAGE)
+            .then_some(message)
     }
 }
 
@@ -149,7 +151,8 @@
                 hints.push((n, ProbeHint::SkipFor(SKIP_MS)));
             }
         }
-        self.nodes.retain(|_, node| node.silent || now < node.report_recovery_until || !node.witnesses.is_empty());
+        self.nodes
+            .retain(|_, node| node.silent || now < node.report_recovery_until || !node.witnesses.is_empty());
         let message = self.next_message(now);
         let to = peers.choose_multiple(&mut self.rng, GOSSIP_FANOUT).copied();
         let messages = if message.silent.is_empty() && message.recovered.is_empty() {
@@ -164,9 +167,15 @@
     fn next_message(&mut self, now: u64) -> ProbeMessage {
         // Up to the maximum, starting at the rotation so that every node is reported in some round.
         let select = |filter: &dyn Fn(&Node) -> bool, rotation: usize| -> Vec<NodeHash> {
-            let hashes: Vec<NodeHash> = self.nodes.iter().filter(|entry| filter(entry.1)).map(|entry| *entry.0).collect();
+            let hashes: Vec<NodeHash> =
+                self.nodes.iter().filter(|entry| filter(entry.1)).map(|entry| *entry.0).collect();
             let count = hashes.len();
-            hashes.into_iter().cycle().skip(rotation % count.max(1)).take(count.min(MAX_NODES_PER_MESSAGE)).collect()
+            hashes
+                .into_iter()
+                .cycle()
+                .skip(rotation % count.max(1))
+                .take(count.min(MAX_NODES_PER_MESSAGE))
+                .collect()
         };
         let message = ProbeMessage {
             silent: select(&|node| node.silent, self.rotation),
@@ -197,7 +206,11 @@
         let status = |name: &&str| {
             let hash = hash_parts(&[name.as_bytes()]);
             let witnesses = self.nodes.get(&hash).map_or(0, |node| node.witnesses.len());
-            ProbeStatus { node: (*name).to_owned(), witnesses, is_prober: is_prober(self.number, hash, peers) }
+            ProbeStatus {
+                node: (*name).to_owned(),
+                witnesses,
+                is_prober: is_prober(self.number, hash, peers),
+            }
         };
         silent.iter().map(status).collect()
     }
--- a/crates/flintwell-shared-probes/src/tests.rs
+++ b/crates/flintwell-shared-probes/src/tests.rs
@@ -5,7 +5,8 @@
 /// Simulates a fleet in which node `x` is silent to member `n` in round `r` if `is_silent(n, r)`; returns the
 /// members that probe it in each round.
 fn simulate(is_silent: impl Fn(u32, u64) -> bool, rounds: u64) -> Vec<Vec<u32>> {
-    let mut fleet: Vec<ProbeCoordinator> = (0..FLEET).map(|n| ProbeCoordinator::new(n, u64::from(n))).collect();
+    let mut fleet: Vec<ProbeCoordinator> =
+        (0..FLEET).map(|n| ProbeCoordinator::new(n, u64::from(n))).collect();
     let mut probers = Vec::new();
     let mut skip_until = [0u64; FLEET as usize];
     for round in 0..rounds {
