--- a/crates/flintwell-list-watch/src/backoff.rs
+++ b/crates/flintwell-list-watch/src/backoff.rs
@@ -92,7 +92,7 @@
         self.since.get_or_insert(now);
     }
 
-    /// Time for which calls have failed; grows with its square beyond [`LONG_OUTAGE_US`].
+    /// Time for which calls have failed; grows with its square beyond `LONG_OUTAGE_US`.
     pub fn age(&self, now: Micros) -> Micros {
         let age = self.since.map_or(0, |since| (now - since).clamp(0, MAX_AGE_US));
         if age <= LONG_OUTAGE_US {
