--- /dev/null
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -0,0 +1,101 @@
+//! The final check, directly before the first byte of a request, of whether it may be sent to its node; and
+//! counters of requests that were sent although a rule forbade it, which have to stay zero.
+
+use crate::clients::client_socket::ClientSocket;
+use crate::fleet::lease::ListLease;
+use crate::nodes::connection::{ExchangeError, FailureCause};
+use crate::nodes::pool::Pool;
+use crate::process::clock::to_duration;
+use crate::process::counter::{Counter, increment};
+use crate::log_line;
+use flintwell_core::interface::{Micros, NodeId};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+const MAX_SEND_DELAY: Duration = Duration::from_millis(50); // from check to first byte; every rule allows more
+const CHOICE_AGE_MARGIN: Duration = Duration::from_millis(30); // beyond a dial: for a permit, and to be scheduled
+
+/// A request about to be sent, as far as the rules need it.
+#[derive(Clone)]
+pub struct PendingSend {
+    pub node: NodeId,
+    /// When the routing policy chose the node.
+    pub chosen_at: Instant,
+    /// Time limit of the attempt.
+    pub timeout: Micros,
+    pub client: ClientSocket,
+}
+
+/// Counters of requests that were sent against a rule, by rule.
+#[derive(Clone, Default)]
+pub struct Violations {
+    /// To a node that was not listed as ready.
+    pub unlisted: Counter,
+    /// Without a valid lease on the node list.
+    pub lapsed: Counter,
+    /// After the attempt's time limit or the window in which it had to be sent.
+    pub stale: Counter,
+    /// For a client that had disconnected.
+    pub left: Counter,
+}
+
+impl Violations {
+    /// The counters by their outer names.
+    pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
+        let Violations { unlisted, lapsed, stale, left } = self;
+        let named = [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", left)];
+        named.into_iter().map(|(name, count)| (name, count.get())).collect()
+    }
+
+    fn record(&self, cause: &FailureCause) {
+        match cause {
+            FailureCause::Lapsed => increment(&self.lapsed),
+            FailureCause::Stale => increment(&self.stale),
+            FailureCause::ClientDisconnected => increment(&self.left),
+            _ => increment(&self.unlisted),
+        }
+    }
+}
+
+/// Decides whether a request may be sent now.
+#[derive(Clone)]
+pub struct SendGuard {
+    pub pool: Rc<Pool>,
+    pub lease: Rc<ListLease>,
+    pub violations: Violations,
+}
+
+impl SendGuard {
+    /// Returns an error with the reason if the request may not be sent now.
+    pub fn check(&self, pending: &PendingSend) -> Result<(), ExchangeError> {
+        // Danger: a list that could not be renewed may miss that nodes have left, and a change counts as
+        // known to us from the moment at which the lease ends.
+        if !self.lease.is_valid() {
+            return Err(ExchangeError::before_write(FailureCause::Lapsed));
+        }
+        // Danger: the list may have changed since the node was chosen, and a request counts as sent at its
+        // first byte.
+        self.pool.ready_addr(&pending.node)?;
+        // Danger: the window for a repeat, or the request's time limit, may have passed; the policy reserved
+        // no more than the time of a dial for either.
+        let since = pending.chosen_at.elapsed();
+        if since >= to_duration(pending.timeout) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
+            return Err(ExchangeError::before_write(FailureCause::Stale));
+        }
+        // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
+        if pending.client.has_disconnected() { Err(ExchangeError::before_write(FailureCause::ClientDisconnected)) } else { Ok(()) }
+    }
+
+    /// Called when the first bytes of a request that passed the check at `permitted_at` were written: counts
+    /// a violation if it may not be sent any more.
+    pub fn check_sent(&self, pending: &PendingSend, permitted_at: Instant) {
+        if permitted_at.elapsed() < MAX_SEND_DELAY {
+            return;
+        }
+        if let Err(error) = self.check(pending) {
+            self.violations.record(&error.cause);
+            log_line!("request sent to {} in violation of a rule: {error}", pending.node);
+        }
+    }
+}
