--- a/crates/flintwell-core/src/state.rs
+++ b/crates/flintwell-core/src/state.rs
@@ -1,7 +1,8 @@
 //! State of the policy: requests, nodes, estimates and the slot table. Decisions are made in `policy`.
 
 use crate::interface::{
-    IncomingRequest, Class, AttemptStatus, NodeEntry, DedupScope, Key, Micros, NodeId, RequestId, Settings, NodeState,
+    AttemptStatus, Class, DedupScope, IncomingRequest, Key, Micros, NodeEntry, NodeId, NodeState, RequestId,
+    Settings,
 };
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
@@ -9,13 +10,13 @@
 
 /// Node filters that the bits of a `u64` hold, less the last bit. That bit is never set and stands for any
 /// further filter.
-const PLACES_MOST: usize = 63;
+const MAX_NODE_FILTERS: usize = 63;
 
 /// One attempt of a request.
 pub(crate) struct Attempt {
     pub node: usize,
     pub sent_at: Micros,
-    pub result: Option<AttemptStatus>,
+    pub status: Option<AttemptStatus>,
 }
 
 /// What a request without an attempt in flight waits for.
@@ -55,42 +56,42 @@
 
 impl Request {
     pub fn new(
-        arrival: IncomingRequest,
-        arrived: Micros,
+        incoming: IncomingRequest,
+        arrived_at: Micros,
         useful_until: Micros,
-        attempts_most: usize,
-        turn: u64,
+        max_attempts: usize,
+        random: u64,
     ) -> Self {
-        let key = arrival.key.unwrap_or(arrival.id);
+        let key = incoming.key.unwrap_or(incoming.id);
         Request {
-            class: arrival.class,
+            class: incoming.class,
             key_hash: hash(&key),
             key,
-            is_write: arrival.is_write,
-            arrived_at: arrived,
-            deadline: arrival.deadline,
+            is_write: incoming.is_write,
+            arrived_at,
+            deadline: incoming.deadline,
             useful_until,
             attempts: Vec::new(),
-            max_attempts: attempts_most,
+            max_attempts,
             missed_node: None,
-            random: turn,
+            random,
             wait_reason: WaitReason::None,
             wait_until: 0,
         }
     }
     /// Whether an attempt at this node was made.
     pub fn was_tried(&self, node: usize) -> bool {
-        self.attempts.iter().any(|h| h.node == node)
+        self.attempts.iter().any(|attempt| attempt.node == node)
     }
     /// The first attempt that may have run or may still run.
     pub fn may_have_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|h| h.result.is_none_or(|e| !e.never_ran()))
+        self.attempts.iter().find(|attempt| attempt.status.is_none_or(|status| !status.never_ran()))
     }
 }
 
 /// The shortest latency target of all classes.
 pub(crate) fn shortest_latency_target(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|u| u.latency_target).min().unwrap_or(1_000_000) as f64
+    settings.classes.iter().map(|class| class.latency_target).min().unwrap_or(1_000_000) as f64
 }
 
 /// Requests without a final answer, and the times at which the waits of some of them end.
@@ -102,9 +103,9 @@
 
 impl Requests {
     /// Lets a request wait until the given time at most.
-    pub fn start_wait(&mut self, id: &RequestId, role: WaitReason, until: Micros) {
+    pub fn start_wait(&mut self, id: &RequestId, reason: WaitReason, until: Micros) {
         if let Some(request) = self.by_id.get_mut(id) {
-            (request.wait_reason, request.wait_until) = (role, until);
+            (request.wait_reason, request.wait_until) = (reason, until);
             self.waiting.insert((until, id.clone()));
         }
     }
@@ -118,11 +119,11 @@
     }
     /// The earliest end of a wait.
     pub fn next_wait_end(&self) -> Micros {
-        self.waiting.first().map_or(Micros::MAX, |held| held.0)
+        self.waiting.first().map_or(Micros::MAX, |wait| wait.0)
     }
     /// A request whose wait has ended.
     pub fn first_expired(&self, now: Micros) -> Option<RequestId> {
-        self.waiting.first().filter(|held| held.0 <= now).map(|held| held.1.clone())
+        self.waiting.first().filter(|wait| wait.0 <= now).map(|wait| wait.1.clone())
     }
 }
 
@@ -184,22 +185,27 @@
 
 impl Node {
     /// Ejects the node after a failure, for twice as long each time.
-    pub fn eject(&mut self, now: Micros, first: Micros, doublings: u32) {
-        self.ejected_until = now + (first << self.ejections.min(doublings));
+    pub fn eject(&mut self, now: Micros, base: Micros, max_doublings: u32) {
+        self.ejected_until = now + (base << self.ejections.min(max_doublings));
         self.ejections += 1;
     }
     /// Adjusts the fraction of reads that pass the node over. If the node holds more requests per core than
-    /// `well`, the fraction that it keeps is divided by the excess, by `most` at most; otherwise it grows by
-    /// `step`.
-    pub fn adjust_bypass(&mut self, held: f64, well: f64, most: f64, step: f64) {
-        let (kept, over) = (1.0 - self.bypass_fraction, held / well);
-        self.bypass_fraction = 1.0 - if over > 1.0 { kept / over.min(most) } else { (kept + step).min(1.0) };
+    /// `healthy`, the fraction that it keeps is divided by the excess, by `max_cut` at most; otherwise it grows
+    /// by `recovery`.
+    pub fn adjust_bypass(&mut self, held: f64, healthy: f64, max_cut: f64, recovery: f64) {
+        let (kept, excess) = (1.0 - self.bypass_fraction, held / healthy);
+        self.bypass_fraction =
+            1.0 - if excess > 1.0 { kept / excess.min(max_cut) } else { (kept + recovery).min(1.0) };
     }
     /// Records an answer time for the minimum. The old minimum grows by `drift`, so that it is forgotten over
     /// time.
-    pub fn record_min_answer_time(&mut self, wait: f64, drift: f64) {
-        let wait = wait.max(1.0);
-        self.min_answer_time = if self.min_answer_time > 0.0 { wait.min(self.min_answer_time * drift) } else { wait };
+    pub fn record_min_answer_time(&mut self, answer_time: f64, drift: f64) {
+        let answer_time = answer_time.max(1.0);
+        self.min_answer_time = if self.min_answer_time > 0.0 {
+            answer_time.min(self.min_answer_time * drift)
+        } else {
+            answer_time
+        };
     }
     /// Fraction of its capacity that the node has reached at least, between `start` and 1.
     pub fn warm_fraction(&self, now: Micros, start: f64, ramp: Micros) -> f64 {
@@ -211,8 +217,8 @@
         (now - self.entry.started_at).max(0)
     }
     /// Whether the node passes a node filter.
-    pub fn passes_filter(&self, place: usize) -> bool {
-        self.filter_bits >> place & 1 == 1
+    pub fn passes_filter(&self, filter: usize) -> bool {
+        self.filter_bits >> filter & 1 == 1
     }
     /// Whether the node is listed but gets no requests, except for probes.
     pub fn is_avoided(&self, now: Micros) -> bool {
@@ -223,8 +229,8 @@
         }
     }
     /// Whether both nodes deduplicate the same requests.
-    pub fn shares_dedup_scope(&self, other: &Node, group: DedupScope) -> bool {
-        match group {
+    pub fn shares_dedup_scope(&self, other: &Node, scope: DedupScope) -> bool {
+        match scope {
             DedupScope::All => true,
             DedupScope::Zone => self.entry.zone == other.entry.zone,
             DedupScope::Cell => self.entry.cell == other.entry.cell,
@@ -248,20 +254,20 @@
 }
 
 impl NodeFilters {
-    pub fn new(cases: &[Class]) -> Self {
-        let mut places = NodeFilters::default();
-        for case in cases {
-            let bound = NodeFilter { kinds: case.kinds.clone(), zones: case.zones.clone() };
-            let known = places.all.iter().position(|place| *place == bound);
+    pub fn new(classes: &[Class]) -> Self {
+        let mut filters = NodeFilters::default();
+        for class in classes {
+            let filter = NodeFilter { kinds: class.kinds.clone(), zones: class.zones.clone() };
+            let existing = filters.all.iter().position(|other| *other == filter);
             // A node has a limited number of filter bits. The classes of any further filters share the last
             // bit, which no node has set; otherwise they would be open to all nodes.
-            let place = known.unwrap_or(places.all.len().min(PLACES_MOST));
-            if place == places.all.len() && place < PLACES_MOST {
-                places.all.push(bound);
+            let index = existing.unwrap_or(filters.all.len().min(MAX_NODE_FILTERS));
+            if index == filters.all.len() && index < MAX_NODE_FILTERS {
+                filters.all.push(filter);
             }
-            places.by_class.push(place);
+            filters.by_class.push(index);
         }
-        places
+        filters
     }
     /// Number of distinct filters.
     pub fn count(&self) -> usize {
@@ -273,10 +279,11 @@
     }
     /// Bits of the filters that a node with this entry passes.
     pub fn matching_bits(&self, entry: &NodeEntry) -> u64 {
-        let within =
+        let allows =
             |allowed: &Option<Vec<u32>>, one| allowed.as_ref().is_none_or(|allowed| allowed.contains(&one));
-        let holds = |place: &NodeFilter| within(&place.kinds, entry.kind) && within(&place.zones, entry.zone);
-        self.all.iter().enumerate().map(|(n, place)| u64::from(holds(place)) << n).sum()
+        let passes =
+            |filter: &NodeFilter| allows(&filter.kinds, entry.kind) && allows(&filter.zones, entry.zone);
+        self.all.iter().enumerate().map(|(n, filter)| u64::from(passes(filter)) << n).sum()
     }
 }
 
@@ -293,9 +300,9 @@
 
 impl KindStats {
     /// Records an answer time. Returns the binary logarithm of the kind's speed relative to all kinds, whose
-    /// mean answer time is `all`.
-    pub fn record_speed(&mut self, all: f64, wait: Micros, weight: f64) -> f64 {
-        (all.max(1.0) / self.answer_time.record(wait, weight).max(1.0)).log2()
+    /// mean answer time is `mean_answer_time`.
+    pub fn record_speed(&mut self, mean_answer_time: f64, answer_time: Micros, weight: f64) -> f64 {
+        (mean_answer_time.max(1.0) / self.answer_time.record(answer_time, weight).max(1.0)).log2()
     }
 }
 
@@ -312,9 +319,10 @@
 
 impl ZoneHealth {
     /// Ejects the zone. If its last ejection has ended, the new one lasts twice as long.
-    pub fn eject(&mut self, now: Micros, first: Micros, doublings: u32) {
+    pub fn eject(&mut self, now: Micros, base: Micros, max_doublings: u32) {
         if now >= self.probed_at + self.ejection_time {
-            (self.probed_at, self.ejection_time) = (now, (self.ejection_time * 2).clamp(first, first << doublings));
+            (self.probed_at, self.ejection_time) =
+                (now, (self.ejection_time * 2).clamp(base, base << max_doublings));
         }
     }
 }
@@ -332,27 +340,30 @@
         self.by_id.get(id).copied()
     }
     /// The node with this id, created if it is new. A new node reuses the record of a removed node that was
-    /// sent nothing for `long`: if nodes are replaced under new ids all day, records would accumulate
+    /// sent nothing for `retention`: if nodes are replaced under new ids all day, records would accumulate
     /// otherwise.
-    pub fn get_or_insert(&mut self, id: &NodeId, now: Micros, long: Micros) -> &mut Node {
-        let forgotten = |node: &Node| {
-            node.entry.state == NodeState::Gone && node.in_flight == 0 && now - node.recent_requests.updated_at > long
+    pub fn get_or_insert(&mut self, id: &NodeId, now: Micros, retention: Micros) -> &mut Node {
+        let is_expired = |node: &Node| {
+            node.entry.state == NodeState::Gone
+                && node.in_flight == 0
+                && now - node.recent_requests.updated_at > retention
         };
         let n = self.find(id).unwrap_or_else(|| {
-            let n = self.all.iter().position(forgotten).unwrap_or(self.all.len());
-            let fresh = Node { id_hash: hash(id), ..Node::default() };
+            let n = self.all.iter().position(is_expired).unwrap_or(self.all.len());
+            let new_node = Node { id_hash: hash(id), ..Node::default() };
             match self.all.get_mut(n) {
-                Some(old) => drop(self.by_id.remove(&std::mem::replace(old, fresh).entry.node)),
-                None => self.all.push(fresh),
+                Some(old) => drop(self.by_id.remove(&std::mem::replace(old, new_node).entry.node)),
+                None => self.all.push(new_node),
             }
             self.by_id.insert(id.clone(), n);
             n
         });
         &mut self.all[n]
     }
-    /// Nodes that stopped answering and have not answered since, except those of kind `but`.
-    pub fn silent(&self, but: Option<u32>) -> Vec<NodeId> {
-        let silent = self.all.iter().filter(|node| node.ejections > 0 && Some(node.entry.kind) != but);
+    /// Nodes that stopped answering and have not answered since, except those of kind `excluded_kind`.
+    pub fn silent_except(&self, excluded_kind: Option<u32>) -> Vec<NodeId> {
+        let silent =
+            self.all.iter().filter(|node| node.ejections > 0 && Some(node.entry.kind) != excluded_kind);
         silent.map(|node| node.entry.node.clone()).collect()
     }
     /// Defers the next probe of a silent node until then.
@@ -384,13 +395,13 @@
 
 impl TokenBucket {
     /// Takes a token if there is one. The bucket refills at `rate` tokens a second and holds those of one
-    /// second, but no fewer than `least`.
-    pub fn try_take(&mut self, now: Micros, rate: f64, least: f64) -> bool {
-        self.tokens = (self.tokens + rate * (now - self.refilled_at) as f64 / 1e6).min(rate.max(least));
+    /// second, but no fewer than `min_burst`.
+    pub fn try_take(&mut self, now: Micros, rate: f64, min_burst: f64) -> bool {
+        self.tokens = (self.tokens + rate * (now - self.refilled_at) as f64 / 1e6).min(rate.max(min_burst));
         self.refilled_at = now;
-        let within = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(within));
-        within
+        let is_taken = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(is_taken));
+        is_taken
     }
 }
 
@@ -416,9 +427,14 @@
 }
 
 impl CacheStats {
-    pub fn new(now: Micros, times: AnswerTimes, surplus: f64) -> Self {
-        let share = |share: f64| AdmittedFraction { value: share, stepped_at: now };
-        CacheStats { answer_times: times, admitted_reads: share(1.0), admitted_over_quota: share(surplus), ..Self::default() }
+    pub fn new(now: Micros, answer_times: AnswerTimes, over_quota: f64) -> Self {
+        let admitted = |value: f64| AdmittedFraction { value, stepped_at: now };
+        CacheStats {
+            answer_times,
+            admitted_reads: admitted(1.0),
+            admitted_over_quota: admitted(over_quota),
+            ..Self::default()
+        }
     }
 }
 
@@ -430,11 +446,14 @@
 }
 
 impl AdmittedFraction {
-    /// Takes `steps` steps: multiplies by `fall` and adds `rise` for each, and keeps the result within
-    /// `least` and 1.
-    pub fn step(&mut self, now: Micros, steps: f64, fall: f64, rise: f64, least: f64) {
+    /// Takes `steps` steps: multiplies by `factor` and adds `increment` for each, and keeps the result within
+    /// `min` and 1.
+    pub fn step(&mut self, now: Micros, steps: f64, factor: f64, increment: f64, min: f64) {
         if steps > 0.0 {
-            *self = AdmittedFraction { value: (self.value * fall.powf(steps) + rise * steps).clamp(least, 1.0), stepped_at: now };
+            *self = AdmittedFraction {
+                value: (self.value * factor.powf(steps) + increment * steps).clamp(min, 1.0),
+                stepped_at: now,
+            };
         }
     }
 }
@@ -476,39 +495,59 @@
 }
 
 impl OriginState {
-    pub fn new(now: Micros, times: AnswerTimes, most: f64, bearable: f64, earned: f64) -> Self {
+    pub fn new(
+        now: Micros,
+        answer_times: AnswerTimes,
+        fetch_limit: f64,
+        acceptable_answer_time: f64,
+        refusal_credit: f64,
+    ) -> Self {
         OriginState {
-            answer_times: times,
+            answer_times,
             best_answer_time: f64::MAX,
-            acceptable_answer_time: bearable,
-            fetch_limit: most,
-            refusal_credit: earned,
+            acceptable_answer_time,
+            fetch_limit,
+            refusal_credit,
             last_outcome_at: now,
             last_served_at: now,
             ..Self::default()
         }
     }
     /// Records the time of a served answer; it weighs more the longer ago the last one was.
-    pub fn record_answer(&mut self, now: Micros, wait: Micros, weight: f64, age: f64) {
+    pub fn record_answer(&mut self, now: Micros, answer_time: Micros, weight: f64, decay: f64) {
         let gap = (now - std::mem::replace(&mut self.last_served_at, now)) as f64;
-        self.answer_times.record(wait, weight.max(1.0 - (-gap / age).exp()));
+        self.answer_times.record(answer_time, weight.max(1.0 - (-gap / decay).exp()));
     }
     /// Requests that may be sent within one answer time.
     pub fn requests_per_answer_time(&self) -> f64 {
-        let own =
-            if self.refusal_credit > 0.0 { self.fetch_limit } else { self.fetch_limit.min(1.0 / f64::from(1u32 << self.refused_probes)) };
-        if self.fetch_interval > 0 { own.min(self.answer_times.mean / self.fetch_interval as f64) } else { own }
+        let own_limit = if self.refusal_credit > 0.0 {
+            self.fetch_limit
+        } else {
+            self.fetch_limit.min(1.0 / f64::from(1u32 << self.refused_probes))
+        };
+        if self.fetch_interval > 0 {
+            own_limit.min(self.answer_times.mean / self.fetch_interval as f64)
+        } else {
+            own_limit
+        }
     }
     /// Adds an answer's credit for refusals, up to a limit.
-    pub fn earn_credit(&mut self, earns: f64, most: f64) {
-        (self.refusal_credit, self.refused_probes) = ((self.refusal_credit + earns).min(most), 0);
+    pub fn earn_credit(&mut self, credit: f64, max_credit: f64) {
+        (self.refusal_credit, self.refused_probes) = ((self.refusal_credit + credit).min(max_credit), 0);
     }
     /// Takes credit for one refusal. Without credit left, the next probe is delayed, for longer each time.
-    pub fn spend_credit(&mut self, now: Micros, least: f64, doublings: u32, lot: impl FnOnce() -> f64) {
-        self.refusal_credit = (self.refusal_credit - 1.0).max(least);
+    pub fn spend_credit(
+        &mut self,
+        now: Micros,
+        min_credit: f64,
+        max_doublings: u32,
+        jitter: impl FnOnce() -> f64,
+    ) {
+        self.refusal_credit = (self.refusal_credit - 1.0).max(min_credit);
         if self.refusal_credit <= 0.0 {
-            self.next_probe_at = now + (self.answer_times.mean * f64::from(1u32 << self.refused_probes) * lot()) as Micros;
-            self.refused_probes = (self.refused_probes + 1).min(doublings);
+            self.next_probe_at =
+                now + (self.answer_times.mean * f64::from(1u32 << self.refused_probes) * jitter()) as Micros;
+            self.refused_probes = (self.refused_probes + 1).min(max_doublings);
         }
     }
     /// Whether the mean answer time exceeds both its recent minimum by this factor and the acceptable time.
@@ -516,7 +555,7 @@
         self.answer_times.mean > (factor * self.best_answer_time).max(self.acceptable_answer_time)
     }
     /// Returns the number of answer times that have passed since the last outcome, and records one now.
-    pub fn take_silent_periods(&mut self, now: Micros) -> Micros {
+    pub fn take_elapsed_answer_times(&mut self, now: Micros) -> Micros {
         (now - std::mem::replace(&mut self.last_outcome_at, now)) / self.answer_times.expected().max(1)
     }
 }
@@ -529,9 +568,10 @@
 }
 
 impl DecayingMean {
-    /// Records a value. It weighs at least `weight`, and most after `age` without values.
-    pub fn record(&mut self, now: Micros, value: f64, weight: f64, age: f64) {
-        let weight = weight.max(1.0 - (-((now - self.updated_at) as f64) / age).exp());
+    /// Records a value. It weighs at least `weight`, and the more the longer ago the last value was, on the
+    /// time scale of `decay`.
+    pub fn record(&mut self, now: Micros, value: f64, weight: f64, decay: f64) {
+        let weight = weight.max(1.0 - (-((now - self.updated_at) as f64) / decay).exp());
         *self = DecayingMean { mean: self.mean + weight * (value - self.mean), updated_at: now };
     }
 }
@@ -560,10 +600,10 @@
 }
 
 impl AnswerTimes {
-    pub fn record(&mut self, wait: Micros, weight: f64) {
-        let off = wait as f64 - self.mean;
-        self.mean += weight * off;
-        self.deviation += weight * (off.abs() - self.deviation);
+    pub fn record(&mut self, answer_time: Micros, weight: f64) {
+        let difference = answer_time as f64 - self.mean;
+        self.mean += weight * difference;
+        self.deviation += weight * (difference.abs() - self.deviation);
     }
     pub fn expected(&self) -> Micros {
         self.mean as Micros
@@ -579,11 +619,12 @@
 
 impl DecayingCount {
     /// The count at `now`.
-    pub fn value(&self, now: Micros, fade: Micros) -> f64 {
-        self.count * (-((now - self.updated_at) as f64) / fade.max(1) as f64).exp()
+    pub fn value(&self, now: Micros, decay: Micros) -> f64 {
+        self.count * (-((now - self.updated_at) as f64) / decay.max(1) as f64).exp()
     }
-    pub fn add(&mut self, now: Micros, fade: Micros) {
-        *self = DecayingCount { count: self.value(now, fade) + 1.0, updated_at: now };
+    /// Adds 1 to the count.
+    pub fn add(&mut self, now: Micros, decay: Micros) {
+        *self = DecayingCount { count: self.value(now, decay) + 1.0, updated_at: now };
     }
 }
 
@@ -597,35 +638,40 @@
 impl SlotTable {
     /// Builds a table from each cache's index, hash of its id and number of claims. A slot claimed by several
     /// caches goes to the one with the highest hash for it.
-    pub fn new(slots: usize, caches: impl Iterator<Item = (usize, u64, u64)>) -> Self {
-        let mut table = SlotTable { owners: vec![u16::MAX; slots], cache_count: 0 };
-        let mut best = vec![0; slots];
+    pub fn new(slot_count: usize, caches: impl Iterator<Item = (usize, u64, u64)>) -> Self {
+        let mut table = SlotTable { owners: vec![u16::MAX; slot_count], cache_count: 0 };
+        let mut best_hash = vec![0; slot_count];
         for (n, id, claims) in caches {
             table.cache_count += 1;
-            for slot in (0..claims).map(|claim| nth_hash(id, claim) as usize % slots) {
-                let chance = nth_hash(id, !(slot as u64));
-                if best[slot] < chance {
-                    (best[slot], table.owners[slot]) = (chance, n as u16);
+            for slot in (0..claims).map(|claim| nth_hash(id, claim) as usize % slot_count) {
+                let slot_hash = nth_hash(id, !(slot as u64));
+                if best_hash[slot] < slot_hash {
+                    (best_hash[slot], table.owners[slot]) = (slot_hash, n as u16);
                 }
             }
         }
         table
     }
-    /// A key's caches in order of preference, `MOST` at most: the owners of the slots that its hash sequence
-    /// selects, of which `looks` are examined at most.
-    pub fn ranked_caches<const MOST: usize>(&self, key: u64, looks: u64) -> impl Iterator<Item = usize> {
-        let (mut found, mut count) = ([u16::MAX; MOST], 0);
-        let looks = if self.cache_count > 0 { looks } else { 0 };
-        let named = (0..looks).map(move |l| self.owners[nth_hash(key, l) as usize % self.owners.len()]);
-        let fresh = named.filter(move |n| {
-            let fresh = *n != u16::MAX && count < MOST && !found[..count].contains(n);
-            if fresh {
+    /// A key's caches in order of preference, `MAX` at most: the owners of the slots that its hash sequence
+    /// selects, of which `max_probes` are examined at most.
+    pub fn ranked_caches<const MAX: usize>(
+        &self,
+        key_hash: u64,
+        max_probes: u64,
+    ) -> impl Iterator<Item = usize> {
+        let (mut found, mut count) = ([u16::MAX; MAX], 0);
+        let max_probes = if self.cache_count > 0 { max_probes } else { 0 };
+        let probed = (0..max_probes)
+            .map(move |probe| self.owners[nth_hash(key_hash, probe) as usize % self.owners.len()]);
+        let distinct = probed.filter(move |n| {
+            let distinct = *n != u16::MAX && count < MAX && !found[..count].contains(n);
+            if distinct {
                 found[count] = *n;
                 count += 1;
             }
-            fresh
+            distinct
         });
-        fresh.map(usize::from).take(MOST.min(self.cache_count))
+        distinct.map(usize::from).take(MAX.min(self.cache_count))
     }
 }
 
@@ -636,16 +682,16 @@
 }
 
 impl RequestCounts {
-    pub fn new(counts: usize) -> Self {
-        RequestCounts { by_key: vec![DecayingCount::default(); counts], total: DecayingCount::default() }
+    pub fn new(counters: usize) -> Self {
+        RequestCounts { by_key: vec![DecayingCount::default(); counters], total: DecayingCount::default() }
     }
-    pub fn for_key(&self, key: u64) -> DecayingCount {
-        self.by_key[key as usize % self.by_key.len()]
+    pub fn for_key(&self, key_hash: u64) -> DecayingCount {
+        self.by_key[key_hash as usize % self.by_key.len()]
     }
-    pub fn add(&mut self, now: Micros, fade: Micros, key: u64) {
-        let count = key as usize % self.by_key.len();
-        self.by_key[count].add(now, fade);
-        self.total.add(now, fade);
+    pub fn add(&mut self, now: Micros, decay: Micros, key_hash: u64) {
+        let counter = key_hash as usize % self.by_key.len();
+        self.by_key[counter].add(now, decay);
+        self.total.add(now, decay);
     }
 }
 
