--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -18,14 +18,16 @@
 const MAX_CACHES_PER_KEY: usize = 4;
 /// Caches among which reads of a hot key are spread at most.
 const MAX_CACHES_PER_HOT_KEY: usize = 16;
-/// In-flight requests of this proxy at the home below which the spare is not considered.
+/// In-flight requests of this proxy at the home below which the spare is not considered. Also the recent
+/// requests for a key from which it may count as hot.
 const MIN_SPILL_IN_FLIGHT: u32 = 2;
-/// The home must also exceed this multiple of the proxy's mean per cache before the spare is considered.
+/// The home must also exceed this multiple of the proxy's mean per cache before the spare is considered, and
+/// a hot key this multiple of its mean recent requests per cache.
 const SPILL_FACTOR: f64 = 2.0;
 /// Decay time of the request counts per key; the proxy sends some tens of requests within it.
 const REQUEST_COUNT_DECAY: Micros = 20_000_000;
-/// Requests per cache within `REQUEST_COUNT_DECAY` below which a proxy's traffic is sparse: it then uses a given cache
-/// only every few seconds.
+/// Requests per cache within `REQUEST_COUNT_DECAY` below which a proxy's traffic is sparse: it then uses a
+/// given cache only every few seconds.
 const SPARSE_REQUESTS_PER_CACHE: f64 = 10.0;
 /// Counters of requests by key; far more than the keys that a proxy with sparse traffic requests meanwhile.
 const KEY_COUNTERS: usize = 512;
@@ -94,7 +96,8 @@
 const OVERLOAD_TARGET_FRACTION: f64 = 0.4;
 /// Fraction of the latency target recorded for a request that no cache accepted.
 const UNSERVED_TARGET_FRACTION: f64 = 2.0;
-/// Like `OVERLOAD_TARGET_FRACTION`, for requests beyond a tenant's quota: they are shed well before the others suffer.
+/// Like `OVERLOAD_TARGET_FRACTION`, for requests beyond a tenant's quota: they are shed well before the
+/// others suffer.
 const OVER_QUOTA_OVERLOAD_TARGET_FRACTION: f64 = 0.13;
 /// Time between steps of the admitted fractions; about one answer time.
 const ADMISSION_INTERVAL: Micros = 100_000;
@@ -186,11 +189,11 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // A fleet that starts at once would request the list at once; requests late in the service's queue
         // fail and are repeated. The first requests are therefore spread over time.
-        let max_spread = ((settings.max_list_refresh_interval as f64 * MAX_LIST_REQUEST_SPREAD_FRACTION)
-            as Micros)
-            .min(MAX_LIST_REQUEST_SPREAD);
-        let spread = rng
-            .random_range(0..=max_spread.min(LIST_REQUEST_SPREAD_PER_PROXY * i64::from(settings.fleet_size)));
+        let interval = settings.max_list_refresh_interval as f64;
+        let max_spread =
+            ((interval * MAX_LIST_REQUEST_SPREAD_FRACTION) as Micros).min(MAX_LIST_REQUEST_SPREAD);
+        let fleet_spread = LIST_REQUEST_SPREAD_PER_PROXY * i64::from(settings.fleet_size);
+        let spread = rng.random_range(0..=max_spread.min(fleet_spread));
         let shortest_target = shortest_latency_target(&settings);
         let initial_times = AnswerTimes {
             mean: shortest_target * INITIAL_ANSWER_TIME_FRACTION,
@@ -271,7 +274,7 @@
             && (caches_late
                 || self
                     .preferred_node(now, &id)
-                    .is_none_or(|n| n.target_fraction.mean >= OVERLOAD_TARGET_FRACTION))
+                    .is_none_or(|node| node.target_fraction.mean >= OVERLOAD_TARGET_FRACTION))
         {
             // Overloaded nodes answer late. The mean over all caches alone would let a few hot nodes shut out
             // reads that idle nodes could serve, so the target node must be overloaded, too.
@@ -516,14 +519,16 @@
         self.nodes[n].entry.state == NodeState::Ready && !self.is_origin_node(n)
     }
 
-    /// Whether a cache node may get a request now. A cold node accepts a fraction of the values of `lot`, and
-    /// nothing without one.
+    /// Whether a cache node may get a request now. A cold node accepts a fraction of the values of `sample`,
+    /// and nothing without one.
     fn accepts(&self, now: Micros, n: usize, sample: Option<u64>) -> bool {
         let node = &self.nodes[n];
         // A burst sent to a node that still does not answer would be lost. After an ejection only one request
         // at a time is sent, until the node has answered.
-        let zone_trusted =
-            self.zone_health.get(&node.entry.zone).is_none_or(|z| now >= z.probed_at + z.ejection_time);
+        let zone_trusted = self
+            .zone_health
+            .get(&node.entry.zone)
+            .is_none_or(|zone| now >= zone.probed_at + zone.ejection_time);
         let trusted =
             zone_trusted && now >= node.ejected_until && (node.ejections == 0 || node.in_flight == 0);
         let warm_fraction = node.warm_fraction(now, self.settings.start_capacity, self.settings.ramp_time);
@@ -569,6 +574,7 @@
             < if self.has_sparse_traffic(now) { limit + 1.0 } else { (limit + rounding).floor() }
     }
 
+    /// The cache node that would get this request now.
     fn preferred_node(&self, now: Micros, id: &RequestId) -> Option<&Node> {
         self.choose_cache(now, self.requests.get(id)?).ok().map(|n| &self.nodes[n])
     }
@@ -592,8 +598,8 @@
         } else {
             1
         };
-        // With sparse traffic, refusals are due to chance and the node is free a moment later, unless all
-        // caches are overloaded. More ranks are then tried.
+        // With sparse traffic, refusals are due to chance, from nodes that are free a moment later. More
+        // caches are tried, unless all caches are overloaded.
         let try_more = origin_has_room && is_sparse && self.caches.admitted_reads.value >= 1.0;
         let max_ranks = if try_more { MAX_CACHES_PER_KEY } else { 1 + usize::from(origin_has_room) };
         // A hot key brings as much load as all other keys of a cold node, and would overload it, as would
@@ -651,6 +657,7 @@
         Ok(usable.next().filter(|&spare| self.nodes[spare].in_flight < load).unwrap_or(home))
     }
 
+    /// Sends the request to the cache chosen for it, or fetches, or gives up.
     fn send_to_cache(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let fetches_misses = self.settings.cache_aside && !request.is_write;
@@ -681,6 +688,8 @@
         }
     }
 
+    /// Read-through mode: sends the read to a cache if its key was served recently or no other read fetches
+    /// it; otherwise it follows that read. it.
     fn read_through(&mut self, now: Micros, id: &RequestId, key: Key) {
         match self.key_fetches.get(&key) {
             Some(key_fetch) if key_fetch.leader.is_some() => self.follow(now, id, key),
@@ -710,6 +719,7 @@
         self.fetch(now, id);
     }
 
+    /// Makes the request the leader of a fetch of its key.
     fn start_leading(&mut self, now: Micros, id: &RequestId, key: Key, node: usize) {
         if self.key_fetches.len() >= MAX_KEY_FETCHES {
             self.key_fetches.retain(|_, key_fetch| {
@@ -748,6 +758,7 @@
         Some(next)
     }
 
+    /// Sends the request without waiting for other requests for its key.
     fn proceed_alone(&mut self, now: Micros, id: &RequestId) {
         if self.settings.cache_aside { self.fetch(now, id) } else { self.send_to_cache(now, id) }
     }
@@ -815,6 +826,7 @@
         self.start_wait(id, WaitReason::Backoff, now + delay);
     }
 
+    /// Sends queued requests to the origin as long as it has room.
     fn send_queued_fetches(&mut self, now: Micros) {
         while let (Some(origin), Some(id)) = (self.origin.node, self.origin.queue.front().cloned()) {
             let queued = self
@@ -872,6 +884,7 @@
         }
     }
 
+    /// Starts an attempt with its time-out, or gives up if the rules or the remaining time forbid it.
     fn start_attempt(&mut self, now: Micros, id: &RequestId, n: usize) {
         let Some(request) = self.requests.get(id) else { return };
         let at_origin = Some(n) == self.origin.node;
@@ -910,6 +923,7 @@
         }
     }
 
+    /// Refuses the request if a retry does no harm, else fails it.
     fn give_up(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         match self.may_refuse(now, request) {
@@ -949,6 +963,7 @@
         self.arm_timer();
     }
 
+    /// Sets a timer for the next wait to end, list request or queued fetch, unless one is set already.
     fn arm_timer(&mut self) {
         let is_idle_with_queue = |o: usize| self.nodes[o].in_flight == 0 && !self.origin.queue.is_empty();
         let fetch_due = self.origin.next_probe_at.max(self.origin.next_scheduled_fetch - MAX_FETCH_ADVANCE);
@@ -961,6 +976,7 @@
         }
     }
 
+    /// Ends expired waits, sends queued fetches and requests the list when it is due.
     fn run_due_work(&mut self, now: Micros) {
         while let Some(id) = self.requests.first_expired(now) {
             match self.requests.end_wait(&id) {
@@ -971,12 +987,14 @@
         self.send_queued_fetches(now);
         if self.list_request_due <= now {
             self.host.subscribe_to_list();
-            // Without an answer, requests the list again before the proxy is expected to know its contents.
+            // If no answer comes, the list is requested again before the proxy is expected to know the
+            // changes in it.
             self.list_request_due = now + self.settings.max_list_refresh_interval / 2;
         }
         self.arm_timer();
     }
 
+    /// Updates the estimates for the node, its zone and the caches or the origin.
     fn record_outcome(&mut self, now: Micros, n: usize, outcome: &AttemptOutcome, target: Option<f64>) {
         let at_origin = self.is_origin_node(n);
         let (latency, sent_at) = (outcome.latency, now - outcome.latency);
@@ -1083,6 +1101,7 @@
         }
     }
 
+    /// Updates the origin's estimates, refusal credit and fetch limit.
     fn record_origin_outcome(&mut self, now: Micros, outcome: &AttemptOutcome, is_failure: bool) {
         if outcome.status == AttemptStatus::Served {
             // A proxy that fetches every few seconds would consider the origin slow long after it recovered,
@@ -1150,6 +1169,6 @@
         let own_quota = quota / f64::from(self.settings.fleet_size.max(1));
         let is_within = self.tenants[tenant].try_take(now, own_quota * QUOTA_TOLERANCE, MIN_QUOTA_BURST);
         let shed = self.rng.random::<f64>() >= self.caches.admitted_over_quota.value;
-        !is_within && (shed || self.preferred_node(now, id).is_none_or(|n| n.in_flight > 0))
+        !is_within && (shed || self.preferred_node(now, id).is_none_or(|node| node.in_flight > 0))
     }
 }
--- a/crates/flintwell-core/src/state.rs
+++ b/crates/flintwell-core/src/state.rs
@@ -190,8 +190,8 @@
         self.ejections += 1;
     }
     /// Adjusts the fraction of reads that pass the node over. If the node holds more requests per core than
-    /// `healthy`, the fraction that it keeps is divided by the excess, by `max_cut` at most; otherwise it grows
-    /// by `recovery`.
+    /// `healthy`, the fraction that it keeps is divided by the excess, by `max_cut` at most; otherwise it
+    /// grows by `recovery`.
     pub fn adjust_bypass(&mut self, held: f64, healthy: f64, max_cut: f64, recovery: f64) {
         let (kept, excess) = (1.0 - self.bypass_fraction, held / healthy);
         self.bypass_fraction =
