--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -689,7 +689,7 @@
     }
 
     /// Read-through mode: sends the read to a cache if its key was served recently or no other read fetches
-    /// it; otherwise it follows that read. it.
+    /// it; otherwise the read follows the one that does.
     fn read_through(&mut self, now: Micros, id: &RequestId, key: Key) {
         match self.key_fetches.get(&key) {
             Some(key_fetch) if key_fetch.leader.is_some() => self.follow(now, id, key),
