--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections up to the connection limit and serves each one until it closes.
 
-use crate::clients::framing::Scanner;
+use crate::clients::framing::RequestScanner;
 use crate::clients::client_socket::ClientSocket;
 use crate::nodes::carry::Carry;
 use crate::nodes::relay::{Carried, Content, Way};
@@ -32,171 +32,172 @@
 use tokio::time::timeout;
 use tower::ServiceBuilder;
 
-const BACKLOG: u32 = 1_024; // connections that wait while accepting pauses at the connection limit
-const IDLE_MOST: Duration = Duration::from_secs(10); // a connection without a request for this long is closed
+const LISTEN_BACKLOG: u32 = 1_024; // connections that wait while accepting pauses at the connection limit
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10); // a connection without a request for this long is closed
 // From the accept, or from the first byte of a request head, to the end of the head.
-const HEAD_WITHIN: Duration = Duration::from_millis(2_400);
-const FRESH: Duration = Duration::from_millis(50); // a new connection is never evicted within this time
-// Added to FRESH for a silent connection, while permits are left but many connections are open.
-const SILENT: Duration = Duration::from_millis(450);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(50); // a new connection is never evicted within this time
+// Added to NEW_CONNECTION_GRACE for a silent connection, while permits are left but many connections are open.
+const SILENT_GRACE: Duration = Duration::from_millis(450);
 // Idle time after a request before a connection is evicted, while few open connections are idle after a request.
-const USED: Duration = Duration::from_secs(1);
-const USED_SHARE: usize = 4; // one in this many open connections idle after a request is no longer few
+const KEEP_ALIVE_GRACE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_SHARE_DIVISOR: usize = 4; // one in this many open connections idle after a request is no longer few
 // Share of the client connection limit (a quarter of all descriptors) from which idle connections are evicted; clients
 // hold a third at most.
-const MANY: f64 = 0.5;
-const CLOSE_EVERY: Duration = Duration::from_millis(10); // between evictions while a new connection waits
-const HEAD_ENDS: Duration = Duration::from_millis(250); // for an evicted connection to complete a head it has begun
-const BUFFER: usize = 16_384; // read buffer of a connection; far more than a request head takes
-const PAUSE: Duration = Duration::from_millis(50); // after a failed bind or accept, to avoid a busy loop
+const EVICTION_THRESHOLD: f64 = 0.5;
+const EVICTION_INTERVAL: Duration = Duration::from_millis(10); // between evictions while a new connection waits
+const PARTIAL_HEAD_GRACE: Duration = Duration::from_millis(250); // for an evicted connection to complete a head it has begun
+const READ_BUFFER_BYTES: usize = 16_384; // read buffer of a connection; far more than a request head takes
+const RETRY_DELAY: Duration = Duration::from_millis(50); // after a failed bind or accept, to avoid a busy loop
 // For the previous process to release the address; after that it is too late for a start.
-const FREE_WITHIN: Duration = Duration::from_secs(25);
-const CUT_TURNS: usize = 256; // runtime turns; far more than it takes to drain what was read ahead of a response
-const LINGER: Duration = Duration::from_millis(200); // for a client to close its side after we have closed ours
-const ARRIVES: Duration = Duration::from_millis(900); // within this time a written response has reached its client
-const LINGER_BYTES: usize = 262_144; // discarded while lingering; more than clients have in flight
+const BIND_TIMEOUT: Duration = Duration::from_secs(25);
+const MAX_CUT_OFF_TURNS: usize = 256; // runtime turns; far more than it takes to drain what was read ahead of a response
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200); // for a client to close its side after we have closed ours
+const MAX_DELIVERY_TIME: Duration = Duration::from_millis(900); // within this time a written response has reached its client
+const MAX_LINGER_BYTES: usize = 262_144; // discarded while lingering; more than clients have in flight
 // Connections that linger at once; bounded, so that a flood of clients cannot hold more descriptors this way.
-const LINGER_MOST: usize = 128;
+const MAX_LINGERING: usize = 128;
 // For connections left in the backlog once the listener is closed, and for a silent connection to end.
-const LAST_LOOK: Duration = Duration::from_millis(5);
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Open client connections, with the idle ones in the order in which they are evicted.
 #[derive(Default)]
-struct Clients {
+struct ConnectionTable {
     /// Number of open connections from which idle ones are evicted although permits are left.
-    many: usize,
-    turn: Cell<u64>,
-    open: Cell<usize>,
+    eviction_threshold: usize,
+    next_sequence: Cell<u64>,
+    open_count: Cell<usize>,
     /// Connections that wait for their clients to close their side.
-    lingering: Cell<usize>,
-    idle: RefCell<BTreeMap<Place, Rc<Notify>>>,
+    lingering_count: Cell<usize>,
+    idle: RefCell<BTreeMap<IdleKey, Rc<Notify>>>,
 }
 
 /// What an idle connection has received, in eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Heard {
+enum Received {
     Nothing,
     /// An incomplete request head.
-    Part,
+    PartialHead,
     Request,
 }
 
 /// What an idle connection has received, when it may be evicted, and a sequence number.
-type Place = (Heard, Instant, u64);
+type IdleKey = (Received, Instant, u64);
 
 /// State of one client connection.
-struct Client {
-    clients: Rc<Clients>,
+struct ClientConnection {
+    table: Rc<ConnectionTable>,
     /// Its key in the table of idle connections, while it is idle.
-    idle: Cell<Option<Place>>,
+    idle: Cell<Option<IdleKey>>,
     /// Since when the end of a request head is awaited.
-    owes: Cell<Option<Instant>>,
-    close: Rc<Notify>,
+    head_awaited_since: Cell<Option<Instant>>,
+    /// Notified when this connection is evicted.
+    evict: Rc<Notify>,
     /// Determines the framing of its requests from the raw bytes.
-    scanner: RefCell<Scanner>,
+    scanner: RefCell<RequestScanner>,
     /// Since when writes to the client have been blocked.
-    full: Cell<Option<Instant>>,
+    write_blocked_since: Cell<Option<Instant>>,
     /// The response was passed to the connection and is not written completely yet.
-    answered: Cell<bool>,
+    flush_pending: Cell<bool>,
     /// When the last response was written completely.
-    answered_at: Cell<Option<Instant>>,
+    response_written_at: Cell<Option<Instant>>,
     /// Evicted to make room for a new connection.
-    makes_room: Cell<bool>,
+    is_evicted: Cell<bool>,
     stream: Rc<TcpStream>,
-    /// The streamed response in progress; `begins` is notified when one starts.
-    long: RefCell<Option<Rc<Way>>>,
-    begins: Notify,
+    /// The streamed response in progress; `stream_started` is notified when one starts.
+    streamed_response: RefCell<Option<Rc<Way>>>,
+    stream_started: Notify,
     /// The client accepts chunked responses (HTTP/1.1).
-    chunks: Cell<bool>,
+    accepts_chunked: Cell<bool>,
     /// Set once the response is being handed over: collects what the connection would have written.
     unwritten: RefCell<Option<Vec<u8>>>,
 }
 
-impl Clients {
-    fn enter(self: &Rc<Self>, stream: TcpStream) -> Rc<Client> {
-        self.open.set(self.open.get() + 1);
-        let owes = Cell::new(Some(Instant::now()));
-        let client = Client {
-            clients: self.clone(),
+impl ConnectionTable {
+    fn register(self: &Rc<Self>, stream: TcpStream) -> Rc<ClientConnection> {
+        self.open_count.set(self.open_count.get() + 1);
+        let head_awaited_since = Cell::new(Some(Instant::now()));
+        let client = ClientConnection {
+            table: self.clone(),
             idle: Cell::default(),
-            owes,
-            close: Rc::default(),
+            head_awaited_since,
+            evict: Rc::default(),
             scanner: RefCell::default(),
-            full: Cell::default(),
-            answered: Cell::default(),
-            answered_at: Cell::default(),
-            makes_room: Cell::default(),
+            write_blocked_since: Cell::default(),
+            flush_pending: Cell::default(),
+            response_written_at: Cell::default(),
+            is_evicted: Cell::default(),
             stream: Rc::new(stream),
-            long: RefCell::default(),
-            begins: Notify::new(),
-            chunks: Cell::default(),
+            streamed_response: RefCell::default(),
+            stream_started: Notify::new(),
+            accepts_chunked: Cell::default(),
             unwritten: RefCell::default(),
         };
         // The first request of a new connection may still be in flight: evicting the connection at once would lose
         // it, and the next connection's in the same way.
-        client.idles(Heard::Nothing, FRESH);
+        client.mark_idle(Received::Nothing, NEW_CONNECTION_GRACE);
         Rc::new(client)
     }
 
     /// Waits for a connection permit and evicts idle connections meanwhile. Without eviction, idle connections would
     /// use up all permits and the requests in the listen backlog would be lost. Connections that have sent nothing
     /// go first, so that hundreds of silent ones do not displace those in use; then the longest idle.
-    async fn make_room(&self, room: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
+    async fn acquire_permit(&self, room: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
         let mut permit = pin!(room.clone().acquire_owned());
         loop {
-            let full = room.available_permits() == 0;
+            let permits_exhausted = room.available_permits() == 0;
             // Clients that keep each connection after one request may run out of descriptors of their own before
             // our limit is reached, and we would not notice. So eviction starts below the limit.
-            if full || self.open.get() >= self.many {
+            if permits_exhausted || self.open_count.get() >= self.eviction_threshold {
                 let (now, mut idle) = (Instant::now(), self.idle.borrow_mut());
-                let mut all = idle.keys();
-                let due = all.find(|p| p.1 <= now && (full || p.0 == Heard::Nothing && p.1 + SILENT <= now));
+                let mut candidates = idle.keys();
+                let due = candidates.find(|p| p.1 <= now && (permits_exhausted || p.0 == Received::Nothing && p.1 + SILENT_GRACE <= now));
                 // Where each request comes on a new connection, waiting until one of the few silent connections
                 // may be evicted would leave the backlog waiting past its deadlines. So a connection idle after
                 // a request is evicted early if these are a large share.
-                let silent = idle.keys().take_while(|place| place.0 != Heard::Request).count();
-                let used =
-                    idle.keys().nth(silent).filter(|_| (idle.len() - silent) * USED_SHARE >= self.open.get());
-                let longest = due.or(used).copied();
-                longest.and_then(|place| idle.remove(&place)).inspect(|close| close.notify_one());
+                let silent_count = idle.keys().take_while(|key| key.0 != Received::Request).count();
+                let longest_used =
+                    idle.keys().nth(silent_count).filter(|_| (idle.len() - silent_count) * KEEP_ALIVE_SHARE_DIVISOR >= self.open_count.get());
+                let victim = due.or(longest_used).copied();
+                victim.and_then(|key| idle.remove(&key)).inspect(|evict| evict.notify_one());
             }
-            if let Ok(permit) = timeout(CLOSE_EVERY, permit.as_mut()).await {
+            if let Ok(permit) = timeout(EVICTION_INTERVAL, permit.as_mut()).await {
                 return permit.ok();
             }
         }
     }
 }
 
-impl Client {
-    fn busy(&self) {
-        self.owes.set(None);
-        self.answered.set(false);
-        self.long.take();
-        self.idle.take().map(|place| self.clients.idle.borrow_mut().remove(&place));
+impl ClientConnection {
+    fn mark_busy(&self) {
+        self.head_awaited_since.set(None);
+        self.flush_pending.set(false);
+        self.streamed_response.take();
+        self.idle.take().map(|key| self.table.idle.borrow_mut().remove(&key));
     }
-    fn idles(&self, heard: Heard, kept_for: Duration) {
-        let place = (heard, Instant::now() + kept_for, self.clients.turn.get());
-        self.clients.turn.set(place.2 + 1);
-        self.clients.idle.borrow_mut().insert(place, self.close.clone());
-        self.idle.set(Some(place));
+    fn mark_idle(&self, received: Received, grace: Duration) {
+        let key = (received, Instant::now() + grace, self.table.next_sequence.get());
+        self.table.next_sequence.set(key.2 + 1);
+        self.table.idle.borrow_mut().insert(key, self.evict.clone());
+        self.idle.set(Some(key));
     }
     /// Records that bytes were read: an idle connection now has an incomplete head.
-    fn hears(&self) {
-        let Some(place) = self.idle.get().filter(|place| place.0 != Heard::Part) else { return };
-        let (now, since) = (Instant::now(), self.owes.get());
-        self.busy();
-        self.owes.set(since.or(Some(now)));
-        self.idles(Heard::Part, place.1.saturating_duration_since(now));
+    fn on_bytes_read(&self) {
+        let Some(key) = self.idle.get().filter(|key| key.0 != Received::PartialHead) else { return };
+        let (now, since) = (Instant::now(), self.head_awaited_since.get());
+        self.mark_busy();
+        self.head_awaited_since.set(since.or(Some(now)));
+        self.mark_idle(Received::PartialHead, key.1.saturating_duration_since(now));
     }
-    fn heard(&self, what: Heard) -> bool {
-        self.idle.get().is_some_and(|place| place.0 == what)
+    fn is_idle_after(&self, received: Received) -> bool {
+        self.idle.get().is_some_and(|key| key.0 == received)
     }
     /// Completes once the end of a request head is overdue. Without this limit a connection that sends nothing, or
     /// never completes a head, would be kept as long as one in use.
-    async fn head_overdue(&self) {
+    async fn head_timeout(&self) {
         loop {
-            let owes = self.owes.get();
-            let left = owes.map_or(HEAD_WITHIN, |since| HEAD_WITHIN.saturating_sub(since.elapsed()));
+            let since = self.head_awaited_since.get();
+            let left = since.map_or(HEAD_TIMEOUT, |since| HEAD_TIMEOUT.saturating_sub(since.elapsed()));
             if left.is_zero() {
                 return;
             }
@@ -204,22 +205,22 @@
         }
     }
     /// Completes once a streamed response is in progress.
-    async fn long_begins(&self) {
-        while self.long.borrow().is_none() {
-            self.begins.notified().await;
+    async fn stream_start(&self) {
+        while self.streamed_response.borrow().is_none() {
+            self.stream_started.notified().await;
         }
     }
     /// Cuts off the response that `connection` is sending and returns the remainder. The connection and the node's
     /// parser are drained first; otherwise the bytes buffered there would be missing. None if the connection or the
     /// response failed meanwhile.
-    async fn cut<C: Future<Output = hyper::Result<()>>>(
+    async fn cut_off<C: Future<Output = hyper::Result<()>>>(
         &self,
         mut connection: Pin<&mut C>,
         way: &Way,
         successor: &Successor,
     ) -> Option<(Carry, Option<Carried>)> {
         self.unwritten.replace(Some(Vec::new()));
-        for _ in 0..CUT_TURNS {
+        for _ in 0..MAX_CUT_OFF_TURNS {
             let polled = poll_fn(|cx| {
                 way.reads_ahead(cx);
                 Poll::Ready(connection.as_mut().poll(cx))
@@ -246,35 +247,35 @@
     /// Closes the connection once nothing else reads from it or writes to it. Closing a socket with unread bytes resets
     /// the connection, and the client may lose the end of the response. So our side is shut down first, and what the
     /// client still sends is read and discarded for a short time (lingering close).
-    async fn ends(&self) {
+    async fn close(&self) {
         if self.unwritten.borrow().is_some() {
             // The socket was handed over.
             return;
         }
         let socket = SockRef::from(&*self.stream);
-        let cut =
-            self.long.borrow().as_ref().is_some_and(|way| way.broken() && !way.told && !self.chunks.get());
-        if cut {
+        let is_truncated =
+            self.streamed_response.borrow().as_ref().is_some_and(|way| way.broken() && !way.told && !self.accepts_chunked.get());
+        if is_truncated {
             // Where the end of the connection marks the end of the body, a clean close would make a truncated response
             // look complete. So the connection is reset. An error here means that it is broken already.
             let _ = socket.set_linger(Some(Duration::ZERO));
             return;
         }
         // A closing connection left in the table would be chosen for eviction instead of one that can make room.
-        self.idle.take().map(|place| self.clients.idle.borrow_mut().remove(&place));
+        self.idle.take().map(|key| self.table.idle.borrow_mut().remove(&key));
         // Nothing can be lost if no response was written recently. An evicted connection does not linger either: it
         // would hold its permit meanwhile.
-        let lately =
-            !self.makes_room.get() && self.answered_at.get().is_some_and(|at| at.elapsed() < ARRIVES);
-        let many = self.clients.lingering.get() >= LINGER_MOST;
-        if socket.shutdown(Shutdown::Write).is_err() || !lately || many {
+        let recently_written =
+            !self.is_evicted.get() && self.response_written_at.get().is_some_and(|at| at.elapsed() < MAX_DELIVERY_TIME);
+        let too_many = self.table.lingering_count.get() >= MAX_LINGERING;
+        if socket.shutdown(Shutdown::Write).is_err() || !recently_written || too_many {
             return;
         }
-        self.clients.lingering.set(self.clients.lingering.get() + 1);
-        let throws_away = async {
-            let (mut left, mut thrown) = (LINGER_BYTES, [0; 4_096]);
+        self.table.lingering_count.set(self.table.lingering_count.get() + 1);
+        let discard_input = async {
+            let (mut left, mut discarded) = (MAX_LINGER_BYTES, [0; 4_096]);
             while left > 0 && self.stream.readable().await.is_ok() {
-                match self.stream.try_read(&mut thrown) {
+                match self.stream.try_read(&mut discarded) {
                     Ok(0) => return,
                     Ok(bytes) => left = left.saturating_sub(bytes),
                     Err(error) if error.kind() == ErrorKind::WouldBlock => {}
@@ -283,32 +284,32 @@
             }
         };
         // A client that keeps its side open for longer is cut off.
-        let _ = timeout(LINGER, throws_away).await;
-        self.clients.lingering.set(self.clients.lingering.get() - 1);
+        let _ = timeout(LINGER_TIMEOUT, discard_input).await;
+        self.table.lingering_count.set(self.table.lingering_count.get() - 1);
     }
     /// Keeps reading a streamed response ahead of the client; never completes.
-    async fn reads_ahead(&self) {
+    async fn read_ahead(&self) {
         poll_fn(|cx| {
-            self.long.borrow().iter().for_each(|way| way.reads_ahead(cx));
+            self.streamed_response.borrow().iter().for_each(|way| way.reads_ahead(cx));
             Poll::Pending
         })
         .await
     }
     /// Completes once writes to the client have been blocked for too long.
-    async fn stands_still(&self) {
-        while self.full.get().is_none_or(|since| since.elapsed() < PEER_STALL) {
+    async fn write_timeout(&self) {
+        while self.write_blocked_since.get().is_none_or(|since| since.elapsed() < PEER_STALL) {
             tokio::time::sleep(PEER_STALL / 8).await;
         }
     }
 }
 
 /// A response body; the client's connection counts as busy until the last byte is written.
-struct Answering {
+struct TrackedBody {
     content: Content,
-    client: Rc<Client>,
+    client: Rc<ClientConnection>,
 }
 
-impl Body for Answering {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -326,19 +327,19 @@
     }
 }
 
-impl Drop for Answering {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.client.answered.set(true);
+        self.client.flush_pending.set(true);
     }
 }
 
 /// A client's stream that records reads and writes in the connection's state.
-struct Listened {
+struct TrackedStream {
     stream: Shared,
-    client: Rc<Client>,
+    client: Rc<ClientConnection>,
 }
 
-impl AsyncRead for Listened {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -348,16 +349,16 @@
             return Poll::Pending;
         }
         let before = buf.filled().len();
-        let read = Pin::new(&mut self.stream).poll_read(cx, buf);
+        let result = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.client.hears();
+            self.client.on_bytes_read();
         }
         self.client.scanner.borrow_mut().read(&buf.filled()[before..]);
-        read
+        result
     }
 }
 
-impl AsyncWrite for Listened {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -367,18 +368,18 @@
             unwritten.extend_from_slice(buf);
             return Poll::Ready(Ok(buf.len()));
         }
-        let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
-        let since = self.client.full.get().or_else(|| Some(Instant::now()));
-        self.client.full.set(since.filter(|_| wrote.is_pending()));
-        wrote
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        let since = self.client.write_blocked_since.get().or_else(|| Some(Instant::now()));
+        self.client.write_blocked_since.set(since.filter(|_| result.is_pending()));
+        result
     }
     /// Called once everything so far has been written. Marking the connection idle any earlier would allow its
     /// eviction while a slow client has not read the end of the response, which would be lost.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        if self.client.answered.take() {
-            self.client.long.take();
-            self.client.answered_at.set(Some(Instant::now()));
-            self.client.idles(Heard::Request, USED);
+        if self.client.flush_pending.take() {
+            self.client.streamed_response.take();
+            self.client.response_written_at.set(Some(Instant::now()));
+            self.client.mark_idle(Received::Request, KEEP_ALIVE_GRACE);
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
@@ -391,10 +392,10 @@
     }
 }
 
-impl Drop for Client {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.busy();
-        self.clients.open.set(self.clients.open.get() - 1);
+        self.mark_busy();
+        self.table.open_count.set(self.table.open_count.get() - 1);
     }
 }
 
@@ -402,32 +403,32 @@
 pub async fn listen(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let start = Instant::now();
     loop {
-        match open(addr) {
-            Err(error) if error.kind() == ErrorKind::AddrInUse && start.elapsed() < FREE_WITHIN => {
-                tokio::time::sleep(PAUSE).await;
+        match bind(addr) {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && start.elapsed() < BIND_TIMEOUT => {
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            opened => return opened,
+            result => return result,
         }
     }
 }
 
-fn open(addr: SocketAddr) -> std::io::Result<TcpListener> {
+fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     // Allows binding after a restart while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// Accepts connections until shutdown closes the listener, then accepts what is left in the backlog.
 pub async fn accept_connections(listener: &TcpListener, room: &Arc<Semaphore>, front: &ClientService) {
     let shutdown = front.shutdown.clone();
-    let many = (room.available_permits() as f64 * MANY) as usize;
-    let clients = Rc::new(Clients { many, ..Clients::default() });
+    let eviction_threshold = (room.available_permits() as f64 * EVICTION_THRESHOLD) as usize;
+    let table = Rc::new(ConnectionTable { eviction_threshold, ..ConnectionTable::default() });
     loop {
         let next = async {
             // At the connection limit accepting pauses, and new connections wait in the backlog.
-            let permit = clients.make_room(room).await;
+            let permit = table.acquire_permit(room).await;
             (permit, listener.accept().await)
         };
         let (permit, accepted) = tokio::select! {
@@ -438,28 +439,28 @@
             next = next => next,
         };
         match accepted {
-            Ok((stream, _)) => admit(stream, permit, front.clone(), &clients),
+            Ok((stream, _)) => spawn_connection(stream, permit, front.clone(), &table),
             Err(error) => {
                 say!("accepting a client connection failed: {error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
     // A connection in the backlog, accepted by the kernel already, may hold a request that would be lost.
     while !shutdown.succeeded()
-        && let Ok(Ok((stream, _))) = timeout(LAST_LOOK, listener.accept()).await
+        && let Ok(Ok((stream, _))) = timeout(BACKLOG_DRAIN_TIMEOUT, listener.accept()).await
     {
-        admit(stream, clients.make_room(room).await, front.clone(), &clients);
+        spawn_connection(stream, table.acquire_permit(room).await, front.clone(), &table);
     }
 }
 
-fn admit(stream: TcpStream, permit: Option<OwnedSemaphorePermit>, front: ClientService, clients: &Rc<Clients>) {
+fn spawn_connection(stream: TcpStream, permit: Option<OwnedSemaphorePermit>, front: ClientService, table: &Rc<ConnectionTable>) {
     let idle_closed = front.shutdown.idle_closed();
-    let taken_over = front.shutdown.clone();
+    let handover_shutdown = front.shutdown.clone();
     if let Err(error) = stream.set_nodelay(true) {
         say!("setting TCP_NODELAY on a client connection failed: {error}");
     }
-    let client = clients.enter(stream);
+    let client = table.register(stream);
     let front = ClientService { client: ClientSocket::on(client.stream.clone()), ..front };
     let stack = ServiceBuilder::new()
         .map_response({
@@ -467,32 +468,32 @@
             move |answer: Response<Content>| {
                 let client = client.clone();
                 if let Content::Long(relay) = answer.body() {
-                    client.long.replace(Some(relay.way.clone()));
-                    client.begins.notify_one();
+                    client.streamed_response.replace(Some(relay.way.clone()));
+                    client.stream_started.notify_one();
                 }
-                answer.map(|content| Answering { content, client })
+                answer.map(|content| TrackedBody { content, client })
             }
         })
         .map_request({
             let client = client.clone();
             move |mut request: Request<Incoming>| {
-                client.busy();
-                client.chunks.set(request.version() == Version::HTTP_11);
-                request.extensions_mut().insert(client.scanner.borrow_mut().next());
+                client.mark_busy();
+                client.accepts_chunked.set(request.version() == Version::HTTP_11);
+                request.extensions_mut().insert(client.scanner.borrow_mut().next_framing());
                 request
             }
         })
         .service(front);
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(IDLE_MOST).max_buf_size(BUFFER);
-    let ending = client.clone();
-    let served = async move {
-        let heard = TokioIo::new(Listened { stream: Shared(client.stream.clone()), client: client.clone() });
-        let mut connection = pin!(http.serve_connection(heard, TowerToHyperService::new(stack)));
+    http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(READ_BUFFER_BYTES);
+    let closing = client.clone();
+    let serve = async move {
+        let stream = TokioIo::new(TrackedStream { stream: Shared(client.stream.clone()), client: client.clone() });
+        let mut connection = pin!(http.serve_connection(stream, TowerToHyperService::new(stack)));
         // A successor takes over streamed responses, those in progress and those that start from now on.
-        let mut handed = pin!(async {
-            let successor = taken_over.successor().await;
-            client.long_begins().await;
+        let mut handover_start = pin!(async {
+            let successor = handover_shutdown.successor().await;
+            client.stream_start().await;
             successor
         });
         // The result of the connection is ignored: the request's handle reports how the request ended.
@@ -500,18 +501,18 @@
             // Polled first, so that a request that has arrived is read before its connection counts as idle.
             biased;
             _ = connection.as_mut() => return,
-            () = client.reads_ahead() => {}
-            () = client.head_overdue() => return,
-            () = client.stands_still() => return,
-            () = client.close.notified() => client.makes_room.set(true),
-            successor = handed.as_mut() => return leave(connection, &client, &successor).await,
+            () = client.read_ahead() => {}
+            () = client.head_timeout() => return,
+            () = client.write_timeout() => return,
+            () = client.evict.notified() => client.is_evicted.set(true),
+            successor = handover_start.as_mut() => return hand_over_response(connection, &client, &successor).await,
             () = idle_closed => {
                 // A request head that arrives slowly during shutdown may still be completed and answered; closing now
                 // would lose the request.
-                if client.heard(Heard::Part) {
+                if client.is_idle_after(Received::PartialHead) {
                     tokio::select! {
                         _ = connection.as_mut() => return,
-                        () = client.head_overdue() => return,
+                        () = client.head_timeout() => return,
                     }
                 }
             }
@@ -519,34 +520,34 @@
         connection.as_mut().graceful_shutdown();
         // A client that never completes its head would keep its permit while others wait for one, and each of
         // hundreds that send nothing would too. So both get a short time to end.
-        let ends = if client.heard(Heard::Nothing) { LAST_LOOK } else { HEAD_ENDS };
-        let ended = timeout(ends, connection.as_mut()).await.is_ok();
-        if !ended && client.idle.get().is_none() {
+        let grace = if client.is_idle_after(Received::Nothing) { BACKLOG_DRAIN_TIMEOUT } else { PARTIAL_HEAD_GRACE };
+        let has_ended = timeout(grace, connection.as_mut()).await.is_ok();
+        if !has_ended && client.idle.get().is_none() {
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => {}
-                () = client.reads_ahead() => {}
-                successor = handed => leave(connection, &client, &successor).await,
+                () = client.read_ahead() => {}
+                successor = handover_start => hand_over_response(connection, &client, &successor).await,
             }
         }
     };
     tokio::task::spawn_local(async move {
         let _permit = permit;
-        served.await;
-        ending.ends().await;
+        serve.await;
+        closing.close().await;
     });
 }
 
 /// Hands the streamed response in progress over to the successor, if it can be cut off.
-async fn leave<C: Future<Output = hyper::Result<()>>>(
+async fn hand_over_response<C: Future<Output = hyper::Result<()>>>(
     mut connection: Pin<&mut C>,
-    client: &Rc<Client>,
+    client: &Rc<ClientConnection>,
     successor: &Successor,
 ) {
-    let way = client.long.borrow().clone();
-    match way.filter(|way| (way.told || client.chunks.get()) && way.halt()) {
+    let way = client.streamed_response.borrow().clone();
+    match way.filter(|way| (way.told || client.accepts_chunked.get()) && way.halt()) {
         Some(way) => {
-            if let Some((carry, carried)) = client.cut(connection.as_mut(), &way, successor).await {
+            if let Some((carry, carried)) = client.cut_off(connection.as_mut(), &way, successor).await {
                 handover::hand_over(successor, carry, carried).await;
             }
         }
@@ -554,8 +555,8 @@
         None => tokio::select! {
             biased;
             _ = connection => {}
-            () = client.reads_ahead() => {}
-            () = client.stands_still() => {}
+            () = client.read_ahead() => {}
+            () = client.write_timeout() => {}
         },
     }
 }
--- a/crates/flintwell/src/clients/answer.rs
+++ b/crates/flintwell/src/clients/answer.rs
@@ -76,10 +76,10 @@
         Malformed::Header(name) => {
             (StatusCode::BAD_REQUEST, format!("header {name}: missing or not understood\n"))
         }
-        Malformed::Doubtful => (StatusCode::BAD_REQUEST, "a body comes with its length or chunked\n".into()),
+        Malformed::AmbiguousFraming => (StatusCode::BAD_REQUEST, "a body comes with its length or chunked\n".into()),
         Malformed::BodyTooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n".into()),
-        Malformed::BodyBroken => (StatusCode::BAD_REQUEST, "the body is not whole\n".into()),
-        Malformed::BodyLate => (StatusCode::REQUEST_TIMEOUT, "the body came too late\n".into()),
+        Malformed::InvalidBody => (StatusCode::BAD_REQUEST, "the body is not whole\n".into()),
+        Malformed::BodyTimeout => (StatusCode::REQUEST_TIMEOUT, "the body came too late\n".into()),
     };
     (status, Bytes::from(words).into())
 }
--- a/crates/flintwell/src/clients/body.rs
+++ b/crates/flintwell/src/clients/body.rs
@@ -16,12 +16,13 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Maximum length of a request or response body.
-pub const MAX_BODY_BYTES: u64 = 32 << 20; // bytes
-const WITHIN: Duration = Duration::from_millis(1_300); // added to a body's transfer time; a bad body is rejected soon
-const RATE: u64 = 48_000; // bytes per second; slow clients have 64,000
-const STALL: Duration = Duration::from_millis(2_500); // between two frames of a streamed body
-const BLOCK: usize = 65_536; // bytes of a buffer block; frames come in any size
-const BLOCK_FIRST: usize = 4_096; // bytes of the first block where the body's length is unknown
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
+// Added to the time that a body's bytes take; short, so that a bad body is rejected soon.
+const BASE_RECEIVE_TIMEOUT: Duration = Duration::from_millis(1_300);
+const MIN_RATE_BYTES_PER_S: u64 = 48_000; // slow clients send 64,000
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500); // between two frames of a streamed body
+const BLOCK_BYTES: usize = 65_536; // buffered bodies are copied into such blocks, as frames come in any size
+const FIRST_BLOCK_BYTES: usize = 4_096; // first block of a body of unknown length
 
 /// Memory budget, in bytes, shared by buffered bodies.
 pub struct BufferBudget(Cell<usize>);
@@ -33,11 +34,11 @@
     pub fn available_bytes(&self) -> u64 {
         self.0.get() as u64
     }
-    fn take(&self, bytes: usize) -> bool {
+    fn reserve(&self, bytes: usize) -> bool {
         let left = self.0.get().checked_sub(bytes);
         left.inspect(|left| self.0.set(*left)).is_some()
     }
-    fn give_back(&self, bytes: usize) {
+    fn release(&self, bytes: usize) {
         self.0.set(self.0.get() + bytes);
     }
 }
@@ -46,75 +47,75 @@
 pub struct BodyBuffer {
     /// Blocks with the bytes charged for each.
     blocks: VecDeque<(Bytes, usize)>,
-    last: BytesMut,
-    held: usize,
+    open_block: BytesMut,
+    charged_bytes: usize,
     length: u64,
     budget: Rc<BufferBudget>,
 }
 
 impl BodyBuffer {
     pub fn new(budget: Rc<BufferBudget>) -> Self {
-        BodyBuffer { blocks: VecDeque::new(), last: BytesMut::new(), held: 0, length: 0, budget }
+        BodyBuffer { blocks: VecDeque::new(), open_block: BytesMut::new(), charged_bytes: 0, length: 0, budget }
     }
 
     /// Appends `data`, and leaves in it what does not fit into the budget; returns whether all did fit.
     ///
     /// The data is copied into larger blocks, because small frames kept as they come take many times their size in
     /// memory.
-    pub fn push(&mut self, data: &mut Bytes, told: Option<u64>) -> bool {
+    pub fn push(&mut self, data: &mut Bytes, content_length: Option<u64>) -> bool {
         while !data.is_empty() {
-            if self.last.len() == self.last.capacity() {
-                let left = told.map_or(u64::MAX, |told| told.saturating_sub(self.length)).max(1);
-                let most = if told.is_none() && self.length == 0 { BLOCK_FIRST } else { BLOCK };
-                let block = most.min(usize::try_from(left).unwrap_or(most));
-                if !self.budget.take(block) {
+            if self.open_block.len() == self.open_block.capacity() {
+                let left = content_length.map_or(u64::MAX, |length| length.saturating_sub(self.length)).max(1);
+                let max_block = if content_length.is_none() && self.length == 0 { FIRST_BLOCK_BYTES } else { BLOCK_BYTES };
+                let block = max_block.min(usize::try_from(left).unwrap_or(max_block));
+                if !self.budget.reserve(block) {
                     return false;
                 }
-                self.held += block;
-                self.seal();
-                self.last = BytesMut::with_capacity(block);
+                self.charged_bytes += block;
+                self.seal_block();
+                self.open_block = BytesMut::with_capacity(block);
             }
-            let piece = data.split_to(data.len().min(self.last.capacity() - self.last.len()));
-            self.length += piece.len() as u64;
-            self.last.extend_from_slice(&piece);
+            let part = data.split_to(data.len().min(self.open_block.capacity() - self.open_block.len()));
+            self.length += part.len() as u64;
+            self.open_block.extend_from_slice(&part);
         }
         true
     }
 
-    fn seal(&mut self) {
-        let (room, last) = (self.last.capacity(), std::mem::take(&mut self.last));
-        if !last.is_empty() {
-            self.blocks.push_back((last.freeze(), room));
+    fn seal_block(&mut self) {
+        let (charged, open_block) = (self.open_block.capacity(), std::mem::take(&mut self.open_block));
+        if !open_block.is_empty() {
+            self.blocks.push_back((open_block.freeze(), charged));
         }
     }
 
     /// Removes the first block and returns its bytes to the budget.
     pub fn pop(&mut self) -> Option<Bytes> {
         if self.blocks.is_empty() {
-            self.seal();
+            self.seal_block();
         }
-        let (block, room) = self.blocks.pop_front()?;
-        let room = room.min(self.held);
-        self.held -= room;
-        self.budget.give_back(room);
+        let (block, charged) = self.blocks.pop_front()?;
+        let charged = charged.min(self.charged_bytes);
+        self.charged_bytes -= charged;
+        self.budget.release(charged);
         Some(block)
     }
 }
 
 impl Drop for BodyBuffer {
     fn drop(&mut self) {
-        self.budget.give_back(self.held);
+        self.budget.release(self.charged_bytes);
     }
 }
 
 /// A body that is sent to a node while it is still being received.
-pub struct Passing {
-    kept: BodyBuffer,
-    next: Bytes,
-    rest: Incoming,
-    told: Option<u64>,
-    patience: Patience,
-    end: Rc<StreamStatus>,
+pub struct StreamingBody {
+    buffer: BodyBuffer,
+    pending: Bytes,
+    incoming: Incoming,
+    content_length: Option<u64>,
+    idle_timer: Patience,
+    status: Rc<StreamStatus>,
 }
 
 /// How a streamed body has ended.
@@ -127,27 +128,27 @@
 }
 
 /// The body of a client's request.
-pub enum Payload {
-    Kept(Rc<BodyBuffer>),
+pub enum ReceivedBody {
+    Buffered(Rc<BodyBuffer>),
     /// None once its single attempt has taken it.
-    Passing(Cell<Option<Box<Passing>>>, Rc<StreamStatus>),
+    Streaming(Cell<Option<Box<StreamingBody>>>, Rc<StreamStatus>),
 }
 
-impl Payload {
+impl ReceivedBody {
     /// Receives a body: whole, or as much as the budget has room for; the rest is streamed.
     pub async fn receive(mut body: Incoming, budget: &Rc<BufferBudget>) -> Result<Self, Malformed> {
-        let told = body.size_hint().exact();
-        if told.is_some_and(|told| told > MAX_BODY_BYTES) {
+        let content_length = body.size_hint().exact();
+        if content_length.is_some_and(|length| length > MAX_BODY_BYTES) {
             return Err(Malformed::BodyTooLong);
         }
-        let (start, mut kept, mut length) = (Instant::now(), BodyBuffer::new(budget.clone()), 0);
+        let (start, mut buffer, mut length) = (Instant::now(), BodyBuffer::new(budget.clone()), 0);
         loop {
             // A fixed time limit would be too short for long bodies, and would let a stalled short one wait for long.
-            let due = start + WITHIN + Duration::from_micros(length * 1_000_000 / RATE);
-            let frame = match timeout_at(due, body.frame()).await {
-                Err(_) => return Err(Malformed::BodyLate),
+            let deadline = start + BASE_RECEIVE_TIMEOUT + Duration::from_micros(length * 1_000_000 / MIN_RATE_BYTES_PER_S);
+            let frame = match timeout_at(deadline, body.frame()).await {
+                Err(_) => return Err(Malformed::BodyTimeout),
                 Ok(None) => break,
-                Ok(Some(Err(_))) => return Err(Malformed::BodyBroken),
+                Ok(Some(Err(_))) => return Err(Malformed::InvalidBody),
                 Ok(Some(Ok(frame))) => frame,
             };
             // Trailers are not part of the body.
@@ -156,39 +157,39 @@
             if length > MAX_BODY_BYTES {
                 return Err(Malformed::BodyTooLong);
             }
-            if !kept.push(&mut data, told) {
-                kept.seal();
-                let end = Rc::<StreamStatus>::default();
-                let patience = Patience::new(STALL);
-                let passing = Passing { kept, next: data, rest: body, told, patience, end: end.clone() };
-                return Ok(Payload::Passing(Cell::new(Some(Box::new(passing))), end));
+            if !buffer.push(&mut data, content_length) {
+                buffer.seal_block();
+                let status = Rc::<StreamStatus>::default();
+                let idle_timer = Patience::new(STREAM_IDLE_TIMEOUT);
+                let streaming = StreamingBody { buffer, pending: data, incoming: body, content_length, idle_timer, status: status.clone() };
+                return Ok(ReceivedBody::Streaming(Cell::new(Some(Box::new(streaming))), status));
             }
         }
-        kept.seal();
-        Ok(Payload::Kept(Rc::new(kept)))
+        buffer.seal_block();
+        Ok(ReceivedBody::Buffered(Rc::new(buffer)))
     }
 
     /// The body for an attempt; none if it is streamed and an earlier attempt has taken it.
     pub fn upstream_body(&self) -> Option<UpstreamBody> {
         match self {
-            Payload::Kept(kept) => Some(UpstreamBody::Kept { kept: kept.clone(), sent: 0 }),
-            Payload::Passing(passing, _) => passing.take().map(UpstreamBody::Passing),
+            ReceivedBody::Buffered(buffer) => Some(UpstreamBody::Buffered { buffer: buffer.clone(), sent: 0 }),
+            ReceivedBody::Streaming(streaming, _) => streaming.take().map(UpstreamBody::Streaming),
         }
     }
 
     /// For a streamed body: whether and how it has ended.
     pub fn stream_status(&self) -> Option<&StreamStatus> {
         match self {
-            Payload::Kept(_) => None,
-            Payload::Passing(_, end) => Some(end),
+            ReceivedBody::Buffered(_) => None,
+            ReceivedBody::Streaming(_, status) => Some(status),
         }
     }
 
     /// How long the client may still take to send the body.
     pub fn max_receive_time(&self) -> Duration {
         match self {
-            Payload::Kept(_) => Duration::ZERO,
-            Payload::Passing(..) => WITHIN + Duration::from_micros(MAX_BODY_BYTES * 1_000_000 / RATE),
+            ReceivedBody::Buffered(_) => Duration::ZERO,
+            ReceivedBody::Streaming(..) => BASE_RECEIVE_TIMEOUT + Duration::from_micros(MAX_BODY_BYTES * 1_000_000 / MIN_RATE_BYTES_PER_S),
         }
     }
 }
@@ -196,8 +197,8 @@
 /// A request body as it is sent to a node.
 pub enum UpstreamBody {
     Empty,
-    Kept { kept: Rc<BodyBuffer>, sent: usize },
-    Passing(Box<Passing>),
+    Buffered { buffer: Rc<BodyBuffer>, sent: usize },
+    Streaming(Box<StreamingBody>),
 }
 
 impl Body for UpstreamBody {
@@ -207,61 +208,61 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
             UpstreamBody::Empty => Poll::Ready(None),
-            UpstreamBody::Kept { kept, sent } => {
+            UpstreamBody::Buffered { buffer, sent } => {
                 *sent += 1;
-                Poll::Ready(kept.blocks.get(*sent - 1).map(|block| Ok(Frame::data(block.0.clone()))))
+                Poll::Ready(buffer.blocks.get(*sent - 1).map(|block| Ok(Frame::data(block.0.clone()))))
             }
-            UpstreamBody::Passing(passing) => passing.poll(cx),
+            UpstreamBody::Streaming(streaming) => streaming.poll_data(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             UpstreamBody::Empty => true,
-            UpstreamBody::Kept { kept, sent } => *sent >= kept.blocks.len(),
-            UpstreamBody::Passing(passing) => passing.ended(),
+            UpstreamBody::Buffered { buffer, sent } => *sent >= buffer.blocks.len(),
+            UpstreamBody::Streaming(streaming) => streaming.is_end(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             UpstreamBody::Empty => SizeHint::with_exact(0),
-            UpstreamBody::Kept { kept, .. } => SizeHint::with_exact(kept.length),
-            UpstreamBody::Passing(passing) => passing.told.map_or_else(SizeHint::default, SizeHint::with_exact),
+            UpstreamBody::Buffered { buffer, .. } => SizeHint::with_exact(buffer.length),
+            UpstreamBody::Streaming(streaming) => streaming.content_length.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
 
-impl Passing {
-    fn ended(&self) -> bool {
-        self.kept.blocks.is_empty() && self.next.is_empty() && self.rest.is_end_stream()
+impl StreamingBody {
+    fn is_end(&self) -> bool {
+        self.buffer.blocks.is_empty() && self.pending.is_empty() && self.incoming.is_end_stream()
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        let next = self.kept.pop().unwrap_or_else(|| std::mem::take(&mut self.next));
-        if !next.is_empty() {
-            self.patience.renew();
-            return Poll::Ready(Some(Ok(self.piece(next))));
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+        let data = self.buffer.pop().unwrap_or_else(|| std::mem::take(&mut self.pending));
+        if !data.is_empty() {
+            self.idle_timer.renew();
+            return Poll::Ready(Some(Ok(self.data_frame(data))));
         }
         loop {
-            match Pin::new(&mut self.rest).poll_frame(cx) {
+            match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.patience.renew();
-                    self.kept.length += data.len() as u64;
-                    if self.kept.length > MAX_BODY_BYTES {
-                        return self.breaks(Malformed::BodyTooLong);
+                    self.idle_timer.renew();
+                    self.buffer.length += data.len() as u64;
+                    if self.buffer.length > MAX_BODY_BYTES {
+                        return self.fail(Malformed::BodyTooLong);
                     }
-                    return Poll::Ready(Some(Ok(self.piece(data))));
+                    return Poll::Ready(Some(Ok(self.data_frame(data))));
                 }
-                Poll::Ready(Some(Err(_))) => return self.breaks(Malformed::BodyBroken),
+                Poll::Ready(Some(Err(_))) => return self.fail(Malformed::InvalidBody),
                 Poll::Ready(None) => {
-                    self.end.completed.notify_one();
+                    self.status.completed.notify_one();
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
-                    return match self.patience.poll(cx) {
-                        Poll::Ready(()) => self.breaks(Malformed::BodyLate),
+                    return match self.idle_timer.poll(cx) {
+                        Poll::Ready(()) => self.fail(Malformed::BodyTimeout),
                         Poll::Pending => Poll::Pending,
                     };
                 }
@@ -269,15 +270,15 @@
         }
     }
 
-    fn piece(&self, data: Bytes) -> Frame<Bytes> {
-        if self.ended() {
-            self.end.completed.notify_one();
+    fn data_frame(&self, data: Bytes) -> Frame<Bytes> {
+        if self.is_end() {
+            self.status.completed.notify_one();
         }
         Frame::data(data)
     }
 
-    fn breaks(&self, why: Malformed) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        self.end.error.set(Some(why));
+    fn fail(&self, reason: Malformed) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+        self.status.error.set(Some(reason));
         Poll::Ready(Some(Err(io::Error::other("the client's request body is incomplete or invalid"))))
     }
 }
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes and validates a client's message into a typed request.
 
-use crate::clients::body::{BufferBudget, Payload};
+use crate::clients::body::{BufferBudget, ReceivedBody};
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
 use crate::clients::client_socket::ClientSocket;
@@ -12,9 +12,10 @@
 use hyper::{Method, Request, Uri};
 use std::rc::Rc;
 
-const ONCE: [&str; 5] = ["host", "x-request-id", "x-class", "x-deadline", "idempotency-key"]; // headers that may occur once
-const MARGIN: Micros = 10_000; // covers the way back to the client and waiting for our single core
-const LIMIT_MOST: f64 = 3_600.0; // no client has a longer deadline
+// Headers that must not be repeated.
+const SINGLETON_HEADERS: [&str; 5] = ["host", "x-request-id", "x-class", "x-deadline", "idempotency-key"];
+const DEADLINE_MARGIN_US: Micros = 10_000; // for the way back to the client and for waiting on our single core
+const MAX_DEADLINE_S: f64 = 3_600.0; // no client has a longer deadline
 
 /// A client's request with its validated headers.
 pub struct ClientRequest {
@@ -24,14 +25,14 @@
     pub host: Option<HeaderValue>,
     pub method: Method,
     pub path: Uri,
-    pub body: Payload,
+    pub body: ReceivedBody,
     pub client: ClientSocket,
     pub class: usize,
     tenant: usize,
     key: Option<Key>,
     work: Option<Micros>,
     /// How long the client waits for the response, from when it sent the request.
-    waits: Micros,
+    client_timeout: Micros,
 }
 
 impl ClientRequest {
@@ -46,16 +47,16 @@
         let (head, body) = request.into_parts();
         // A message with both a length and a transfer encoding can hide another request in its body (request
         // smuggling). The HTTP parser drops the length from the head, so only the raw bytes show it.
-        if framing == Framing::Doubtful {
-            return Err(Malformed::Doubtful);
+        if framing == Framing::Ambiguous {
+            return Err(Malformed::AmbiguousFraming);
         }
-        let body = Payload::receive(body, budget).await?;
+        let body = ReceivedBody::receive(body, budget).await?;
         Self::from_parts(head, body, network, client)
     }
 
     fn from_parts(
         head: Parts,
-        body: Payload,
+        body: ReceivedBody,
         network: &Network,
         client: ClientSocket,
     ) -> Result<Self, Malformed> {
@@ -64,16 +65,16 @@
             return Err(Malformed::Method);
         }
         // Of a duplicated header, a node might use the other value than we do.
-        if let Some(name) = ONCE.into_iter().find(|name| headers.get_all(*name).iter().nth(1).is_some()) {
+        if let Some(name) = SINGLETON_HEADERS.into_iter().find(|name| headers.get_all(*name).iter().nth(1).is_some()) {
             return Err(Malformed::Header(name));
         }
         let text = |name: &'static str| {
             let text = headers.get(name).map(|value| value.to_str().map(str::trim));
             text.transpose().map_err(|_| Malformed::Header(name))
         };
-        let need =
+        let required =
             |name: &'static str| text(name)?.filter(|text| !text.is_empty()).ok_or(Malformed::Header(name));
-        let named = |name: &'static str, names: &[String]| {
+        let index_in = |name: &'static str, names: &[String]| {
             let found = |word: &str| names.iter().position(|n| n == word).ok_or(Malformed::Header(name));
             text(name)?.map(found).transpose()
         };
@@ -81,17 +82,17 @@
             let read = |word: &str| word.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
             text(name)?.map(|word| read(word).ok_or(Malformed::Header(name))).transpose()
         };
-        let waits = number("x-deadline")?.ok_or(Malformed::Header("x-deadline"))?.min(LIMIT_MOST);
+        let client_timeout = number("x-deadline")?.ok_or(Malformed::Header("x-deadline"))?.min(MAX_DEADLINE_S);
         let key = path.path().rsplit('/').next().filter(|key| !key.is_empty()).map(Key::from);
         Ok(ClientRequest {
-            id: need("x-request-id")?.into(),
+            id: required("x-request-id")?.into(),
             id_header: headers.get("x-request-id").cloned().ok_or(Malformed::Header("x-request-id"))?,
-            class: named("x-class", &network.classes)?.ok_or(Malformed::Header("x-class"))?,
-            tenant: named("x-tenant", &network.tenants)?.unwrap_or(0),
+            class: index_in("x-class", &network.classes)?.ok_or(Malformed::Header("x-class"))?,
+            tenant: index_in("x-tenant", &network.tenants)?.unwrap_or(0),
             key,
             // An invalid cost hint is ignored; it is no reason to reject the request.
-            work: number("x-cost-hint").ok().flatten().map(|hint| hint.min(LIMIT_MOST * 1e6) as Micros),
-            waits: (waits * 1e6) as Micros,
+            work: number("x-cost-hint").ok().flatten().map(|hint| hint.min(MAX_DEADLINE_S * 1e6) as Micros),
+            client_timeout: (client_timeout * 1e6) as Micros,
             idempotency_key: headers.get("idempotency-key").cloned(),
             host: headers.get(HOST).cloned(),
             method,
@@ -103,7 +104,7 @@
 
     /// The deadline of the response to a request that the client may have sent at `sent`.
     pub fn deadline(&self, sent: Micros) -> Micros {
-        sent + self.body.max_receive_time().as_micros() as Micros + (self.waits - MARGIN).max(0)
+        sent + self.body.max_receive_time().as_micros() as Micros + (self.client_timeout - DEADLINE_MARGIN_US).max(0)
     }
 
     /// The request as the decision module gets it.
--- a/crates/flintwell/src/clients/framing.rs
+++ b/crates/flintwell/src/clients/framing.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const HEAD_MOST: usize = 65_536; // of a head that is scanned; the HTTP parser rejects longer ones before
+const MAX_HEAD_BYTES: usize = 65_536; // of a head that is scanned; the HTTP parser rejects longer ones before
 
 /// How a message's body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,52 +15,52 @@
     /// By content length, 0 if there is none.
     Length,
     /// By a transfer encoding. The messages after it are not scanned.
-    Coded,
+    TransferEncoded,
     /// By both, by several lengths or by an invalid length.
-    Doubtful,
+    Ambiguous,
 }
 
 /// Which part of a message the next byte belongs to.
-enum At {
+enum ScanState {
     Head(Vec<u8>),
     /// Remaining bytes of the body.
     Body(u64),
     /// Unknown; the connection is closed after the response.
-    Lost,
+    Unknown,
 }
 
 /// Determines the framing of each request on a client's connection from the bytes read.
-pub struct Scanner {
-    at: At,
-    heads: VecDeque<Framing>,
+pub struct RequestScanner {
+    state: ScanState,
+    framings: VecDeque<Framing>,
 }
 
-impl Default for Scanner {
+impl Default for RequestScanner {
     fn default() -> Self {
-        Scanner { at: At::Head(Vec::new()), heads: VecDeque::new() }
+        RequestScanner { state: ScanState::Head(Vec::new()), framings: VecDeque::new() }
     }
 }
 
-impl Scanner {
-    /// Removes and returns the framing of the oldest scanned message; `Doubtful` if there is none.
-    pub fn next(&mut self) -> Framing {
-        self.heads.pop_front().unwrap_or(Framing::Doubtful)
+impl RequestScanner {
+    /// Removes and returns the framing of the oldest scanned message; `Ambiguous` if there is none.
+    pub fn next_framing(&mut self) -> Framing {
+        self.framings.pop_front().unwrap_or(Framing::Ambiguous)
     }
 
     /// Scans bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match &mut self.at {
-                At::Lost => return,
-                At::Body(left) => {
-                    let taken = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                    *left -= taken as u64;
-                    bytes = &bytes[taken..];
-                    if *left == 0 {
-                        self.at = At::Head(Vec::new());
+            match &mut self.state {
+                ScanState::Unknown => return,
+                ScanState::Body(remaining) => {
+                    let count = bytes.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+                    *remaining -= count as u64;
+                    bytes = &bytes[count..];
+                    if *remaining == 0 {
+                        self.state = ScanState::Head(Vec::new());
                     }
                 }
-                At::Head(head) => {
+                ScanState::Head(head) => {
                     let (byte, rest) = (bytes[0], &bytes[1..]);
                     bytes = rest;
                     // Empty lines before a head are skipped.
@@ -68,16 +68,16 @@
                         continue;
                     }
                     head.push(byte);
-                    if byte == b'\n' && ends(head) {
-                        let (framing, length) = framing(head);
-                        self.heads.push_back(framing);
-                        self.at = match framing {
-                            Framing::Length if length == 0 => At::Head(Vec::new()),
-                            Framing::Length => At::Body(length),
-                            _ => At::Lost,
+                    if byte == b'\n' && is_head_complete(head) {
+                        let (framing, length) = parse_framing(head);
+                        self.framings.push_back(framing);
+                        self.state = match framing {
+                            Framing::Length if length == 0 => ScanState::Head(Vec::new()),
+                            Framing::Length => ScanState::Body(length),
+                            _ => ScanState::Unknown,
                         };
-                    } else if head.len() > HEAD_MOST {
-                        self.at = At::Lost;
+                    } else if head.len() > MAX_HEAD_BYTES {
+                        self.state = ScanState::Unknown;
                     }
                 }
             }
@@ -118,25 +118,25 @@
         matches!(self, BodyDecoder::Length(0) | BodyDecoder::Chunked(ChunkState::End))
     }
 
-    /// Decodes further bytes and passes the payload in them to `piece`. False if they are not a valid encoding.
-    pub fn decode(&mut self, mut bytes: &[u8], mut piece: impl FnMut(&[u8])) -> bool {
+    /// Decodes further bytes and passes the payload in them to `payload`. False if they are not a valid encoding.
+    pub fn decode(&mut self, mut bytes: &[u8], mut payload: impl FnMut(&[u8])) -> bool {
         while !bytes.is_empty() && !self.is_complete() {
-            let (left, behind) = match self {
-                BodyDecoder::Length(left) => (*left, None),
-                BodyDecoder::Chunked(ChunkState::Data(left)) => (*left, Some(ChunkState::DataEnd)),
-                BodyDecoder::Chunked(chunks) => {
-                    let Some(next) = chunks.then(bytes[0]) else { return false };
-                    (*chunks, bytes) = (next, &bytes[1..]);
+            let (remaining, state_after) = match self {
+                BodyDecoder::Length(remaining) => (*remaining, None),
+                BodyDecoder::Chunked(ChunkState::Data(remaining)) => (*remaining, Some(ChunkState::DataEnd)),
+                BodyDecoder::Chunked(state) => {
+                    let Some(next) = state.advance(bytes[0]) else { return false };
+                    (*state, bytes) = (next, &bytes[1..]);
                     continue;
                 }
             };
-            let taken = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-            piece(&bytes[..taken]);
-            bytes = &bytes[taken..];
-            let left = left - taken as u64;
-            *self = match behind {
-                None => BodyDecoder::Length(left),
-                Some(behind) => BodyDecoder::Chunked(if left == 0 { behind } else { ChunkState::Data(left) }),
+            let count = bytes.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
+            payload(&bytes[..count]);
+            bytes = &bytes[count..];
+            let remaining = remaining - count as u64;
+            *self = match state_after {
+                None => BodyDecoder::Length(remaining),
+                Some(state_after) => BodyDecoder::Chunked(if remaining == 0 { state_after } else { ChunkState::Data(remaining) }),
             };
         }
         true
@@ -145,7 +145,7 @@
 
 impl ChunkState {
     /// The state after this byte, which is not chunk data; none if the byte is invalid here.
-    fn then(self, byte: u8) -> Option<Self> {
+    fn advance(self, byte: u8) -> Option<Self> {
         Some(match (self, byte) {
             (ChunkState::Size(0) | ChunkState::Extension(0), b'\n') => ChunkState::Trailer(true),
             (ChunkState::Size(size) | ChunkState::Extension(size), b'\n') => ChunkState::Data(size),
@@ -173,7 +173,7 @@
     pub decoder: Option<BodyDecoder>,
     /// Body bytes read so far.
     pub body_bytes: u64,
-    headed: bool,
+    head_complete: bool,
     /// Reading from the connection has been stopped.
     pub halted: bool,
     /// When the first byte was read.
@@ -186,28 +186,28 @@
         if !bytes.is_empty() {
             self.first_byte_at.get_or_insert_with(Instant::now);
         }
-        while !self.headed && !bytes.is_empty() {
+        while !self.head_complete && !bytes.is_empty() {
             self.head.push(bytes[0]);
             bytes = &bytes[1..];
-            if self.head.ends_with(b"\n") && ends(&self.head) {
+            if self.head.ends_with(b"\n") && is_head_complete(&self.head) {
                 // An interim (1xx) response is not the response yet.
-                let between = self.head.split(|b| *b == b' ').nth(1).is_some_and(|s| s.starts_with(b"1"));
-                if !between {
-                    self.headed = true;
-                    self.decoder = match framing(&self.head) {
-                        (Framing::Coded, _) => Some(BodyDecoder::Chunked(ChunkState::Size(0))),
+                let is_interim = self.head.split(|b| *b == b' ').nth(1).is_some_and(|s| s.starts_with(b"1"));
+                if !is_interim {
+                    self.head_complete = true;
+                    self.decoder = match parse_framing(&self.head) {
+                        (Framing::TransferEncoded, _) => Some(BodyDecoder::Chunked(ChunkState::Size(0))),
                         // Without a length the body may last until the connection closes; its end is not visible.
                         (Framing::Length, length) if length > 0 => Some(BodyDecoder::Length(length)),
                         _ => None,
                     };
                 }
                 self.head.clear();
-            } else if self.head.len() > HEAD_MOST {
-                self.headed = true;
+            } else if self.head.len() > MAX_HEAD_BYTES {
+                self.head_complete = true;
             }
         }
-        let seen = &mut self.body_bytes;
-        if !self.decoder.as_mut().is_none_or(|coding| coding.decode(bytes, |piece| *seen += piece.len() as u64))
+        let body_bytes = &mut self.body_bytes;
+        if !self.decoder.as_mut().is_none_or(|decoder| decoder.decode(bytes, |payload| *body_bytes += payload.len() as u64))
         {
             self.decoder = None;
         }
@@ -215,29 +215,29 @@
 }
 
 /// Whether the head is complete: it ends with an empty line, with or without carriage returns.
-fn ends(head: &[u8]) -> bool {
+fn is_head_complete(head: &[u8]) -> bool {
     head.ends_with(b"\n\n") || head.ends_with(b"\n\r\n")
 }
 
 /// Framing by a head's fields, and the content length.
-fn framing(head: &[u8]) -> (Framing, u64) {
-    let (mut coded, mut lengths) = (false, Vec::new());
+fn parse_framing(head: &[u8]) -> (Framing, u64) {
+    let (mut is_encoded, mut lengths) = (false, Vec::new());
     for line in head.split(|byte| *byte == b'\n').skip(1) {
         let Some(colon) = line.iter().position(|byte| *byte == b':') else { continue };
         let (name, value) = (line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
-        coded |= name.eq_ignore_ascii_case(b"transfer-encoding");
+        is_encoded |= name.eq_ignore_ascii_case(b"transfer-encoding");
         if name.eq_ignore_ascii_case(b"content-length") {
             let digits = std::str::from_utf8(value).ok().filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
             lengths.push(digits.and_then(|digits| digits.parse::<u64>().ok()));
         }
     }
-    match (coded, lengths.as_slice()) {
-        (true, []) => (Framing::Coded, 0),
+    match (is_encoded, lengths.as_slice()) {
+        (true, []) => (Framing::TransferEncoded, 0),
         (false, []) => (Framing::Length, 0),
         (false, [Some(length)]) => (Framing::Length, *length),
         // A length beside a transfer encoding, or a second length, can hide another request in the body (request
         // smuggling).
-        _ => (Framing::Doubtful, 0),
+        _ => (Framing::Ambiguous, 0),
     }
 }
 
--- a/crates/flintwell/src/clients/malformed.rs
+++ b/crates/flintwell/src/clients/malformed.rs
@@ -8,10 +8,10 @@
     /// The header of this name is missing, invalid or duplicated.
     Header(&'static str),
     /// The framing is ambiguous.
-    Doubtful,
+    AmbiguousFraming,
     BodyTooLong,
     /// The body is incomplete or badly encoded.
-    BodyBroken,
+    InvalidBody,
     /// The body did not arrive in time.
-    BodyLate,
+    BodyTimeout,
 }
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -73,13 +73,13 @@
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
         let front = self.clone();
         Box::pin(async move {
-            let framing = request.extensions().get().copied().unwrap_or(Framing::Doubtful);
+            let framing = request.extensions().get().copied().unwrap_or(Framing::Ambiguous);
             // A panic is contained: its request fails, the others go on.
             let answered = AssertUnwindSafe(front.answer(request, framing)).catch_unwind().await;
             let answer = answered.unwrap_or(Answer::Failed);
             // Messages after a chunked body cannot be told apart in the raw bytes, so their framing could not be
             // checked. The connection is closed instead.
-            Ok(answer.encode(front.shutdown.begun() || framing == Framing::Coded))
+            Ok(answer.encode(front.shutdown.begun() || framing == Framing::TransferEncoded))
         })
     }
 }
