--- a/crates/flintwell-simhost/src/main.rs
+++ b/crates/flintwell-simhost/src/main.rs
@@ -8,31 +8,31 @@
 
 fn main() -> ExitCode {
     let (mut input, mut output) = (std::io::stdin().lock(), std::io::stdout().lock());
-    let mut proxies = wire::Proxies::default();
+    let mut instances = wire::Instances::default();
     let mut line = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
-        number += 1;
+        line_number += 1;
         match input.read_until(b'\n', &mut line) {
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => {}
-            Err(error) => return stop(number, &error),
+            Err(error) => return report_failure(line_number, &error),
         }
         if line.trim_ascii().is_empty() {
             continue;
         }
-        let reply = match proxies.batch(&line) {
+        let reply = match instances.process_batch(&line) {
             Ok(reply) => reply,
-            Err(error) => return stop(number, &error),
+            Err(error) => return report_failure(line_number, &error),
         };
         if let Err(error) = output.write_all(&reply).and_then(|()| output.flush()) {
-            return stop(number, &error);
+            return report_failure(line_number, &error);
         }
     }
 }
 
-fn stop(number: u64, error: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("flintwell-simhost: line {number}: {error}");
+fn report_failure(line_number: u64, error: &dyn std::fmt::Display) -> ExitCode {
+    eprintln!("flintwell-simhost: line {line_number}: {error}");
     ExitCode::FAILURE
 }
--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -17,9 +17,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-const WRITE_MARK: u64 = 4; // bit of `marks`
-/// Names of the known events. Events of the same protocol that this host does not need are listed and ignored.
-const EVENTS: [&str; 10] = [
+const WRITE_FLAG: u64 = 4; // bit of `marks`
+
+// Known events; those that this host does not need are ignored without a warning.
+const KNOWN_EVENTS: [&str; 10] = [
     "begin",
     "shutdown",
     "targets",
@@ -40,34 +41,34 @@
     reply: Reply,
 }
 
-fn push_number(reply: &mut Vec<u8>, number: impl itoa::Integer) {
+fn write_number(reply: &mut Vec<u8>, number: impl itoa::Integer) {
     reply.extend_from_slice(itoa::Buffer::new().format(number).as_bytes());
 }
 
-fn push_text(reply: &mut Vec<u8>, text: &str) {
+fn write_text(reply: &mut Vec<u8>, text: &str) {
     // Writing to a Vec cannot fail.
     let _ = serde_json::to_writer(&mut *reply, text);
 }
 
 /// Writes microseconds as seconds with six decimal places.
-fn push_seconds(reply: &mut Vec<u8>, time: Micros) {
+fn write_seconds(reply: &mut Vec<u8>, time: Micros) {
     if time < 0 {
         reply.push(b'-');
     }
     let time = time.unsigned_abs();
-    push_number(reply, time / 1_000_000);
+    write_number(reply, time / 1_000_000);
     reply.push(b'.');
-    let places = time % 1_000_000;
+    let fraction = time % 1_000_000;
     let mut digit = 100_000;
     while digit > 0 {
-        reply.push(b'0' + (places / digit % 10) as u8);
+        reply.push(b'0' + (fraction / digit % 10) as u8);
         digit /= 10;
     }
 }
 
 impl SimHost {
-    /// Writes one action: its name, the instance, and the values that `rest` adds.
-    fn act(&self, name: &str, rest: impl FnOnce(&mut Vec<u8>)) {
+    /// Writes one action: its name, the instance, and the values that `values` adds.
+    fn write_action(&self, name: &str, values: impl FnOnce(&mut Vec<u8>)) {
         let mut reply = self.reply.borrow_mut();
         if reply.last() == Some(&b']') {
             reply.push(b',');
@@ -75,58 +76,58 @@
         reply.extend_from_slice(b"[\"");
         reply.extend_from_slice(name.as_bytes());
         reply.extend_from_slice(b"\",");
-        push_number(&mut reply, self.instance);
-        rest(&mut reply);
+        write_number(&mut reply, self.instance);
+        values(&mut reply);
         reply.push(b']');
     }
 }
 
 impl Host for SimHost {
     fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
-        self.act("submit_to", |r| {
-            r.push(b',');
-            push_text(r, request);
-            r.push(b',');
-            push_seconds(r, allow_for);
-            r.push(b',');
-            push_text(r, node);
+        self.write_action("submit_to", |reply| {
+            reply.push(b',');
+            write_text(reply, request);
+            reply.push(b',');
+            write_seconds(reply, allow_for);
+            reply.push(b',');
+            write_text(reply, node);
         });
     }
     fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
-        self.act("shed", |r| {
-            r.push(b',');
-            push_text(r, request);
-            r.push(b',');
-            push_seconds(r, stay_away);
+        self.write_action("shed", |reply| {
+            reply.push(b',');
+            write_text(reply, request);
+            reply.push(b',');
+            write_seconds(reply, stay_away);
         });
     }
     fn fail(&mut self, request: &RequestId) {
-        self.act("fail", |r| {
-            r.push(b',');
-            push_text(r, request);
+        self.write_action("fail", |reply| {
+            reply.push(b',');
+            write_text(reply, request);
         });
     }
     fn close_idle(&mut self, node: &NodeId) {
-        self.act("release", |r| {
-            r.push(b',');
-            push_text(r, node);
+        self.write_action("release", |reply| {
+            reply.push(b',');
+            write_text(reply, node);
         });
     }
     fn wake_at(&mut self, label: u64, at: Micros) {
-        self.act("set_timer", |r| {
-            r.push(b',');
-            push_number(r, label);
-            r.push(b',');
-            push_seconds(r, at);
+        self.write_action("set_timer", |reply| {
+            reply.push(b',');
+            write_number(reply, label);
+            reply.push(b',');
+            write_seconds(reply, at);
         });
     }
     fn watch_list(&mut self) {
-        self.act("watch", |r| r.extend_from_slice(b",true"));
+        self.write_action("watch", |reply| reply.extend_from_slice(b",true"));
     }
 }
 
-/// The ending that a status code of the protocol stands for.
-fn ending(code: i64) -> Ending {
+/// Maps a status code of the protocol.
+fn attempt_ending(code: i64) -> Ending {
     match code {
         200 => Ending::Served,
         502 => Ending::Error,
@@ -143,8 +144,8 @@
 
 /// All instances that this process hosts; they share only the reply buffer.
 #[derive(Default)]
-pub struct Proxies {
-    running: HashMap<u64, Policy<SimHost>>,
+pub struct Instances {
+    policies: HashMap<u64, Policy<SimHost>>,
     reply: Reply,
 }
 
@@ -155,9 +156,9 @@
     events: &'a RawValue,
 }
 
-impl Proxies {
+impl Instances {
     /// Processes one line of input and returns the reply.
-    pub fn batch(&mut self, line: &[u8]) -> Result<Ref<'_, Vec<u8>>, serde_json::Error> {
+    pub fn process_batch(&mut self, line: &[u8]) -> Result<Ref<'_, Vec<u8>>, serde_json::Error> {
         let batch: Batch = serde_json::from_slice(line)?;
         {
             let mut reply = self.reply.borrow_mut();
@@ -165,41 +166,41 @@
             reply.extend_from_slice(b"{\"actions\":[");
         }
         let mut events = serde_json::Deserializer::from_str(batch.events.get());
-        Events { proxies: self, now: micros(batch.clock) }.deserialize(&mut events)?;
+        EventsVisitor { instances: self, now: micros(batch.clock) }.deserialize(&mut events)?;
         self.reply.borrow_mut().extend_from_slice(b"]}\n");
         Ok(self.reply.borrow())
     }
 }
 
-struct Events<'p> {
-    proxies: &'p mut Proxies,
+struct EventsVisitor<'p> {
+    instances: &'p mut Instances,
     now: Micros,
 }
 
-impl<'de> DeserializeSeed<'de> for Events<'_> {
+impl<'de> DeserializeSeed<'de> for EventsVisitor<'_> {
     type Value = ();
     fn deserialize<D: serde::Deserializer<'de>>(self, from: D) -> Result<(), D::Error> {
         from.deserialize_seq(self)
     }
 }
 
-impl<'de> Visitor<'de> for Events<'_> {
+impl<'de> Visitor<'de> for EventsVisitor<'_> {
     type Value = ();
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("an array of events")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut events: A) -> Result<(), A::Error> {
-        while events.next_element_seed(Event { proxies: &mut *self.proxies, now: self.now })?.is_some() {}
+        while events.next_element_seed(EventVisitor { instances: &mut *self.instances, now: self.now })?.is_some() {}
         Ok(())
     }
 }
 
-struct Event<'p> {
-    proxies: &'p mut Proxies,
+struct EventVisitor<'p> {
+    instances: &'p mut Instances,
     now: Micros,
 }
 
-impl<'de> DeserializeSeed<'de> for Event<'_> {
+impl<'de> DeserializeSeed<'de> for EventVisitor<'_> {
     type Value = ();
     fn deserialize<D: serde::Deserializer<'de>>(self, from: D) -> Result<(), D::Error> {
         from.deserialize_seq(self)
@@ -213,21 +214,21 @@
 }
 
 impl<'de, A: SeqAccess<'de>> Fields<'_, A> {
-    fn maybe<T: Deserialize<'de>>(&mut self, field: &str) -> Result<Option<T>, A::Error> {
+    fn optional<T: Deserialize<'de>>(&mut self, field: &str) -> Result<Option<T>, A::Error> {
         let value = self.seq.next_element::<Option<T>>();
         value
             .map(Option::flatten)
             .map_err(|e| A::Error::custom(format!("event {}: {field}: {e}", self.event)))
     }
-    fn need<T: Deserialize<'de>>(&mut self, field: &str) -> Result<T, A::Error> {
+    fn required<T: Deserialize<'de>>(&mut self, field: &str) -> Result<T, A::Error> {
         let event = self.event;
-        self.maybe(field)?.ok_or_else(|| A::Error::custom(format!("event {event}: {field} is missing")))
+        self.optional(field)?.ok_or_else(|| A::Error::custom(format!("event {event}: {field} is missing")))
     }
     fn id(&mut self, field: &str) -> Result<Arc<str>, A::Error> {
-        Ok(self.need::<Text>(field)?.0.into())
+        Ok(self.required::<Text>(field)?.0.into())
     }
     fn time(&mut self, field: &str) -> Result<Micros, A::Error> {
-        Ok(micros(self.need(field)?))
+        Ok(micros(self.required(field)?))
     }
 }
 
@@ -235,44 +236,44 @@
 #[derive(Deserialize)]
 struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
 
-impl<'de> Visitor<'de> for Event<'_> {
+impl<'de> Visitor<'de> for EventVisitor<'_> {
     type Value = ();
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("an event: an array with its name and its values")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
         let name = seq.next_element::<Text>()?.ok_or_else(|| A::Error::custom("event without a name"))?.0;
-        if !EVENTS.contains(&&*name) {
+        if !KNOWN_EVENTS.contains(&&*name) {
             eprintln!("flintwell-simhost: unknown event '{name}' skipped");
             while seq.next_element::<IgnoredAny>()?.is_some() {}
             return Ok(());
         }
         let now = self.now;
         let mut fields = Fields { event: &name, seq };
-        let instance: u64 = fields.need("i")?;
-        let mut policy = self.proxies.running.get_mut(&instance);
+        let instance: u64 = fields.required("i")?;
+        let mut policy = self.instances.policies.get_mut(&instance);
         match &*name {
             "begin" => {
-                let seed = fields.need("rng_seed")?;
-                let conf: Value = fields.need("conf")?;
+                let seed = fields.required("rng_seed")?;
+                let conf: Value = fields.required("conf")?;
                 let settings = decode(&conf).map_err(|e| A::Error::custom(format!("event begin: {e}")))?;
-                let host = SimHost { instance, reply: self.proxies.reply.clone() };
-                self.proxies.running.insert(instance, Policy::start(now, settings, seed, host));
+                let host = SimHost { instance, reply: self.instances.reply.clone() };
+                self.instances.policies.insert(instance, Policy::start(now, settings, seed, host));
             }
             "shutdown" => {
-                self.proxies.running.remove(&instance);
+                self.instances.policies.remove(&instance);
             }
             "incoming" => {
                 let arrival = Arrival {
                     id: fields.id("msg_id")?,
-                    class: fields.need("qos")?,
-                    tenant: fields.maybe("org")?.unwrap_or(0),
-                    key: fields.maybe::<Text>("item")?.map(|t| Key::from(t.0)),
+                    class: fields.required("qos")?,
+                    tenant: fields.optional("org")?.unwrap_or(0),
+                    key: fields.optional::<Text>("item")?.map(|t| Key::from(t.0)),
                     deadline: fields.time("deadline")?,
-                    work: fields.maybe("cost_guess")?.map(micros),
+                    work: fields.optional("cost_guess")?.map(micros),
                     write: {
-                        fields.maybe::<IgnoredAny>("size")?;
-                        fields.maybe::<u64>("marks")?.unwrap_or(0) & WRITE_MARK != 0
+                        fields.optional::<IgnoredAny>("size")?;
+                        fields.optional::<u64>("marks")?.unwrap_or(0) & WRITE_FLAG != 0
                     },
                 };
                 if let Some(policy) = policy.as_mut() {
@@ -280,13 +281,13 @@
                 }
             }
             "answer" => {
-                let (id, number) = (fields.id("msg_id")?, fields.need("send_no")?);
+                let (id, number) = (fields.id("msg_id")?, fields.required("send_no")?);
                 let node = fields.id("node")?;
                 let outcome = Outcome {
                     number,
-                    ending: ending(fields.need("ending")?),
+                    ending: attempt_ending(fields.required("ending")?),
                     wait: fields.time("wait_time")?,
-                    settled: fields.need("settled")?,
+                    settled: fields.required("settled")?,
                     first: false,
                 };
                 if let Some(policy) = policy.as_mut() {
@@ -294,21 +295,21 @@
                 }
             }
             "targets" => {
-                let kind = match &*fields.need::<Text>("how")?.0 {
+                let kind = match &*fields.required::<Text>("how")?.0 {
                     "Partial" => ListKind::Changes,
                     "Complete" => ListKind::Whole,
                     "Persisted" => ListKind::Kept,
                     "Error" => ListKind::Failed,
                     other => return Err(A::Error::custom(format!("event targets: how: unknown '{other}'"))),
                 };
-                let _version = fields.maybe::<IgnoredAny>("stamp")?;
-                let items = fields.maybe::<Vec<Item>>("items")?.unwrap_or_default();
+                let _version = fields.optional::<IgnoredAny>("stamp")?;
+                let items = fields.optional::<Vec<ListEntry>>("items")?.unwrap_or_default();
                 if let Some(policy) = policy.as_mut() {
-                    policy.list(now, kind, items.into_iter().map(Item::entry).collect());
+                    policy.list(now, kind, items.into_iter().map(ListEntry::into_entry).collect());
                 }
             }
             "timeout_fired" => {
-                let label = fields.need("label")?;
+                let label = fields.required("label")?;
                 if let Some(policy) = policy.as_mut() {
                     policy.timer(now, label);
                 }
@@ -329,7 +330,7 @@
 
 /// One entry of a list: an array, in which all values after the id may be null or absent.
 #[derive(Deserialize)]
-struct Item<'a>(
+struct ListEntry<'a>(
     #[serde(borrow)] Cow<'a, str>,
     #[serde(default)] Option<u32>,
     #[serde(default)] Option<u32>,
@@ -339,8 +340,8 @@
     #[serde(default)] Option<f64>,
 );
 
-impl Item<'_> {
-    fn entry(self) -> Entry {
+impl ListEntry<'_> {
+    fn into_entry(self) -> Entry {
         Entry {
             node: self.0.into(),
             zone: self.1.unwrap_or(0),
