--- a/crates/flintwell/src/clients/mod.rs
+++ b/crates/flintwell/src/clients/mod.rs
@@ -1,7 +1,7 @@
 //! Client side: connections, request decoding and responses.
 
 pub mod accept;
-pub mod answer;
+pub mod response;
 pub mod body;
 pub mod decode;
 pub mod framing;
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -5,7 +5,7 @@
 
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, Pulse};
-use crate::requests::shadow::{Move, ShadowPolicy};
+use crate::requests::shadow::{Decision, ShadowPolicy};
 use crate::say;
 use flintwell_core::interface::{
     Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
@@ -19,63 +19,63 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, timeout_at};
 
-const STEP: Micros = 1_000; // between timer calls; the resolution of the runtime's timers
-const SETTLES: usize = 16; // runtime turns in which sockets, connections and list are read, a long list included
-const FAR: Micros = 3_600_000_000; // sleep while no timer is set; setting one ends it
+const TIMER_INTERVAL_US: Micros = 1_000; // between timer calls; the resolution of the runtime's timers
+const CATCH_UP_TURNS: usize = 16; // runtime turns in which sockets, connections and list are read, a long list included
+const IDLE_SLEEP_US: Micros = 3_600_000_000; // sleep while no timer is set; setting one ends it
 
 /// The next step of a request.
 pub enum Step {
-    Attempt { node: NodeId, allow_for: Micros },
-    Refuse { stay_away: Micros },
+    Attempt { node: NodeId, timeout: Micros },
+    Refuse { retry_after: Micros },
     Fail,
 }
 
 #[derive(Default)]
-struct Place {
-    next: RefCell<Option<Step>>,
-    called: Notify,
+struct Mailbox {
+    step: RefCell<Option<Step>>,
+    notify: Notify,
 }
 
 /// State that the module's calls to its host act on.
-struct Mailboxes {
-    places: RefCell<HashMap<RequestId, Rc<Place>>>,
+struct HostState {
+    mailboxes: RefCell<HashMap<RequestId, Rc<Mailbox>>>,
     timers: RefCell<BTreeSet<(Micros, u64)>>,
     timer_set: Notify,
     pool: Rc<Pool>,
-    watch: Option<Rc<ShadowPolicy>>,
+    shadow: Option<Rc<ShadowPolicy>>,
 }
 
-impl Mailboxes {
-    fn call(&self, request: &RequestId, step: Step) {
-        if let Some(watch) = &self.watch {
-            let said = match &step {
-                Step::Attempt { node, .. } => Move::Attempt(node.clone()),
-                Step::Refuse { .. } => Move::Refuse,
-                Step::Fail => Move::Fail,
+impl HostState {
+    fn post_step(&self, request: &RequestId, step: Step) {
+        if let Some(shadow) = &self.shadow {
+            let decision = match &step {
+                Step::Attempt { node, .. } => Decision::Attempt(node.clone()),
+                Step::Refuse { .. } => Decision::Refuse,
+                Step::Fail => Decision::Fail,
             };
-            watch.decided(request, said);
+            shadow.record_actual(request, decision);
         }
-        match self.places.borrow().get(request) {
-            Some(place) => {
-                place.next.replace(Some(step));
-                place.called.notify_one();
+        match self.mailboxes.borrow().get(request) {
+            Some(mailbox) => {
+                mailbox.step.replace(Some(step));
+                mailbox.notify.notify_one();
             }
             None => say!("decision module returned a step for request {request}, which is not in flight"),
         }
     }
 }
 
-struct HostCalls(Rc<Mailboxes>);
+struct PolicyHost(Rc<HostState>);
 
-impl Host for HostCalls {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
-        self.0.call(request, Step::Attempt { node: node.clone(), allow_for });
+impl Host for PolicyHost {
+    fn attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros) {
+        self.0.post_step(request, Step::Attempt { node: node.clone(), timeout });
     }
-    fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
-        self.0.call(request, Step::Refuse { stay_away });
+    fn refuse(&mut self, request: &RequestId, retry_after: Micros) {
+        self.0.post_step(request, Step::Refuse { retry_after });
     }
     fn fail(&mut self, request: &RequestId) {
-        self.0.call(request, Step::Fail);
+        self.0.post_step(request, Step::Fail);
     }
     fn close_idle(&mut self, node: &NodeId) {
         self.0.pool.close_idle(node);
@@ -92,8 +92,8 @@
 pub struct Dispatcher {
     pub clock: Clock,
     pub stall_detector: Pulse,
-    module: RefCell<Policy<HostCalls>>,
-    mailboxes: Rc<Mailboxes>,
+    policy: RefCell<Policy<PolicyHost>>,
+    host_state: Rc<HostState>,
 }
 
 impl Dispatcher {
@@ -102,69 +102,69 @@
         settings: Settings,
         seed: u64,
         pool: Rc<Pool>,
-        watch: Option<Rc<ShadowPolicy>>,
+        shadow: Option<Rc<ShadowPolicy>>,
     ) -> Self {
-        let mailboxes = Rc::new(Mailboxes {
-            places: RefCell::default(),
+        let host_state = Rc::new(HostState {
+            mailboxes: RefCell::default(),
             timers: RefCell::default(),
             timer_set: Notify::new(),
             pool,
-            watch,
+            shadow,
         });
-        let module = RefCell::new(Policy::start(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
-        Dispatcher { clock, stall_detector: Pulse::new(clock), module, mailboxes }
+        let policy = RefCell::new(Policy::start(clock.now(), settings, seed, PolicyHost(host_state.clone())));
+        Dispatcher { clock, stall_detector: Pulse::new(clock), policy, host_state }
     }
 
-    /// Calls the module, and then the watched one with `watched`. False if the module panicked.
+    /// Calls the module, and then the shadow policy with `shadow_call`. False if the module panicked.
     ///
     /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
-    fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&ShadowPolicy)) -> bool {
-        let done = catch_unwind(AssertUnwindSafe(|| call(&mut self.module.borrow_mut())));
-        if done.is_err() {
+    fn call_policy(&self, call: impl FnOnce(&mut Policy<PolicyHost>), shadow_call: impl FnOnce(&ShadowPolicy)) -> bool {
+        let result = catch_unwind(AssertUnwindSafe(|| call(&mut self.policy.borrow_mut())));
+        if result.is_err() {
             say!("decision module panicked during a call");
         }
         // After the deciding module, and also if that panicked.
-        self.mailboxes.watch.as_deref().inspect(|watch| watched(watch));
-        done.is_ok()
+        self.host_state.shadow.as_deref().inspect(|shadow| shadow_call(shadow));
+        result.is_ok()
     }
 
     /// Passes a list, or changes to it, to the module.
     pub fn apply_list_update(&self, kind: ListKind, entries: Vec<Entry>) {
-        let (now, copy) = (self.clock.now(), self.mailboxes.watch.as_ref().map(|_| entries.clone()));
-        let watched = |watch: &ShadowPolicy| watch.list(now, kind, copy.unwrap_or_default());
-        self.module(|module| module.list(now, kind, entries), watched);
+        let (now, copy) = (self.clock.now(), self.host_state.shadow.as_ref().map(|_| entries.clone()));
+        let shadow_call = |shadow: &ShadowPolicy| shadow.on_list_update(now, kind, copy.unwrap_or_default());
+        self.call_policy(|policy| policy.list(now, kind, entries), shadow_call);
     }
 
     /// Switches to other settings; the list has to be passed again afterwards.
     pub fn apply_settings(&self, settings: Settings) {
         let now = self.clock.now();
-        self.module(|module| module.change(now, settings), |_| ());
+        self.call_policy(|policy| policy.change(now, settings), |_| ());
     }
 
     /// Sets the rate, in fetches per second, that the fleet grants this process. Returns how many fetches requests have
     /// needed so far.
     pub fn set_origin_fetch_rate(&self, rate: Option<f64>) -> u64 {
-        let (now, mut wanted) = (self.clock.now(), 0);
-        self.module(|module| wanted = module.granted(now, rate), |_| ());
-        wanted
+        let (now, mut demand) = (self.clock.now(), 0);
+        self.call_policy(|policy| demand = policy.granted(now, rate), |_| ());
+        demand
     }
 
     /// Caches that have stopped answering this process.
     pub fn silent_caches(&self) -> Vec<NodeId> {
-        self.module.borrow().silent()
+        self.policy.borrow().silent()
     }
 
     /// Other proxies probe this node for the next `time`.
     pub fn defer_probe(&self, node: &NodeId, time: Micros) {
         let until = self.clock.now() + time;
-        self.module(|module| module.tried_by_others(node, until), |_| ());
+        self.call_policy(|policy| policy.tried_by_others(node, until), |_| ());
     }
 
     /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
     /// a request decided on before the stall could go to a server that a list, received but not read, says is leaving.
     pub async fn catch_up_after_stall(&self) {
         if self.stall_detector.waited_from() < self.clock.now() {
-            for _ in 0..SETTLES {
+            for _ in 0..CATCH_UP_TURNS {
                 yield_now().await;
             }
         }
@@ -172,23 +172,23 @@
 
     /// Whether this node is an origin.
     pub fn is_origin(&self, node: &NodeId) -> bool {
-        self.module.borrow().is_origin(node)
+        self.policy.borrow().is_origin(node)
     }
 
     /// Number of listed caches that the module avoids now.
     pub fn count_avoided_caches(&self) -> usize {
-        self.module.borrow().avoided(self.clock.now())
+        self.policy.borrow().avoided(self.clock.now())
     }
 
     /// A handle for a request; none while another request with the same id is in flight.
-    pub fn handle(self: &Rc<Self>, id: RequestId) -> Option<RequestHandle> {
-        let place = Rc::new(Place::default());
-        let mut places = self.mailboxes.places.borrow_mut();
-        if places.contains_key(&id) {
+    pub fn open_handle(self: &Rc<Self>, id: RequestId) -> Option<RequestHandle> {
+        let mailbox = Rc::new(Mailbox::default());
+        let mut mailboxes = self.host_state.mailboxes.borrow_mut();
+        if mailboxes.contains_key(&id) {
             return None;
         }
-        places.insert(id.clone(), place.clone());
-        Some(RequestHandle { dispatcher: self.clone(), id, place, attempts: 0, out: None, over: true })
+        mailboxes.insert(id.clone(), mailbox.clone());
+        Some(RequestHandle { dispatcher: self.clone(), id, mailbox, attempts: 0, in_flight_node: None, is_finished: true })
     }
 
     /// Calls the module at the times it asked for, with a minimum interval between calls. Without it, a module that asks
@@ -196,25 +196,25 @@
     pub async fn run_timers(&self) {
         let mut not_before = 0;
         loop {
-            let first =
-                self.mailboxes.timers.borrow().first().map_or(self.clock.now() + FAR, |timer| timer.0);
+            let next_at =
+                self.host_state.timers.borrow().first().map_or(self.clock.now() + IDLE_SLEEP_US, |timer| timer.0);
             tokio::select! {
-                () = sleep_until(self.clock.instant(first.max(not_before))) => {
+                () = sleep_until(self.clock.instant(next_at.max(not_before))) => {
                     let now = self.clock.now();
-                    while let Some(label) = self.due(now) {
-                        self.module(|module| module.timer(now, label), |watch| watch.timer(now, label));
+                    while let Some(label) = self.pop_due_timer(now) {
+                        self.call_policy(|policy| policy.timer(now, label), |shadow| shadow.on_timer(now, label));
                     }
-                    not_before = now + STEP;
+                    not_before = now + TIMER_INTERVAL_US;
                 }
-                () = self.mailboxes.timer_set.notified() => {}
+                () = self.host_state.timer_set.notified() => {}
             }
         }
     }
 
-    fn due(&self, now: Micros) -> Option<u64> {
-        let mut timers = self.mailboxes.timers.borrow_mut();
-        let due = timers.first().is_some_and(|timer| timer.0 <= now);
-        if due { timers.pop_first().map(|timer| timer.1) } else { None }
+    fn pop_due_timer(&self, now: Micros) -> Option<u64> {
+        let mut timers = self.host_state.timers.borrow_mut();
+        let is_due = timers.first().is_some_and(|timer| timer.0 <= now);
+        if is_due { timers.pop_first().map(|timer| timer.1) } else { None }
     }
 }
 
@@ -223,61 +223,61 @@
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
     id: RequestId,
-    place: Rc<Place>,
+    mailbox: Rc<Mailbox>,
     attempts: usize,
-    out: Option<NodeId>,
-    over: bool,
+    in_flight_node: Option<NodeId>,
+    is_finished: bool,
 }
 
 impl RequestHandle {
     /// Passes the request to the module.
-    pub fn arrives(&mut self, arrival: Arrival) {
-        self.over = false;
+    pub fn submit(&mut self, arrival: Arrival) {
+        self.is_finished = false;
         let now = self.dispatcher.clock.now();
-        let copy = self.dispatcher.mailboxes.watch.as_ref().map(|watch| {
-            watch.expects(&self.id);
+        let copy = self.dispatcher.host_state.shadow.as_ref().map(|shadow| {
+            shadow.expect_request(&self.id);
             arrival.clone()
         });
-        let watched = |watch: &ShadowPolicy| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
-        self.or_fail(self.dispatcher.module(|module| module.request_arrives(now, arrival), watched));
+        let shadow_call = |shadow: &ShadowPolicy| copy.into_iter().for_each(|arrival| shadow.on_request(now, arrival));
+        self.fail_unless(self.dispatcher.call_policy(|policy| policy.request_arrives(now, arrival), shadow_call));
     }
 
     /// Fails the request if the module could not decide on it.
-    fn or_fail(&self, decided: bool) {
+    fn fail_unless(&self, decided: bool) {
         if !decided {
-            self.dispatcher.mailboxes.call(&self.id, Step::Fail);
+            self.dispatcher.host_state.post_step(&self.id, Step::Fail);
         }
     }
 
     /// Waits for the module's next step; none if there is none by the deadline.
-    pub async fn next(&mut self, deadline: Micros) -> Option<Step> {
-        let word = async {
+    pub async fn next_step(&mut self, deadline: Micros) -> Option<Step> {
+        let step = async {
             loop {
-                if let Some(step) = self.place.next.take() {
+                if let Some(step) = self.mailbox.step.take() {
                     return step;
                 }
-                self.place.called.notified().await;
+                self.mailbox.notify.notified().await;
             }
         };
-        let step = timeout_at(self.dispatcher.clock.instant(deadline), word).await.ok()?;
-        self.over = !matches!(step, Step::Attempt { .. });
+        let step = timeout_at(self.dispatcher.clock.instant(deadline), step).await.ok()?;
+        self.is_finished = !matches!(step, Step::Attempt { .. });
         Some(step)
     }
 
     /// Records that the attempt at this node is in flight.
-    pub fn sends(&mut self, node: &NodeId) {
-        self.out = Some(node.clone());
+    pub fn attempt_started(&mut self, node: &NodeId) {
+        self.in_flight_node = Some(node.clone());
     }
 
     /// Reports to the module how the attempt in flight has ended, after `wait`.
-    pub fn ended(&mut self, ending: Ending, wait: Micros, first: bool) {
-        let Some(node) = self.out.take() else { return };
-        self.over |= ending == Ending::Served;
-        let outcome = Outcome { number: self.attempts, ending, wait, settled: self.over, first };
+    pub fn attempt_ended(&mut self, ending: Ending, wait: Micros, first: bool) {
+        let Some(node) = self.in_flight_node.take() else { return };
+        self.is_finished |= ending == Ending::Served;
+        let outcome = Outcome { number: self.attempts, ending, wait, settled: self.is_finished, first };
         self.attempts += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
-        let watched = |watch: &ShadowPolicy| watch.outcome(now, id, &node, outcome);
-        self.or_fail(self.dispatcher.module(|module| module.outcome(now, id, &node, outcome), watched));
+        let shadow_call = |shadow: &ShadowPolicy| shadow.on_attempt_outcome(now, id, &node, outcome);
+        self.fail_unless(self.dispatcher.call_policy(|policy| policy.outcome(now, id, &node, outcome), shadow_call));
     }
 }
 
@@ -286,15 +286,15 @@
         let (now, id) = (self.dispatcher.clock.now(), self.id.clone());
         // If the module has chosen an attempt and the step was not taken yet, the module would count that attempt as in
         // flight for good. So it is reported as cancelled below.
-        if let Some(Step::Attempt { node, .. }) = self.place.next.take() {
-            self.out.get_or_insert(node);
+        if let Some(Step::Attempt { node, .. }) = self.mailbox.step.take() {
+            self.in_flight_node.get_or_insert(node);
         }
-        if !std::mem::replace(&mut self.over, true) {
-            self.dispatcher.module(|module| module.request_gone(now, &id), |watch| watch.gone(now, &id));
+        if !std::mem::replace(&mut self.is_finished, true) {
+            self.dispatcher.call_policy(|policy| policy.request_gone(now, &id), |shadow| shadow.on_request_closed(now, &id));
         }
-        self.ended(Ending::Cancelled, 0, false);
-        self.dispatcher.mailboxes.watch.as_deref().inspect(|watch| watch.over(now, &id));
-        self.dispatcher.mailboxes.places.borrow_mut().remove(&self.id);
+        self.attempt_ended(Ending::Cancelled, 0, false);
+        self.dispatcher.host_state.shadow.as_deref().inspect(|shadow| shadow.finish_request(now, &id));
+        self.dispatcher.host_state.mailboxes.borrow_mut().remove(&self.id);
     }
 }
 
--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
-use crate::requests::shadow::Counts;
+use crate::requests::shadow::ShadowCounts;
 use flintwell_core::interface::Standing;
 
 fn dispatcher() -> Rc<Dispatcher> {
     dispatcher_with(None)
 }
 
-/// With a second module to watch, whose settings have these laid over.
+/// A dispatcher, with a shadow policy whose settings are overlaid with `other` if given.
 fn dispatcher_with(other: Option<serde_json::Value>) -> Rc<Dispatcher> {
     let conf = serde_json::json!({"use_cases": [{"effect": "safe", "goal_time": 1.0}],
         "specifics": {"mode": "aside", "origin_kind": 1}, "limits": {"max_hand_offs": 4}});
     let settings = flintwell_settings::decode(&conf).expect("settings");
-    let watch = other.map(|other| {
+    let shadow = other.map(|other| {
         let other =
             flintwell_settings::decode(&flintwell_settings::laid_over(conf, other)).expect("settings");
         Rc::new(ShadowPolicy::new(0, other, 1))
     });
-    Rc::new(Dispatcher::new(Clock::start(), settings, 1, Pool::new(1, 1, 1), watch))
+    Rc::new(Dispatcher::new(Clock::start(), settings, 1, Pool::new(1, 1, 1), shadow))
 }
 
 fn entry(node: &str, kind: u32, zone: u32) -> Entry {
@@ -24,44 +24,44 @@
     Entry { node, kind, zone, standing, size: 1.0, ..Entry::default() }
 }
 
-/// A read of this key that has missed at the cache, if it came that far, and what the module says then.
+/// Submits a read of this key and reports a miss if it was attempted at a cache. Returns the handle and the next step.
 fn missed(dispatcher: &Rc<Dispatcher>, id: &str, key: &str) -> (RequestHandle, Option<Step>) {
     let (handle, step, _) = read(dispatcher, id, key);
     (handle, step)
 }
 
-/// The same, with the cache that it went to.
+/// Like `missed`; also returns the cache of the first attempt.
 fn read(dispatcher: &Rc<Dispatcher>, id: &str, key: &str) -> (RequestHandle, Option<Step>, Option<NodeId>) {
     let mut first = None;
-    let mut handle = dispatcher.handle(id.into()).expect("a handle");
+    let mut handle = dispatcher.open_handle(id.into()).expect("a handle");
     let (id, key) = (id.into(), Some(key.into()));
     let deadline = dispatcher.clock.now() + 1_000_000;
-    handle.arrives(Arrival { id, class: 0, tenant: 0, key, deadline, work: None, write: false });
-    if let Some(Step::Attempt { node, .. }) = handle.place.next.take() {
-        handle.sends(&node);
+    handle.submit(Arrival { id, class: 0, tenant: 0, key, deadline, work: None, write: false });
+    if let Some(Step::Attempt { node, .. }) = handle.mailbox.step.take() {
+        handle.attempt_started(&node);
         first = Some(node);
-        handle.ended(Ending::Miss, 1_000, false);
+        handle.attempt_ended(Ending::Miss, 1_000, false);
     }
-    let step = handle.place.next.take();
+    let step = handle.mailbox.step.take();
     if let Some(Step::Attempt { node, .. }) = &step {
-        handle.sends(node);
+        handle.attempt_started(node);
     }
     (handle, step, first)
 }
 
 #[test]
-fn a_panic_in_a_call_ends_neither_the_timer_nor_the_requests() {
+fn a_policy_panic_keeps_timers_and_requests_alive() {
     let dispatcher = dispatcher();
-    let handle = dispatcher.handle("a".into()).expect("a handle");
-    assert!(!dispatcher.module(|_| panic!("as a test"), |_| ()));
-    handle.or_fail(false);
-    assert!(matches!(handle.place.next.take(), Some(Step::Fail)));
-    assert!(dispatcher.module(|module| module.timer(0, 0), |_| ()));
-    assert!(dispatcher.handle("a".into()).is_none(), "the id is in hand");
+    let handle = dispatcher.open_handle("a".into()).expect("a handle");
+    assert!(!dispatcher.call_policy(|_| panic!("as a test"), |_| ()));
+    handle.fail_unless(false);
+    assert!(matches!(handle.mailbox.step.take(), Some(Step::Fail)));
+    assert!(dispatcher.call_policy(|policy| policy.timer(0, 0), |_| ()));
+    assert!(dispatcher.open_handle("a".into()).is_none(), "the id is still in flight");
 }
 
-/// What the module that decides said of sixty reads, and what was counted beside it.
-fn reads(other: Option<serde_json::Value>) -> (Vec<NodeId>, Option<Counts>) {
+/// Submits sixty reads. Returns the caches they were sent to and the shadow policy's counts.
+fn run_reads(other: Option<serde_json::Value>) -> (Vec<NodeId>, Option<ShadowCounts>) {
     let dispatcher = dispatcher_with(other);
     let far = [entry("far 1", 0, 1), entry("far 2", 0, 1)];
     let near = [entry("near 1", 0, 0), entry("near 2", 0, 0), entry("origin", 1, 0)];
@@ -69,45 +69,45 @@
     let mut sent = Vec::new();
     for n in 0..60 {
         let (mut handle, step, first) = read(&dispatcher, &format!("a{n}"), &format!("k{n}"));
-        assert!(matches!(step, Some(Step::Attempt { .. })), "fetched, whatever is watched");
+        assert!(matches!(step, Some(Step::Attempt { .. })), "fetched, with or without a shadow policy");
         sent.push(first.expect("a cache"));
-        handle.ended(Ending::Served, 1_000, false);
+        handle.attempt_ended(Ending::Served, 1_000, false);
     }
-    (sent, dispatcher.mailboxes.watch.as_ref().map(|watch| watch.counts()))
+    (sent, dispatcher.host_state.shadow.as_ref().map(|shadow| shadow.counts()))
 }
 
 #[test]
-fn watched_with_the_same_settings_nothing_is_counted() {
-    let (_, counts) = reads(Some(serde_json::json!({})));
-    assert_eq!(counts, Some(Counts { requests: 60, ..Counts::default() }));
+fn shadow_with_the_same_settings_counts_no_difference() {
+    let (_, counts) = run_reads(Some(serde_json::json!({})));
+    assert_eq!(counts, Some(ShadowCounts { requests: 60, ..ShadowCounts::default() }));
 }
 
 #[test]
-fn watched_with_other_settings_the_kind_is_counted_and_nothing_is_decided_otherwise() {
+fn shadow_with_other_settings_counts_differences_by_kind_without_effect() {
     let zones = serde_json::json!({"zones": ["a", "b"], "penalties": {"cross_zone": 0.1}});
-    let ((alone, none), (watched, counts)) = (reads(None), reads(Some(zones)));
-    assert!(none.is_none() && alone == watched, "the same attempts with it on and off");
+    let ((alone, none), (watched, counts)) = (run_reads(None), run_reads(Some(zones)));
+    assert!(none.is_none() && alone == watched, "the same attempts with and without a shadow policy");
     let counts = counts.expect("counts");
     let far = watched.iter().filter(|node| node.starts_with("far")).count() as u64;
-    assert!(far > 10 && counts.another_cache == far, "{far}: {counts:?}");
-    assert_eq!((counts.otherwise(), counts.requests), (far, 60));
-    let (_, counts) = reads(Some(serde_json::json!({"limits": {"max_hand_offs": 1}})));
+    assert!(far > 10 && counts.different_cache == far, "{far}: {counts:?}");
+    assert_eq!((counts.differing(), counts.requests), (far, 60));
+    let (_, counts) = run_reads(Some(serde_json::json!({"limits": {"max_hand_offs": 1}})));
     let counts = counts.expect("counts");
-    assert_eq!((counts.origin_or_cache, counts.otherwise()), (60, 60), "{counts:?}");
+    assert_eq!((counts.origin_vs_cache, counts.differing()), (60, 60), "{counts:?}");
 }
 
 #[test]
-fn a_panic_of_the_module_that_is_watched_touches_no_request() {
+fn a_shadow_policy_panic_affects_no_request() {
     let dispatcher = dispatcher_with(Some(serde_json::json!({})));
-    let watch = dispatcher.mailboxes.watch.clone().expect("it");
-    watch.fails();
+    let shadow = dispatcher.host_state.shadow.clone().expect("a shadow policy");
+    shadow.panic_once();
     dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     assert!(matches!(missed(&dispatcher, "a", "k").1, Some(Step::Attempt { .. })));
-    assert_eq!(watch.counts(), Counts::default());
+    assert_eq!(shadow.counts(), ShadowCounts::default());
 }
 
 #[test]
-fn a_client_that_leaves_while_held_leaves_no_fetch_behind() {
+fn a_held_request_of_a_disconnected_client_leaves_no_fetch_in_flight() {
     let dispatcher = dispatcher();
     dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     let (mut leader, step) = missed(&dispatcher, "leader", "k");
@@ -115,22 +115,22 @@
     for n in 0..8 {
         assert!(missed(&dispatcher, &format!("held {n}"), "k").1.is_none(), "held, then dropped");
     }
-    leader.ended(Ending::Error, 1_000, false);
+    leader.attempt_ended(Ending::Error, 1_000, false);
     let others = ["a", "b", "c"].map(|key| missed(&dispatcher, key, key));
     assert!(others.iter().all(|(_, step)| matches!(step, Some(Step::Attempt { .. }))));
 }
 
 #[test]
-fn a_step_told_to_one_whose_client_leaves_before_it_is_taken_leaves_nothing_out() {
+fn a_step_not_taken_before_its_request_is_dropped_leaves_no_attempt_in_flight() {
     let dispatcher = dispatcher();
     dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
-    // Far more than may be out at the origin at once; each is told to go there and dropped before it takes its step.
+    // Far more than may be in flight at the origin at once; each is sent there and dropped before it takes its step.
     for n in 0..64 {
         let (mut leader, step) = missed(&dispatcher, &format!("leader {n}"), &format!("k{n}"));
         assert!(matches!(step, Some(Step::Attempt { .. })), "{n}: fetched");
         let (held, none) = missed(&dispatcher, &format!("held {n}"), &format!("k{n}"));
         assert!(none.is_none(), "held");
-        leader.ended(Ending::Spoilt, 1_000, false);
+        leader.attempt_ended(Ending::Spoilt, 1_000, false);
         drop(leader);
         drop(held);
     }
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -1,6 +1,6 @@
 //! Serves one request from start to end; the decision module makes each decision.
 
-use crate::clients::answer::Answer;
+use crate::clients::response::ClientResponse;
 use crate::clients::decode::ClientRequest;
 use crate::fleet::lease::ListLease;
 use crate::nodes::attempt::{Attempt, Attempts};
@@ -15,8 +15,8 @@
 use std::time::Instant;
 use tower::ServiceExt;
 
-const LIST_WAIT_PARTS: Micros = 3; // a new process waits for its list for a third of the time that a request has left
-const LIST_WAIT_MOST: Micros = 1_000_000;
+const LIST_WAIT_DIVISOR: Micros = 3; // a new process waits for its list for a third of the time that a request has left
+const MAX_LIST_WAIT_US: Micros = 1_000_000;
 
 /// Serves a request and counts its outcome.
 pub async fn serve(
@@ -25,81 +25,81 @@
     lease: &ListLease,
     attempts: &Attempts,
     counts: &Rc<Counts>,
-) -> Answer {
-    let (in_hand, case) = (counts.takes(), request.class);
-    let Some(mut handle) = dispatcher.handle(request.id.clone()) else { return Answer::InHand };
+) -> ClientResponse {
+    let (in_flight, class) = (counts.takes(), request.class);
+    let Some(mut handle) = dispatcher.open_handle(request.id.clone()) else { return ClientResponse::DuplicateId };
     // A request that arrives while the process is stalled is read late. Measured from the read, its response time would
     // look too short and its deadline would be too late.
-    let began = dispatcher.stall_detector.waited_from();
-    let wait = (request.deadline(began) - dispatcher.clock.now()) / LIST_WAIT_PARTS;
-    lease.first_in_force(span(wait.min(LIST_WAIT_MOST))).await;
-    let mut answer = decide(request, began, &mut handle, dispatcher, attempts, counts).await;
-    counts.took(dispatcher.clock.now() - began);
-    answer.end().inspect(|&end| counts.ended(case, end));
-    if let Answer::Served(Content::Long(relay)) = &mut answer {
-        relay.carries(handle, in_hand, counts.clone(), case);
+    let received_at = dispatcher.stall_detector.waited_from();
+    let list_wait = (request.deadline(received_at) - dispatcher.clock.now()) / LIST_WAIT_DIVISOR;
+    lease.first_in_force(span(list_wait.min(MAX_LIST_WAIT_US))).await;
+    let mut response = run(request, received_at, &mut handle, dispatcher, attempts, counts).await;
+    counts.took(dispatcher.clock.now() - received_at);
+    response.outcome().inspect(|&outcome| counts.ended(class, outcome));
+    if let ClientResponse::Served(Content::Long(relay)) = &mut response {
+        relay.carries(handle, in_flight, counts.clone(), class);
     }
-    answer
+    response
 }
 
-async fn decide(
+async fn run(
     request: ClientRequest,
-    began: Micros,
+    received_at: Micros,
     handle: &mut RequestHandle,
     dispatcher: &Rc<Dispatcher>,
     attempts: &Attempts,
     counts: &Counts,
-) -> Answer {
+) -> ClientResponse {
     let request = Rc::new(request);
-    let deadline = request.deadline(began);
-    handle.arrives(request.arrival(deadline));
+    let deadline = request.deadline(received_at);
+    handle.submit(request.arrival(deadline));
     loop {
-        match handle.next(deadline).await {
-            Some(Step::Attempt { node, allow_for }) => {
-                handle.sends(&node);
+        match handle.next_step(deadline).await {
+            Some(Step::Attempt { node, timeout }) => {
+                handle.attempt_started(&node);
                 dispatcher.catch_up_after_stall().await;
                 // The client may have closed its connection right after the request, or while the request was held.
                 // The HTTP server reports that only later, and the attempt would be made for nobody.
                 if request.client.has_disconnected() {
-                    return Answer::Left;
+                    return ClientResponse::ClientDisconnected;
                 }
                 let sent_at = dispatcher.clock.now();
-                let fetch = dispatcher.is_origin(&node);
+                let is_fetch = dispatcher.is_origin(&node);
                 let chosen_at = Instant::now();
-                let attempt = Attempt { request: request.clone(), node, allow_for, chosen_at };
-                let ended = attempts.clone().oneshot(attempt).await;
-                let wait = dispatcher.clock.now() - sent_at;
+                let attempt = Attempt { request: request.clone(), node, allow_for: timeout, chosen_at };
+                let result = attempts.clone().oneshot(attempt).await;
+                let latency = dispatcher.clock.now() - sent_at;
                 // A request that the origin refused has cost it work, too.
-                let reached = ended.as_ref().err().is_none_or(|broken| !broken.ending().never_ran());
-                if fetch && reached {
+                let reached_node = result.as_ref().err().is_none_or(|error| !error.ending().never_ran());
+                if is_fetch && reached_node {
                     one_more(&counts.fetches);
                 }
-                match ended {
-                    Ok(answered) => {
-                        if fetch && answered.ending == Ending::Full {
+                match result {
+                    Ok(response) => {
+                        if is_fetch && response.ending == Ending::Full {
                             one_more(&counts.refused);
                         }
-                        handle.ended(answered.ending, wait, answered.first);
-                        if answered.ending == Ending::Served {
-                            return Answer::Served(answered.body);
+                        handle.attempt_ended(response.ending, latency, response.first);
+                        if response.ending == Ending::Served {
+                            return ClientResponse::Served(response.body);
                         }
                     }
-                    Err(broken) => {
+                    Err(error) => {
                         // A streamed body allows this one attempt only.
-                        if let Some(why) = request.body.stream_status().and_then(|end| end.error.take()) {
-                            return Answer::Malformed(why);
+                        if let Some(reason) = request.body.stream_status().and_then(|status| status.error.take()) {
+                            return ClientResponse::Malformed(reason);
                         }
-                        if broken.cause == Cause::Left {
-                            return Answer::Left;
+                        if error.cause == Cause::Left {
+                            return ClientResponse::ClientDisconnected;
                         }
-                        handle.ended(broken.ending(), wait, false);
+                        handle.attempt_ended(error.ending(), latency, false);
                     }
                 }
             }
-            Some(Step::Refuse { stay_away }) => return Answer::Refused { stay_away },
+            Some(Step::Refuse { retry_after }) => return ClientResponse::Refused { retry_after },
             // A request without a response by its deadline is lost. So it fails then, whatever the module does; a
             // failure makes no promise about the effect.
-            Some(Step::Fail) | None => return Answer::Failed,
+            Some(Step::Fail) | None => return ClientResponse::Failed,
         }
     }
 }
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -1,6 +1,6 @@
 //! The client-facing service: readiness check, or else decode, serve and encode.
 
-use crate::clients::answer::Answer;
+use crate::clients::response::ClientResponse;
 use crate::clients::body::BufferBudget;
 use crate::clients::decode::ClientRequest;
 use crate::clients::framing::Framing;
@@ -39,24 +39,24 @@
 }
 
 impl ClientService {
-    async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Answer {
+    async fn respond(&self, request: Request<Incoming>, framing: Framing) -> ClientResponse {
         if request.uri().path() == "/health/ready" {
             // Before any list is in force requests would be refused here, although another proxy could serve them.
-            return Answer::Ready(self.lease.ready() && !self.shutdown.begun());
+            return ClientResponse::Readiness(self.lease.ready() && !self.shutdown.begun());
         }
         let client = self.client.clone();
         match ClientRequest::decode(request, framing, &self.network.get(), &self.budget, client).await {
             // The request arrived slowly, or while its connection was being closed. The successor has more time left
             // to answer a retry than this process has.
             Ok(request) if self.shutdown.succeeded() => {
-                let answer = Answer::Refused { stay_away: 0 };
-                answer.end().inspect(|&end| self.counts.ended(request.class, end));
-                answer
+                let response = ClientResponse::Refused { retry_after: 0 };
+                response.outcome().inspect(|&outcome| self.counts.ended(request.class, outcome));
+                response
             }
             Ok(request) => {
                 request::serve(request, &self.dispatcher, &self.lease, &self.attempts, &self.counts).await
             }
-            Err(malformed) => Answer::Malformed(malformed),
+            Err(reason) => ClientResponse::Malformed(reason),
         }
     }
 }
@@ -71,15 +71,15 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
-        let front = self.clone();
+        let service = self.clone();
         Box::pin(async move {
             let framing = request.extensions().get().copied().unwrap_or(Framing::Ambiguous);
             // A panic is contained: its request fails, the others go on.
-            let answered = AssertUnwindSafe(front.answer(request, framing)).catch_unwind().await;
-            let answer = answered.unwrap_or(Answer::Failed);
+            let result = AssertUnwindSafe(service.respond(request, framing)).catch_unwind().await;
+            let response = result.unwrap_or(ClientResponse::Failed);
             // Messages after a chunked body cannot be told apart in the raw bytes, so their framing could not be
             // checked. The connection is closed instead.
-            Ok(answer.encode(front.shutdown.begun() || framing == Framing::TransferEncoded))
+            Ok(response.encode(service.shutdown.begun() || framing == Framing::TransferEncoded))
         })
     }
 }
--- a/crates/flintwell/src/requests/shadow.rs
+++ b/crates/flintwell/src/requests/shadow.rs
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const TELL_EVERY: Duration = Duration::from_secs(60); // between log lines with the counts, if they changed
+const LOG_INTERVAL: Duration = Duration::from_secs(60); // between log lines with the counts, if they changed
 
 /// A decision on a request.
 #[derive(Clone, PartialEq)]
-pub enum Move {
+pub enum Decision {
     Attempt(NodeId),
     Refuse,
     Fail,
@@ -26,56 +26,56 @@
 
 /// Requests on which the other settings would have decided differently, by kind.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
-pub struct Counts {
+pub struct ShadowCounts {
     pub requests: u64,
-    pub another_cache: u64,
+    pub different_cache: u64,
     /// The origin instead of a cache, or a cache instead of the origin.
-    pub origin_or_cache: u64,
+    pub origin_vs_cache: u64,
     /// Refused or failed instead of attempted.
-    pub given_up: u64,
+    pub not_attempted: u64,
     /// Attempted instead of refused or failed.
-    pub attempted: u64,
+    pub attempted_instead: u64,
     /// Refused instead of failed or the reverse, held longer, or held for less time.
-    pub held_or_told: u64,
+    pub refusal_or_timing: u64,
 }
 
-impl Counts {
+impl ShadowCounts {
     /// Number of requests with any difference.
-    pub fn otherwise(&self) -> u64 {
-        self.another_cache + self.origin_or_cache + self.given_up + self.attempted + self.held_or_told
+    pub fn differing(&self) -> u64 {
+        self.different_cache + self.origin_vs_cache + self.not_attempted + self.attempted_instead + self.refusal_or_timing
     }
 }
 
 /// The decisions of both modules on one request.
 #[derive(Default)]
-struct Pair {
-    ours: Vec<Move>,
-    others: Vec<Move>,
+struct DecisionPair {
+    actual: Vec<Decision>,
+    shadow: Vec<Decision>,
     differs: bool,
 }
 
-type Pairs = Rc<RefCell<HashMap<RequestId, Pair>>>;
+type DecisionPairs = Rc<RefCell<HashMap<RequestId, DecisionPair>>>;
 
 /// The shadow module's host: it records decisions and does nothing else.
-struct Notes(Pairs);
+struct DecisionRecorder(DecisionPairs);
 
-impl Notes {
-    fn note(&self, request: &RequestId, said: Move) {
+impl DecisionRecorder {
+    fn record(&self, request: &RequestId, decision: Decision) {
         if let Some(pair) = self.0.borrow_mut().get_mut(request).filter(|pair| !pair.differs) {
-            pair.others.push(said);
+            pair.shadow.push(decision);
         }
     }
 }
 
-impl Host for Notes {
+impl Host for DecisionRecorder {
     fn attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
-        self.note(request, Move::Attempt(node.clone()));
+        self.record(request, Decision::Attempt(node.clone()));
     }
     fn refuse(&mut self, request: &RequestId, _: Micros) {
-        self.note(request, Move::Refuse);
+        self.record(request, Decision::Refuse);
     }
     fn fail(&mut self, request: &RequestId) {
-        self.note(request, Move::Fail);
+        self.record(request, Decision::Fail);
     }
     fn close_idle(&mut self, _: &NodeId) {}
     fn wake_at(&mut self, _: u64, _: Micros) {}
@@ -84,95 +84,95 @@
 
 /// Runs the shadow module and compares its decisions with those in effect.
 pub struct ShadowPolicy {
-    other: RefCell<Option<Policy<Notes>>>,
-    pairs: Pairs,
+    policy: RefCell<Option<Policy<DecisionRecorder>>>,
+    pairs: DecisionPairs,
     origin_kind: Option<u32>,
     origins: RefCell<HashSet<NodeId>>,
-    counts: Cell<Counts>,
+    counts: Cell<ShadowCounts>,
 }
 
 impl ShadowPolicy {
     pub fn new(now: Micros, settings: Settings, seed: u64) -> Self {
-        let (pairs, origin_kind) = (Pairs::default(), settings.origin_kind);
-        let other = RefCell::new(Some(Policy::start(now, settings, seed, Notes(pairs.clone()))));
-        ShadowPolicy { other, pairs, origin_kind, origins: RefCell::default(), counts: Cell::default() }
+        let (pairs, origin_kind) = (DecisionPairs::default(), settings.origin_kind);
+        let policy = RefCell::new(Some(Policy::start(now, settings, seed, DecisionRecorder(pairs.clone()))));
+        ShadowPolicy { policy, pairs, origin_kind, origins: RefCell::default(), counts: Cell::default() }
     }
 
     /// The counts so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> ShadowCounts {
         self.counts.get()
     }
 
     /// Calls the shadow module. A fault in it must not affect any request, so a panic ends shadow mode and nothing else.
-    fn other(&self, call: impl FnOnce(&mut Policy<Notes>)) {
-        let mut other = self.other.borrow_mut();
-        let Some(policy) = other.as_mut() else { return };
+    fn call(&self, call: impl FnOnce(&mut Policy<DecisionRecorder>)) {
+        let mut slot = self.policy.borrow_mut();
+        let Some(policy) = slot.as_mut() else { return };
         if catch_unwind(AssertUnwindSafe(|| call(policy))).is_err() {
-            *other = None;
+            *slot = None;
             self.pairs.borrow_mut().clear();
             say!("shadow policy panicked; shadow mode is off until restart");
         }
     }
 
     #[cfg(test)]
-    pub fn fails(&self) {
-        self.other(|_| panic!("as a test"));
+    pub fn panic_once(&self) {
+        self.call(|_| panic!("as a test"));
     }
 
     /// Passes a list, or changes to it, to the shadow module.
-    pub fn list(&self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
+    pub fn on_list_update(&self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
         let origins = entries.iter().filter(|entry| Some(entry.kind) == self.origin_kind);
         self.origins.borrow_mut().extend(origins.map(|entry| entry.node.clone()));
-        self.other(|other| other.list(now, kind, entries));
+        self.call(|policy| policy.list(now, kind, entries));
     }
 
     /// Passes a timer call to the shadow module.
-    pub fn timer(&self, now: Micros, label: u64) {
-        self.other(|other| other.timer(now, label));
+    pub fn on_timer(&self, now: Micros, label: u64) {
+        self.call(|policy| policy.timer(now, label));
     }
 
     /// A request is about to be passed to the deciding module.
-    pub fn expects(&self, request: &RequestId) {
-        if self.other.borrow().is_some() {
-            self.pairs.borrow_mut().insert(request.clone(), Pair::default());
+    pub fn expect_request(&self, request: &RequestId) {
+        if self.policy.borrow().is_some() {
+            self.pairs.borrow_mut().insert(request.clone(), DecisionPair::default());
         }
     }
 
     /// Records a decision of the deciding module.
-    pub fn decided(&self, request: &RequestId, said: Move) {
+    pub fn record_actual(&self, request: &RequestId, decision: Decision) {
         if let Some(pair) = self.pairs.borrow_mut().get_mut(request) {
-            pair.ours.push(said);
+            pair.actual.push(decision);
         }
     }
 
     /// Passes a request to the shadow module.
-    pub fn arrives(&self, now: Micros, arrival: Arrival) {
+    pub fn on_request(&self, now: Micros, arrival: Arrival) {
         let id = arrival.id.clone();
-        self.other(|other| other.request_arrives(now, arrival));
+        self.call(|policy| policy.request_arrives(now, arrival));
         self.compare(now, &id);
     }
 
     /// Passes the outcome of an attempt to the shadow module.
-    pub fn outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
+    pub fn on_attempt_outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
         self.compare(now, id);
-        self.other(|other| other.outcome(now, id, node, outcome));
+        self.call(|policy| policy.outcome(now, id, node, outcome));
     }
 
     /// The client of a request is gone.
-    pub fn gone(&self, now: Micros, id: &RequestId) {
+    pub fn on_request_closed(&self, now: Micros, id: &RequestId) {
         self.compare(now, id);
-        self.other(|other| other.request_gone(now, id));
+        self.call(|policy| policy.request_gone(now, id));
     }
 
     /// A request is over; its remaining difference is counted.
-    pub fn over(&self, now: Micros, id: &RequestId) {
+    pub fn finish_request(&self, now: Micros, id: &RequestId) {
         self.compare(now, id);
         let Some(pair) = self.pairs.borrow_mut().remove(id) else { return };
         let mut counts = self.counts.get();
         counts.requests += 1;
-        if !pair.differs && pair.ours.len() != pair.others.len() {
-            counts.held_or_told += 1;
-            self.leave(now, id, &pair.others);
+        if !pair.differs && pair.actual.len() != pair.shadow.len() {
+            counts.refusal_or_timing += 1;
+            self.withdraw(now, id, &pair.shadow);
         }
         self.counts.set(counts);
     }
@@ -181,44 +181,44 @@
     fn compare(&self, now: Micros, id: &RequestId) {
         let mut pairs = self.pairs.borrow_mut();
         let Some(pair) = pairs.get_mut(id).filter(|pair| !pair.differs) else { return };
-        let Some((ours, other)) = pair.ours.iter().zip(&pair.others).find(|(ours, other)| ours != other)
+        let Some((actual, shadow)) = pair.actual.iter().zip(&pair.shadow).find(|(actual, shadow)| actual != shadow)
         else {
             return;
         };
         let mut counts = self.counts.get();
-        let of_origin = |node: &NodeId| self.origins.borrow().contains(node);
-        *match (ours, other) {
-            (Move::Attempt(a), Move::Attempt(b)) if of_origin(a) == of_origin(b) => &mut counts.another_cache,
-            (Move::Attempt(_), Move::Attempt(_)) => &mut counts.origin_or_cache,
-            (Move::Attempt(_), _) => &mut counts.given_up,
-            (_, Move::Attempt(_)) => &mut counts.attempted,
-            _ => &mut counts.held_or_told,
+        let is_origin = |node: &NodeId| self.origins.borrow().contains(node);
+        *match (actual, shadow) {
+            (Decision::Attempt(a), Decision::Attempt(b)) if is_origin(a) == is_origin(b) => &mut counts.different_cache,
+            (Decision::Attempt(_), Decision::Attempt(_)) => &mut counts.origin_vs_cache,
+            (Decision::Attempt(_), _) => &mut counts.not_attempted,
+            (_, Decision::Attempt(_)) => &mut counts.attempted_instead,
+            _ => &mut counts.refusal_or_timing,
         } += 1;
         self.counts.set(counts);
         pair.differs = true;
-        let others = std::mem::take(&mut pair.others);
+        let shadow = std::mem::take(&mut pair.shadow);
         drop(pairs);
-        self.leave(now, id, &others);
+        self.withdraw(now, id, &shadow);
     }
 
     /// Withdraws the request from the shadow module and reports its attempt in flight, if any, as cancelled.
-    fn leave(&self, now: Micros, id: &RequestId, others: &[Move]) {
-        if let [earlier @ .., Move::Attempt(node)] = others {
+    fn withdraw(&self, now: Micros, id: &RequestId, shadow: &[Decision]) {
+        if let [earlier @ .., Decision::Attempt(node)] = shadow {
             let (number, ending) = (earlier.len(), Ending::Cancelled);
             let outcome = Outcome { number, ending, wait: 0, settled: true, first: false };
-            self.other(|other| other.outcome(now, id, node, outcome));
+            self.call(|policy| policy.outcome(now, id, node, outcome));
         }
-        self.other(|other| other.request_gone(now, id));
+        self.call(|policy| policy.request_gone(now, id));
     }
 
     /// Logs the counts at intervals.
     pub async fn log_counts(&self) {
-        let mut told = Counts::default();
+        let mut logged = ShadowCounts::default();
         loop {
-            tokio::time::sleep(TELL_EVERY).await;
+            tokio::time::sleep(LOG_INTERVAL).await;
             let counts = self.counts();
-            if std::mem::replace(&mut told, counts) != counts {
-                say!("shadow policy: {} of {} requests decided differently: {counts:?}", counts.otherwise(), counts.requests);
+            if std::mem::replace(&mut logged, counts) != counts {
+                say!("shadow policy: {} of {} requests decided differently: {counts:?}", counts.differing(), counts.requests);
             }
         }
     }
