--- a/crates/flintwell-simhost/src/main.rs
+++ b/crates/flintwell-simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts decision modules for a simulator: reads batches of events from standard input, passes them to the instances'
-//! modules, and writes the resulting actions to standard output.
+//! Hosts policy instances for a simulator: reads batches of events from standard input, passes them to the instances,
+//! and writes the resulting actions to standard output.
 
 mod wire;
 
--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's JSON protocol. Events are decoded by position, directly into module calls, and actions are written
+//! The simulator's JSON protocol. Events are decoded by position, directly into policy calls, and actions are written
 //! directly into the reply.
 
 use flintwell_core::interface::{
@@ -35,7 +35,7 @@
 
 type Reply = Rc<RefCell<Vec<u8>>>;
 
-/// The host of one instance: writes the module's actions into the shared reply.
+/// The host of one instance: writes the policy's actions into the shared reply.
 struct SimHost {
     instance: u64,
     reply: Reply,
--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -233,7 +233,7 @@
                 let unwritten = self.unwritten.borrow_mut().as_mut().map(std::mem::take)?;
                 let (rest, left) = way.rest()?;
                 let kept =
-                    successor.keeps(way.kept()).inspect_err(|error| say!("buffering a response for hand-over failed: {error}")).ok()?;
+                    successor.keeps(way.kept()).inspect_err(|error| say!("buffering a response for handover failed: {error}")).ok()?;
                 let client = self.stream.clone();
                 return Some((
                     Carry { client, unwritten, kept, rest, chunked: !way.told, open: way.open(), left },
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -75,12 +75,12 @@
         let required =
             |name: &'static str| text(name)?.filter(|text| !text.is_empty()).ok_or(Malformed::Header(name));
         let index_in = |name: &'static str, names: &[String]| {
-            let found = |word: &str| names.iter().position(|n| n == word).ok_or(Malformed::Header(name));
-            text(name)?.map(found).transpose()
+            let index_of = |value: &str| names.iter().position(|n| n == value).ok_or(Malformed::Header(name));
+            text(name)?.map(index_of).transpose()
         };
         let number = |name: &'static str| {
-            let read = |word: &str| word.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
-            text(name)?.map(|word| read(word).ok_or(Malformed::Header(name))).transpose()
+            let parse = |value: &str| value.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
+            text(name)?.map(|value| parse(value).ok_or(Malformed::Header(name))).transpose()
         };
         let client_timeout = number("x-deadline")?.ok_or(Malformed::Header("x-deadline"))?.min(MAX_DEADLINE_S);
         let key = path.path().rsplit('/').next().filter(|key| !key.is_empty()).map(Key::from);
@@ -107,7 +107,7 @@
         sent + self.body.max_receive_time().as_micros() as Micros + (self.client_timeout - DEADLINE_MARGIN_US).max(0)
     }
 
-    /// The request as the decision module gets it.
+    /// The request as it is passed to the policy.
     pub fn arrival(&self, deadline: Micros) -> Arrival {
         Arrival {
             id: self.id.clone(),
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -1,7 +1,7 @@
-//! Adapter between requests and the decision module.
+//! Adapter between requests and the policy (`flintwell-core`).
 //!
-//! Holds the module and a handle for each request in flight. The module's calls to its host only leave a step for
-//! a handle and never re-enter the module.
+//! Holds the policy and a handle for each request in flight. The policy's calls to its host only leave a step for
+//! a handle and never re-enter the policy.
 
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, Pulse};
@@ -36,7 +36,7 @@
     notify: Notify,
 }
 
-/// State that the module's calls to its host act on.
+/// State that the policy's calls to its host act on.
 struct HostState {
     mailboxes: RefCell<HashMap<RequestId, Rc<Mailbox>>>,
     timers: RefCell<BTreeSet<(Micros, u64)>>,
@@ -60,7 +60,7 @@
                 mailbox.step.replace(Some(step));
                 mailbox.notify.notify_one();
             }
-            None => say!("decision module returned a step for request {request}, which is not in flight"),
+            None => say!("policy returned a step for request {request}, which is not in flight"),
         }
     }
 }
@@ -88,7 +88,7 @@
     fn watch_list(&mut self) {}
 }
 
-/// Owns the decision module and passes events to it.
+/// Owns the policy that decides on requests, and passes events to it.
 pub struct Dispatcher {
     pub clock: Clock,
     pub stall_detector: Pulse,
@@ -115,20 +115,20 @@
         Dispatcher { clock, stall_detector: Pulse::new(clock), policy, host_state }
     }
 
-    /// Calls the module, and then the shadow policy with `shadow_call`. False if the module panicked.
+    /// Calls the policy, and then the shadow policy with `shadow_call`. False if the policy panicked.
     ///
     /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
     fn call_policy(&self, call: impl FnOnce(&mut Policy<PolicyHost>), shadow_call: impl FnOnce(&ShadowPolicy)) -> bool {
         let result = catch_unwind(AssertUnwindSafe(|| call(&mut self.policy.borrow_mut())));
         if result.is_err() {
-            say!("decision module panicked during a call");
+            say!("policy panicked during a call");
         }
-        // After the deciding module, and also if that panicked.
+        // After the active policy, and also if that panicked.
         self.host_state.shadow.as_deref().inspect(|shadow| shadow_call(shadow));
         result.is_ok()
     }
 
-    /// Passes a list, or changes to it, to the module.
+    /// Passes a list, or changes to it, to the policy.
     pub fn apply_list_update(&self, kind: ListKind, entries: Vec<Entry>) {
         let (now, copy) = (self.clock.now(), self.host_state.shadow.as_ref().map(|_| entries.clone()));
         let shadow_call = |shadow: &ShadowPolicy| shadow.on_list_update(now, kind, copy.unwrap_or_default());
@@ -161,7 +161,7 @@
     }
 
     /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
-    /// a request decided on before the stall could go to a server that a list, received but not read, says is leaving.
+    /// a request decided on before the stall could go to a node that a list, received but not read, says is leaving.
     pub async fn catch_up_after_stall(&self) {
         if self.stall_detector.waited_from() < self.clock.now() {
             for _ in 0..CATCH_UP_TURNS {
@@ -175,7 +175,7 @@
         self.policy.borrow().is_origin(node)
     }
 
-    /// Number of listed caches that the module avoids now.
+    /// Number of listed caches that the policy avoids now.
     pub fn count_avoided_caches(&self) -> usize {
         self.policy.borrow().avoided(self.clock.now())
     }
@@ -191,7 +191,7 @@
         Some(RequestHandle { dispatcher: self.clone(), id, mailbox, attempts: 0, in_flight_node: None, is_finished: true })
     }
 
-    /// Calls the module at the times it asked for, with a minimum interval between calls. Without it, a module that asks
+    /// Calls the policy at the times it asked for, with a minimum interval between calls. Without it, a policy that asks
     /// at each call for a time in the past would leave our single core no time for requests.
     pub async fn run_timers(&self) {
         let mut not_before = 0;
@@ -218,7 +218,7 @@
     }
 }
 
-/// A request's connection to the module. If it is dropped before the request is over, the module is told that the client
+/// A request's connection to the policy. If it is dropped before the request is over, the policy is told that the client
 /// is gone and that the attempt in flight, if any, was cancelled.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
@@ -230,7 +230,7 @@
 }
 
 impl RequestHandle {
-    /// Passes the request to the module.
+    /// Passes the request to the policy.
     pub fn submit(&mut self, arrival: Arrival) {
         self.is_finished = false;
         let now = self.dispatcher.clock.now();
@@ -242,14 +242,14 @@
         self.fail_unless(self.dispatcher.call_policy(|policy| policy.request_arrives(now, arrival), shadow_call));
     }
 
-    /// Fails the request if the module could not decide on it.
+    /// Fails the request if the policy could not decide on it.
     fn fail_unless(&self, decided: bool) {
         if !decided {
             self.dispatcher.host_state.post_step(&self.id, Step::Fail);
         }
     }
 
-    /// Waits for the module's next step; none if there is none by the deadline.
+    /// Waits for the policy's next step; none if there is none by the deadline.
     pub async fn next_step(&mut self, deadline: Micros) -> Option<Step> {
         let step = async {
             loop {
@@ -269,7 +269,7 @@
         self.in_flight_node = Some(node.clone());
     }
 
-    /// Reports to the module how the attempt in flight has ended, after `wait`.
+    /// Reports to the policy how the attempt in flight has ended, after `wait`.
     pub fn attempt_ended(&mut self, ending: Ending, wait: Micros, first: bool) {
         let Some(node) = self.in_flight_node.take() else { return };
         self.is_finished |= ending == Ending::Served;
@@ -284,7 +284,7 @@
 impl Drop for RequestHandle {
     fn drop(&mut self) {
         let (now, id) = (self.dispatcher.clock.now(), self.id.clone());
-        // If the module has chosen an attempt and the step was not taken yet, the module would count that attempt as in
+        // If the policy has chosen an attempt and the step was not taken yet, the policy would count that attempt as in
         // flight for good. So it is reported as cancelled below.
         if let Some(Step::Attempt { node, .. }) = self.mailbox.step.take() {
             self.in_flight_node.get_or_insert(node);
--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -85,10 +85,10 @@
 #[test]
 fn shadow_with_other_settings_counts_differences_by_kind_without_effect() {
     let zones = serde_json::json!({"zones": ["a", "b"], "penalties": {"cross_zone": 0.1}});
-    let ((alone, none), (watched, counts)) = (run_reads(None), run_reads(Some(zones)));
-    assert!(none.is_none() && alone == watched, "the same attempts with and without a shadow policy");
+    let ((alone, none), (shadowed, counts)) = (run_reads(None), run_reads(Some(zones)));
+    assert!(none.is_none() && alone == shadowed, "the same attempts with and without a shadow policy");
     let counts = counts.expect("counts");
-    let far = watched.iter().filter(|node| node.starts_with("far")).count() as u64;
+    let far = shadowed.iter().filter(|node| node.starts_with("far")).count() as u64;
     assert!(far > 10 && counts.different_cache == far, "{far}: {counts:?}");
     assert_eq!((counts.differing(), counts.requests), (far, 60));
     let (_, counts) = run_reads(Some(serde_json::json!({"limits": {"max_hand_offs": 1}})));
--- a/crates/flintwell/src/requests/mod.rs
+++ b/crates/flintwell/src/requests/mod.rs
@@ -1,4 +1,5 @@
-//! Request handling from arrival to response, and the adapter to the decision module.
+//! Request handling from arrival to response, and the adapter to the policy (`flintwell-core`) that decides on
+//! them.
 
 pub mod dispatcher;
 pub mod service;
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! Serves one request from start to end; the decision module makes each decision.
+//! Serves one request from start to end; the policy makes each decision.
 
 use crate::clients::response::ClientResponse;
 use crate::clients::decode::ClientRequest;
@@ -97,7 +97,7 @@
                 }
             }
             Some(Step::Refuse { retry_after }) => return ClientResponse::Refused { retry_after },
-            // A request without a response by its deadline is lost. So it fails then, whatever the module does; a
+            // A request without a response by its deadline is lost. So it fails then, whatever the policy does; a
             // failure makes no promise about the effect.
             Some(Step::Fail) | None => return ClientResponse::Failed,
         }
--- a/crates/flintwell/src/requests/shadow.rs
+++ b/crates/flintwell/src/requests/shadow.rs
@@ -1,6 +1,6 @@
-//! Shadow mode: runs a second decision module with other settings beside the deciding one.
+//! Shadow mode: runs a second policy with other settings beside the active one.
 //!
-//! The second module sees the same events, but its decisions have no effect. Each request on which it would have decided
+//! The second policy sees the same events, but its decisions have no effect. Each request on which it would have decided
 //! differently is counted once, by the kind of the first difference. After that, it only learns from the request's outcomes.
 
 use crate::say;
@@ -46,7 +46,7 @@
     }
 }
 
-/// The decisions of both modules on one request.
+/// The decisions of both policies on one request.
 #[derive(Default)]
 struct DecisionPair {
     actual: Vec<Decision>,
@@ -56,7 +56,7 @@
 
 type DecisionPairs = Rc<RefCell<HashMap<RequestId, DecisionPair>>>;
 
-/// The shadow module's host: it records decisions and does nothing else.
+/// The shadow policy's host: it records decisions and does nothing else.
 struct DecisionRecorder(DecisionPairs);
 
 impl DecisionRecorder {
@@ -82,7 +82,7 @@
     fn watch_list(&mut self) {}
 }
 
-/// Runs the shadow module and compares its decisions with those in effect.
+/// Runs the shadow policy and compares its decisions with those in effect.
 pub struct ShadowPolicy {
     policy: RefCell<Option<Policy<DecisionRecorder>>>,
     pairs: DecisionPairs,
@@ -103,7 +103,7 @@
         self.counts.get()
     }
 
-    /// Calls the shadow module. A fault in it must not affect any request, so a panic ends shadow mode and nothing else.
+    /// Calls the shadow policy. A fault in it must not affect any request, so a panic ends shadow mode and nothing else.
     fn call(&self, call: impl FnOnce(&mut Policy<DecisionRecorder>)) {
         let mut slot = self.policy.borrow_mut();
         let Some(policy) = slot.as_mut() else { return };
@@ -119,40 +119,40 @@
         self.call(|_| panic!("as a test"));
     }
 
-    /// Passes a list, or changes to it, to the shadow module.
+    /// Passes a list, or changes to it, to the shadow policy.
     pub fn on_list_update(&self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
         let origins = entries.iter().filter(|entry| Some(entry.kind) == self.origin_kind);
         self.origins.borrow_mut().extend(origins.map(|entry| entry.node.clone()));
         self.call(|policy| policy.list(now, kind, entries));
     }
 
-    /// Passes a timer call to the shadow module.
+    /// Passes a timer call to the shadow policy.
     pub fn on_timer(&self, now: Micros, label: u64) {
         self.call(|policy| policy.timer(now, label));
     }
 
-    /// A request is about to be passed to the deciding module.
+    /// A request is about to be passed to the active policy.
     pub fn expect_request(&self, request: &RequestId) {
         if self.policy.borrow().is_some() {
             self.pairs.borrow_mut().insert(request.clone(), DecisionPair::default());
         }
     }
 
-    /// Records a decision of the deciding module.
+    /// Records a decision of the active policy.
     pub fn record_actual(&self, request: &RequestId, decision: Decision) {
         if let Some(pair) = self.pairs.borrow_mut().get_mut(request) {
             pair.actual.push(decision);
         }
     }
 
-    /// Passes a request to the shadow module.
+    /// Passes a request to the shadow policy.
     pub fn on_request(&self, now: Micros, arrival: Arrival) {
         let id = arrival.id.clone();
         self.call(|policy| policy.request_arrives(now, arrival));
         self.compare(now, &id);
     }
 
-    /// Passes the outcome of an attempt to the shadow module.
+    /// Passes the outcome of an attempt to the shadow policy.
     pub fn on_attempt_outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
         self.compare(now, id);
         self.call(|policy| policy.outcome(now, id, node, outcome));
@@ -177,7 +177,7 @@
         self.counts.set(counts);
     }
 
-    /// Counts the first difference between the decisions and withdraws the request from the shadow module.
+    /// Counts the first difference between the decisions and withdraws the request from the shadow policy.
     fn compare(&self, now: Micros, id: &RequestId) {
         let mut pairs = self.pairs.borrow_mut();
         let Some(pair) = pairs.get_mut(id).filter(|pair| !pair.differs) else { return };
@@ -201,7 +201,7 @@
         self.withdraw(now, id, &shadow);
     }
 
-    /// Withdraws the request from the shadow module and reports its attempt in flight, if any, as cancelled.
+    /// Withdraws the request from the shadow policy and reports its attempt in flight, if any, as cancelled.
     fn withdraw(&self, now: Micros, id: &RequestId, shadow: &[Decision]) {
         if let [earlier @ .., Decision::Attempt(node)] = shadow {
             let (number, ending) = (earlier.len(), Ending::Cancelled);
