--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -2,7 +2,7 @@
 //! directly into the reply.
 
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, Key, ListKind, Micros, NodeId, Outcome, RequestId, Standing,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, Key, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, NodeState,
 };
 use flintwell_core::policy::Policy;
 use flintwell_settings::{decode, micros};
@@ -83,7 +83,7 @@
 }
 
 impl Host for SimHost {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
         self.write_action("submit_to", |reply| {
             reply.push(b',');
             write_text(reply, request);
@@ -113,7 +113,7 @@
             write_text(reply, node);
         });
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.write_action("set_timer", |reply| {
             reply.push(b',');
             write_number(reply, label);
@@ -121,24 +121,24 @@
             write_seconds(reply, at);
         });
     }
-    fn watch_list(&mut self) {
+    fn subscribe_to_list(&mut self) {
         self.write_action("watch", |reply| reply.extend_from_slice(b",true"));
     }
 }
 
 /// Maps a status code of the protocol.
-fn attempt_ending(code: i64) -> Ending {
+fn attempt_ending(code: i64) -> AttemptStatus {
     match code {
-        200 => Ending::Served,
-        502 => Ending::Error,
-        429 => Ending::Full,
-        408 => Ending::TimedOut,
-        521 => Ending::ConnectFailed,
-        520 => Ending::Reset,
-        444 => Ending::Cancelled,
-        409 => Ending::NotSent,
-        204 => Ending::Miss,
-        _ => Ending::Unknown,
+        200 => AttemptStatus::Served,
+        502 => AttemptStatus::Error,
+        429 => AttemptStatus::Full,
+        408 => AttemptStatus::TimedOut,
+        521 => AttemptStatus::ConnectFailed,
+        520 => AttemptStatus::Reset,
+        444 => AttemptStatus::Cancelled,
+        409 => AttemptStatus::NotSent,
+        204 => AttemptStatus::Miss,
+        _ => AttemptStatus::Unknown,
     }
 }
 
@@ -258,67 +258,67 @@
                 let conf: Value = fields.required("conf")?;
                 let settings = decode(&conf).map_err(|e| A::Error::custom(format!("event begin: {e}")))?;
                 let host = SimHost { instance, reply: self.instances.reply.clone() };
-                self.instances.policies.insert(instance, Policy::start(now, settings, seed, host));
+                self.instances.policies.insert(instance, Policy::new(now, settings, seed, host));
             }
             "shutdown" => {
                 self.instances.policies.remove(&instance);
             }
             "incoming" => {
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     id: fields.id("msg_id")?,
                     class: fields.required("qos")?,
                     tenant: fields.optional("org")?.unwrap_or(0),
                     key: fields.optional::<Text>("item")?.map(|t| Key::from(t.0)),
                     deadline: fields.time("deadline")?,
-                    work: fields.optional("cost_guess")?.map(micros),
-                    write: {
+                    expected_work: fields.optional("cost_guess")?.map(micros),
+                    is_write: {
                         fields.optional::<IgnoredAny>("size")?;
                         fields.optional::<u64>("marks")?.unwrap_or(0) & WRITE_FLAG != 0
                     },
                 };
                 if let Some(policy) = policy.as_mut() {
-                    policy.request_arrives(now, arrival);
+                    policy.on_request(now, arrival);
                 }
             }
             "answer" => {
                 let (id, number) = (fields.id("msg_id")?, fields.required("send_no")?);
                 let node = fields.id("node")?;
-                let outcome = Outcome {
-                    number,
-                    ending: attempt_ending(fields.required("ending")?),
-                    wait: fields.time("wait_time")?,
-                    settled: fields.required("settled")?,
-                    first: false,
+                let outcome = AttemptOutcome {
+                    attempt_index: number,
+                    status: attempt_ending(fields.required("ending")?),
+                    latency: fields.time("wait_time")?,
+                    request_finished: fields.required("settled")?,
+                    first_on_connection: false,
                 };
                 if let Some(policy) = policy.as_mut() {
-                    policy.outcome(now, &id, &node, outcome);
+                    policy.on_attempt_outcome(now, &id, &node, outcome);
                 }
             }
             "targets" => {
                 let kind = match &*fields.required::<Text>("how")?.0 {
-                    "Partial" => ListKind::Changes,
-                    "Complete" => ListKind::Whole,
-                    "Persisted" => ListKind::Kept,
-                    "Error" => ListKind::Failed,
+                    "Partial" => ListUpdateKind::Delta,
+                    "Complete" => ListUpdateKind::Snapshot,
+                    "Persisted" => ListUpdateKind::Restored,
+                    "Error" => ListUpdateKind::Failed,
                     other => return Err(A::Error::custom(format!("event targets: how: unknown '{other}'"))),
                 };
                 let _version = fields.optional::<IgnoredAny>("stamp")?;
                 let items = fields.optional::<Vec<ListEntry>>("items")?.unwrap_or_default();
                 if let Some(policy) = policy.as_mut() {
-                    policy.list(now, kind, items.into_iter().map(ListEntry::into_entry).collect());
+                    policy.on_list_update(now, kind, items.into_iter().map(ListEntry::into_entry).collect());
                 }
             }
             "timeout_fired" => {
                 let label = fields.required("label")?;
                 if let Some(policy) = policy.as_mut() {
-                    policy.timer(now, label);
+                    policy.on_timer(now, label);
                 }
             }
             // A response that has begun needs no more decisions, like a request whose client is gone.
             "vanished" | "begun" => {
                 let id = fields.id("msg_id")?;
                 if let Some(policy) = policy.as_mut() {
-                    policy.request_gone(now, &id);
+                    policy.on_request_closed(now, &id);
                 }
             }
             _ => {}
@@ -341,19 +341,19 @@
 );
 
 impl ListEntry<'_> {
-    fn into_entry(self) -> Entry {
-        Entry {
+    fn into_entry(self) -> NodeEntry {
+        NodeEntry {
             node: self.0.into(),
             zone: self.1.unwrap_or(0),
             kind: self.2.unwrap_or(0),
             cell: self.3.unwrap_or(0),
             // An unknown state counts as draining, so that no new requests are sent to the node.
-            standing: match self.4.as_deref() {
-                Some("Ready") => Standing::Ready,
-                Some("Gone") => Standing::Gone,
-                _ => Standing::Draining,
+            state: match self.4.as_deref() {
+                Some("Ready") => NodeState::Ready,
+                Some("Gone") => NodeState::Gone,
+                _ => NodeState::Draining,
             },
-            size: self.5.unwrap_or(1.0),
+            weight: self.5.unwrap_or(1.0),
             started_at: self.6.map_or(0, micros),
         }
     }
--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -2,13 +2,13 @@
 
 use crate::clients::framing::RequestScanner;
 use crate::clients::client_socket::ClientSocket;
-use crate::nodes::carry::Carry;
-use crate::nodes::relay::{Carried, Content, Way};
-use crate::nodes::stream::Shared;
-use crate::process::clock::PEER_STALL;
+use crate::nodes::response_transfer::ResponseTransfer;
+use crate::nodes::response_body::{RequestGuard, ResponseBody, ResponseStream};
+use crate::nodes::stream::SharedStream;
+use crate::process::clock::PEER_IDLE_TIMEOUT;
 use crate::process::handover::{self, Successor};
 use crate::requests::service::ClientService;
-use crate::say;
+use crate::log_line;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::server::conn::http1;
@@ -105,7 +105,7 @@
     is_evicted: Cell<bool>,
     stream: Rc<TcpStream>,
     /// The streamed response in progress; `stream_started` is notified when one starts.
-    streamed_response: RefCell<Option<Rc<Way>>>,
+    streamed_response: RefCell<Option<Rc<ResponseStream>>>,
     stream_started: Notify,
     /// The client accepts chunked responses (HTTP/1.1).
     accepts_chunked: Cell<bool>,
@@ -216,28 +216,28 @@
     async fn cut_off<C: Future<Output = hyper::Result<()>>>(
         &self,
         mut connection: Pin<&mut C>,
-        way: &Way,
+        way: &ResponseStream,
         successor: &Successor,
-    ) -> Option<(Carry, Option<Carried>)> {
+    ) -> Option<(ResponseTransfer, Option<RequestGuard>)> {
         self.unwritten.replace(Some(Vec::new()));
         for _ in 0..MAX_CUT_OFF_TURNS {
             let polled = poll_fn(|cx| {
-                way.reads_ahead(cx);
+                way.poll_read_ahead(cx);
                 Poll::Ready(connection.as_mut().poll(cx))
             });
             if let Poll::Ready(Err(_)) = polled.await {
                 return None;
             }
             // All that the connection had buffered is in `unwritten` now, because those writes never block.
-            if way.through() {
+            if way.is_drained() {
                 let unwritten = self.unwritten.borrow_mut().as_mut().map(std::mem::take)?;
-                let (rest, left) = way.rest()?;
+                let (rest, left) = way.take_upstream()?;
                 let kept =
-                    successor.keeps(way.kept()).inspect_err(|error| say!("buffering a response for handover failed: {error}")).ok()?;
+                    successor.spool(way.drain_buffered()).inspect_err(|error| log_line!("buffering a response for handover failed: {error}")).ok()?;
                 let client = self.stream.clone();
                 return Some((
-                    Carry { client, unwritten, kept, rest, chunked: !way.told, open: way.open(), left },
-                    way.carried(),
+                    ResponseTransfer { client, unwritten, buffered: kept, upstream: rest, chunked: !way.has_known_length, is_end_pending: way.is_end_pending(), max_remaining_bytes: left },
+                    way.take_request(),
                 ));
             }
             tokio::task::yield_now().await;
@@ -254,7 +254,7 @@
         }
         let socket = SockRef::from(&*self.stream);
         let is_truncated =
-            self.streamed_response.borrow().as_ref().is_some_and(|way| way.broken() && !way.told && !self.accepts_chunked.get());
+            self.streamed_response.borrow().as_ref().is_some_and(|way| way.is_truncated() && !way.has_known_length && !self.accepts_chunked.get());
         if is_truncated {
             // Where the end of the connection marks the end of the body, a clean close would make a truncated response
             // look complete. So the connection is reset. An error here means that it is broken already.
@@ -290,22 +290,22 @@
     /// Keeps reading a streamed response ahead of the client; never completes.
     async fn read_ahead(&self) {
         poll_fn(|cx| {
-            self.streamed_response.borrow().iter().for_each(|way| way.reads_ahead(cx));
+            self.streamed_response.borrow().iter().for_each(|way| way.poll_read_ahead(cx));
             Poll::Pending
         })
         .await
     }
     /// Completes once writes to the client have been blocked for too long.
     async fn write_timeout(&self) {
-        while self.write_blocked_since.get().is_none_or(|since| since.elapsed() < PEER_STALL) {
-            tokio::time::sleep(PEER_STALL / 8).await;
+        while self.write_blocked_since.get().is_none_or(|since| since.elapsed() < PEER_IDLE_TIMEOUT) {
+            tokio::time::sleep(PEER_IDLE_TIMEOUT / 8).await;
         }
     }
 }
 
 /// A response body; the client's connection counts as busy until the last byte is written.
 struct TrackedBody {
-    content: Content,
+    content: ResponseBody,
     client: Rc<ClientConnection>,
 }
 
@@ -335,7 +335,7 @@
 
 /// A client's stream that records reads and writes in the connection's state.
 struct TrackedStream {
-    stream: Shared,
+    stream: SharedStream,
     client: Rc<ClientConnection>,
 }
 
@@ -441,13 +441,13 @@
         match accepted {
             Ok((stream, _)) => spawn_connection(stream, permit, front.clone(), &table),
             Err(error) => {
-                say!("accepting a client connection failed: {error}");
+                log_line!("accepting a client connection failed: {error}");
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
     // A connection in the backlog, accepted by the kernel already, may hold a request that would be lost.
-    while !shutdown.succeeded()
+    while !shutdown.has_successor()
         && let Ok(Ok((stream, _))) = timeout(BACKLOG_DRAIN_TIMEOUT, listener.accept()).await
     {
         spawn_connection(stream, table.acquire_permit(room).await, front.clone(), &table);
@@ -458,17 +458,17 @@
     let idle_closed = front.shutdown.idle_closed();
     let handover_shutdown = front.shutdown.clone();
     if let Err(error) = stream.set_nodelay(true) {
-        say!("setting TCP_NODELAY on a client connection failed: {error}");
+        log_line!("setting TCP_NODELAY on a client connection failed: {error}");
     }
     let client = table.register(stream);
     let front = ClientService { client: ClientSocket::on(client.stream.clone()), ..front };
     let stack = ServiceBuilder::new()
         .map_response({
             let client = client.clone();
-            move |answer: Response<Content>| {
+            move |answer: Response<ResponseBody>| {
                 let client = client.clone();
-                if let Content::Long(relay) = answer.body() {
-                    client.streamed_response.replace(Some(relay.way.clone()));
+                if let ResponseBody::Streamed(relay) = answer.body() {
+                    client.streamed_response.replace(Some(relay.stream.clone()));
                     client.stream_started.notify_one();
                 }
                 answer.map(|content| TrackedBody { content, client })
@@ -488,7 +488,7 @@
     http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(READ_BUFFER_BYTES);
     let closing = client.clone();
     let serve = async move {
-        let stream = TokioIo::new(TrackedStream { stream: Shared(client.stream.clone()), client: client.clone() });
+        let stream = TokioIo::new(TrackedStream { stream: SharedStream(client.stream.clone()), client: client.clone() });
         let mut connection = pin!(http.serve_connection(stream, TowerToHyperService::new(stack)));
         // A successor takes over streamed responses, those in progress and those that start from now on.
         let mut handover_start = pin!(async {
@@ -545,7 +545,7 @@
     successor: &Successor,
 ) {
     let way = client.streamed_response.borrow().clone();
-    match way.filter(|way| (way.told || client.accepts_chunked.get()) && way.halt()) {
+    match way.filter(|way| (way.has_known_length || client.accepts_chunked.get()) && way.halt()) {
         Some(way) => {
             if let Some((carry, carried)) = client.cut_off(connection.as_mut(), &way, successor).await {
                 handover::hand_over(successor, carry, carried).await;
--- a/crates/flintwell/src/clients/accept/tests.rs
+++ b/crates/flintwell/src/clients/accept/tests.rs
@@ -5,7 +5,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let stream = TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a stream");
     let client = Rc::new(ConnectionTable::default()).register(stream);
-    let mut tracked = TrackedStream { stream: Shared(client.stream.clone()), client: client.clone() };
+    let mut tracked = TrackedStream { stream: SharedStream(client.stream.clone()), client: client.clone() };
     client.mark_busy();
     let (content, response_client) = (Bytes::from_static(b"value").into(), client.clone());
     drop(TrackedBody { content, client: response_client });
--- a/crates/flintwell/src/clients/body.rs
+++ b/crates/flintwell/src/clients/body.rs
@@ -1,7 +1,7 @@
 //! Request bodies: buffered whole within a memory budget, or else streamed to a single node.
 
 use crate::clients::malformed::Malformed;
-use crate::process::clock::Patience;
+use crate::process::clock::IdleTimer;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -114,7 +114,7 @@
     pending: Bytes,
     incoming: Incoming,
     content_length: Option<u64>,
-    idle_timer: Patience,
+    idle_timer: IdleTimer,
     status: Rc<StreamStatus>,
 }
 
@@ -160,7 +160,7 @@
             if !buffer.push(&mut data, content_length) {
                 buffer.seal_block();
                 let status = Rc::<StreamStatus>::default();
-                let idle_timer = Patience::new(STREAM_IDLE_TIMEOUT);
+                let idle_timer = IdleTimer::new(STREAM_IDLE_TIMEOUT);
                 let streaming = StreamingBody { buffer, pending: data, incoming: body, content_length, idle_timer, status: status.clone() };
                 return Ok(ReceivedBody::Streaming(Cell::new(Some(Box::new(streaming))), status));
             }
@@ -241,14 +241,14 @@
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let data = self.buffer.pop().unwrap_or_else(|| std::mem::take(&mut self.pending));
         if !data.is_empty() {
-            self.idle_timer.renew();
+            self.idle_timer.reset();
             return Poll::Ready(Some(Ok(self.data_frame(data))));
         }
         loop {
             match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.idle_timer.renew();
+                    self.idle_timer.reset();
                     self.buffer.length += data.len() as u64;
                     if self.buffer.length > MAX_BODY_BYTES {
                         return self.fail(Malformed::BodyTooLong);
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -4,7 +4,7 @@
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
 use crate::clients::client_socket::ClientSocket;
-use flintwell_core::interface::{Arrival, Key, Micros, RequestId};
+use flintwell_core::interface::{IncomingRequest, Key, Micros, RequestId};
 use flintwell_settings::Network;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
@@ -108,15 +108,15 @@
     }
 
     /// The request as it is passed to the policy.
-    pub fn arrival(&self, deadline: Micros) -> Arrival {
-        Arrival {
+    pub fn arrival(&self, deadline: Micros) -> IncomingRequest {
+        IncomingRequest {
             id: self.id.clone(),
             class: self.class,
             tenant: self.tenant,
             key: self.key.clone(),
             deadline,
-            work: self.work,
-            write: self.method == Method::PUT,
+            expected_work: self.work,
+            is_write: self.method == Method::PUT,
         }
     }
 }
--- a/crates/flintwell/src/clients/response.rs
+++ b/crates/flintwell/src/clients/response.rs
@@ -1,8 +1,8 @@
 //! Responses to clients and their encoding.
 
 use crate::clients::malformed::Malformed;
-use crate::nodes::relay::Content;
-use crate::staff::counts::End;
+use crate::nodes::response_body::ResponseBody;
+use crate::management::metrics::RequestOutcome;
 use bytes::Bytes;
 use flintwell_core::interface::Micros;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -10,7 +10,7 @@
 
 /// How a client's message is answered.
 pub enum ClientResponse {
-    Served(Content),
+    Served(ResponseBody),
     /// Not processed; `retry_after` is the advised delay before a retry, 0 for none.
     Refused {
         retry_after: Micros,
@@ -30,23 +30,23 @@
     /// The request's outcome, if it is known by now and is counted.
     ///
     /// None while the response is still being streamed, and where no valid request was served.
-    pub fn outcome(&self) -> Option<End> {
+    pub fn outcome(&self) -> Option<RequestOutcome> {
         match self {
-            ClientResponse::Served(Content::Whole(_)) => Some(End::Served),
-            ClientResponse::Refused { .. } => Some(End::Refused),
-            ClientResponse::Failed => Some(End::Failed),
-            ClientResponse::Served(Content::Long(_)) => None,
+            ClientResponse::Served(ResponseBody::Buffered(_)) => Some(RequestOutcome::Served),
+            ClientResponse::Refused { .. } => Some(RequestOutcome::Refused),
+            ClientResponse::Failed => Some(RequestOutcome::Failed),
+            ClientResponse::Served(ResponseBody::Streamed(_)) => None,
             ClientResponse::Malformed(_) | ClientResponse::DuplicateId | ClientResponse::Readiness(_) | ClientResponse::ClientDisconnected => None,
         }
     }
 
     /// Encodes the response; `close` closes the connection after it.
-    pub fn encode(self, close: bool) -> Response<Content> {
+    pub fn encode(self, close: bool) -> Response<ResponseBody> {
         // After a malformed message the next request's start is unknown: the following bytes might belong to its
         // body. So the connection is closed.
         let close = close || matches!(self, ClientResponse::Malformed(_) | ClientResponse::ClientDisconnected);
         let retry_after = if let ClientResponse::Refused { retry_after } = self { retry_after } else { 0 };
-        let text = |bytes: &'static [u8]| Content::from(Bytes::from_static(bytes));
+        let text = |bytes: &'static [u8]| ResponseBody::from(Bytes::from_static(bytes));
         let (status, body) = match self {
             ClientResponse::Served(body) => (StatusCode::OK, body),
             ClientResponse::Refused { .. } => (StatusCode::SERVICE_UNAVAILABLE, text(b"")),
@@ -70,7 +70,7 @@
     }
 }
 
-fn malformed_response(reason: &Malformed) -> (StatusCode, Content) {
+fn malformed_response(reason: &Malformed) -> (StatusCode, ResponseBody) {
     let (status, text) = match reason {
         Malformed::Method => (StatusCode::METHOD_NOT_ALLOWED, "GET reads, PUT writes\n".into()),
         Malformed::Header(name) => {
--- /dev/null
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -0,0 +1,200 @@
+//! Calls to discovery, each a task of its own: establishing the connection, and the exchange on it. A call
+//! that has timed out stays open, because its response may still arrive: leaving discovery's queue would
+//! waste the work of that call for nothing.
+
+use crate::clients::body::UpstreamBody;
+use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Link, Progress, ReceivedBody};
+use crate::process::clock::Clock;
+use flintwell_core::interface::Micros;
+use flintwell_list_watch::Failure;
+use flintwell_settings::listing::Listing;
+use futures_util::future::select_all;
+use hyper::header::{HOST, HeaderValue};
+use hyper::{Request, StatusCode};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::task::{AbortHandle, JoinSet};
+use tokio::time::{sleep, timeout};
+
+const DIAL_TIMEOUT: Duration = Duration::from_secs(2); // a lost SYN is retransmitted after one second
+const PARALLEL_DIAL_DELAY: Duration = Duration::from_millis(500); // before each further dial beside the first
+const MAX_PARALLEL_DIALS: u32 = 3;
+const READY_TIMEOUT: Duration = Duration::from_millis(50); // for the previous exchange on a connection to end
+const MAX_LIST_BYTES: u64 = 4 << 20; // a list of ten thousand nodes
+const MAX_OPEN_CALLS: usize = 4; // each holds one of the descriptors reserved for the process itself
+
+/// Sequence number of a call within this process.
+pub type CallNumber = u64;
+
+/// Why a call failed: its kind for the list watch, and its details for the log.
+#[derive(Debug)]
+pub struct CallError {
+    pub failure: Failure,
+    pub broken: ExchangeError,
+}
+
+impl CallError {
+    fn from_exchange(broken: ExchangeError) -> Self {
+        let failure = match &broken.cause {
+            FailureCause::LocalFault(_) | FailureCause::NoDescriptor => Failure::Local,
+            FailureCause::Unreachable(_) => Failure::Unreachable,
+            _ => Failure::Broken,
+        };
+        CallError { failure, broken }
+    }
+
+    /// No response came in time.
+    pub fn timed_out(broken: ExchangeError) -> Self {
+        CallError { failure: Failure::Silent, broken }
+    }
+
+    /// The response was not acceptable.
+    pub fn invalid_response(why: String) -> Self {
+        CallError { failure: Failure::Broken, broken: ExchangeError::before_write(FailureCause::InvalidResponse(why)) }
+    }
+}
+
+/// A response with the connection on which it was received.
+pub struct Answer {
+    pub listing: Listing,
+    pub link: Link,
+    /// When its first byte was read.
+    pub first_byte_at: Micros,
+}
+
+/// The completion of a task.
+pub enum Completion {
+    /// A connection was established, or could not be.
+    Connected(Result<Link, CallError>),
+    /// A call has ended.
+    Called(CallNumber, Result<Answer, CallError>),
+}
+
+/// The calls in flight.
+pub struct DiscoveryCalls {
+    clock: Clock,
+    tasks: JoinSet<Completion>,
+    open: VecDeque<(CallNumber, AbortHandle)>,
+    next_number: CallNumber,
+}
+
+impl DiscoveryCalls {
+    pub fn new(clock: Clock) -> Self {
+        DiscoveryCalls { clock, tasks: JoinSet::new(), open: VecDeque::new(), next_number: 0 }
+    }
+
+    /// Starts to establish a connection to `addr`: `previous`, if it can still take a call, or a new one.
+    pub fn connect(&mut self, addr: SocketAddr, previous: Option<Link>) {
+        self.tasks.spawn_local(async move {
+            // Danger: a connection that is neither ready nor closed would block all further calls.
+            let ready = match previous {
+                Some(link) => timeout(READY_TIMEOUT, link.ready()).await.ok().flatten(),
+                None => None,
+            };
+            let connected = match ready {
+                Some(link) => Ok(link),
+                None => dial(addr).await,
+            };
+            Completion::Connected(connected.map_err(CallError::from_exchange))
+        });
+    }
+
+    /// Starts a call on this connection. With `since`, discovery sends what is newer than that version and
+    /// may hold the call for up to `wait`; without it, discovery sends the whole list. At the limit of open
+    /// calls the oldest is aborted.
+    pub fn call(&mut self, mut link: Link, since: Option<u64>, wait: Micros) -> CallNumber {
+        if self.open.len() >= MAX_OPEN_CALLS
+            && let Some((_, oldest)) = self.open.pop_front()
+        {
+            oldest.abort();
+        }
+        let (number, clock) = (self.next_number, self.clock);
+        self.next_number += 1;
+        let task = self.tasks.spawn_local(async move {
+            let listing = exchange(&mut link, since, wait).await;
+            let first_byte_at = link.first_byte_at().map_or(clock.now(), |instant| clock.micros_at(instant));
+            Completion::Called(number, listing.map(|listing| Answer { listing, link, first_byte_at }))
+        });
+        self.open.push_back((number, task));
+        number
+    }
+
+    /// The next completion; never returns while nothing is in flight.
+    pub async fn next_completion(&mut self) -> Completion {
+        loop {
+            match self.tasks.join_next().await {
+                Some(Ok(completion)) => {
+                    if let Completion::Called(number, _) = completion {
+                        self.open.retain(|(open, _)| *open != number);
+                    }
+                    return completion;
+                }
+                // The call was aborted.
+                Some(Err(error)) if error.is_cancelled() => {}
+                Some(Err(error)) => {
+                    let failed = CallError::invalid_response(format!("call task failed: {error}"));
+                    let last = self.open.pop_back();
+                    return match last {
+                        Some((number, _)) => Completion::Called(number, Err(failed)),
+                        None => Completion::Connected(Err(failed)),
+                    };
+                }
+                None => std::future::pending().await,
+            }
+        }
+    }
+
+    /// Aborts all calls and drops completions that were not fetched yet. Danger: otherwise a response of the
+    /// former discovery address would be taken for one of the new address.
+    pub fn abort_all(&mut self) {
+        self.tasks = JoinSet::new();
+        self.open.clear();
+    }
+}
+
+/// Opens a new connection. Danger: a slow connection, or one whose SYN was lost, would make discovery count
+/// as unreachable, and its last list would be used for longer than allowed; so further connections are tried
+/// in parallel before that is reported.
+async fn dial(addr: SocketAddr) -> Result<Link, ExchangeError> {
+    let dials = (0..MAX_PARALLEL_DIALS).map(|n| {
+        Box::pin(async move {
+            sleep(PARALLEL_DIAL_DELAY * n).await;
+            Link::dial(addr, None).await
+        })
+    });
+    let first = async { select_all(dials).await.0 };
+    let unreachable = |_| {
+        let why = format!("no connection within {DIAL_TIMEOUT:?}");
+        Err(ExchangeError::before_write(FailureCause::Unreachable(why)))
+    };
+    timeout(DIAL_TIMEOUT, first).await.unwrap_or_else(unreachable)
+}
+
+async fn exchange(link: &mut Link, since: Option<u64>, wait: Micros) -> Result<Listing, CallError> {
+    let progress = Progress::default();
+    let invalid =
+        |why| CallError { failure: Failure::Broken, broken: progress.error(FailureCause::InvalidResponse(why)) };
+    let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
+    let path = format!("/registry/instances{query}");
+    let mut request = Request::new(UpstreamBody::Empty);
+    *request.uri_mut() = path.parse().map_err(|_| invalid(path))?;
+    request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
+    let limits = BodyLimits { buffered: MAX_LIST_BYTES, total: MAX_LIST_BYTES };
+    let reply = link.exchange(request, limits, &progress).await.map_err(CallError::from_exchange)?;
+    match reply.status {
+        StatusCode::OK => {}
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
+            let refused = invalid(format!("status {}", reply.status));
+            return Err(CallError { failure: Failure::Refused, ..refused });
+        }
+        status => return Err(invalid(format!("status {status}"))),
+    }
+    let ReceivedBody::Whole(body) = reply.body else {
+        return Err(invalid("list was not received whole".into()));
+    };
+    serde_json::from_slice(&body).map_err(|error| invalid(error.to_string()))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/flintwell/src/fleet/list_store.rs
@@ -0,0 +1,101 @@
+//! The node list on disk, in the proxy's folder, with its age: the next process starts with it.
+
+use crate::fleet::lease::ListLease;
+use crate::fleet::list_age::{BootClock, Confirmation};
+use crate::process::store::Store;
+use crate::log_line;
+use flintwell_core::interface::Micros;
+use flintwell_settings::listing::{Line, Listing};
+use std::cell::Cell;
+use std::io;
+
+const LIST_FILE: &str = "list";
+const CONFIRMATION_FILE: &str = "list-confirmed"; // holds the age of the list in LIST_FILE
+
+/// The list that an earlier process stored.
+pub struct StoredList {
+    pub listing: Listing,
+    /// How long ago discovery confirmed it; none if unknown.
+    pub age: Option<Micros>,
+}
+
+/// Stores the most recent list of discovery.
+pub struct ListStore {
+    store: Store,
+    /// None where the system has no boot identifier; then the list is stored without its age.
+    boot_clock: Option<BootClock>,
+    /// Version of the most recent list.
+    version: Cell<Option<u64>>,
+    /// That list is not written yet.
+    is_dirty: Cell<bool>,
+    /// The confirmation as written: the list's version, and when it was confirmed.
+    written_confirmation: Cell<Option<(u64, Micros)>>,
+    /// The last write failed, and that was logged.
+    is_failing: Cell<bool>,
+}
+
+impl ListStore {
+    pub fn new(store: Store) -> Self {
+        ListStore {
+            store,
+            boot_clock: BootClock::open(),
+            version: Cell::default(),
+            is_dirty: Cell::default(),
+            written_confirmation: Cell::default(),
+            is_failing: Cell::default(),
+        }
+    }
+
+    /// Reads the list that an earlier process of this proxy stored.
+    pub fn load(&self) -> Option<StoredList> {
+        let read = serde_json::from_slice::<Listing>(&self.store.read(LIST_FILE)?);
+        let read = read.map_err(|error| log_line!("cannot decode the stored node list: {error}"));
+        let listing = read.ok().filter(|listing| listing.full)?;
+        let confirmation = self.store.read(CONFIRMATION_FILE);
+        let confirmation = confirmation.and_then(|text| serde_json::from_slice::<Confirmation>(&text).ok());
+        let clock = self.boot_clock.as_ref();
+        let age = clock.zip(confirmation).and_then(|(clock, record)| clock.age(listing.version, &record));
+        Some(StoredList { listing, age })
+    }
+
+    /// Marks the list as changed, now with this version.
+    pub fn mark_changed(&self, version: u64) {
+        self.version.set(Some(version));
+        self.is_dirty.set(true);
+    }
+
+    /// Writes what has changed. Danger: after a moment with a full disk, the stored list would lack its last
+    /// changes; so a failed write is repeated until it succeeds.
+    pub fn write(&self, lines: impl FnOnce() -> Vec<Line>, lease: &ListLease) {
+        let written = self.write_list(lines).and_then(|()| self.write_confirmation(lease));
+        let is_failing = written.is_err();
+        if self.is_failing.replace(is_failing) == is_failing {
+            return;
+        }
+        match written {
+            Err(error) => log_line!("cannot store the node list, will retry: {error}"),
+            Ok(()) => log_line!("the node list is stored again"),
+        }
+    }
+
+    fn write_list(&self, lines: impl FnOnce() -> Vec<Line>) -> io::Result<()> {
+        let Some(version) = self.version.get().filter(|_| self.is_dirty.get()) else { return Ok(()) };
+        let text = serde_json::to_vec(&Listing { version, full: true, servers: lines() })?;
+        self.store.write(LIST_FILE, &text)?;
+        self.is_dirty.set(false);
+        Ok(())
+    }
+
+    fn write_confirmation(&self, lease: &ListLease) -> io::Result<()> {
+        let Some(clock) = &self.boot_clock else { return Ok(()) };
+        let known = self.version.get().zip(lease.confirmed_at());
+        let Some((version, _)) = known.filter(|_| known != self.written_confirmation.get()) else { return Ok(()) };
+        let confirmation = clock.confirmation(version, lease.age().unwrap_or_default());
+        self.store.write(CONFIRMATION_FILE, &serde_json::to_vec(&confirmation)?)?;
+        self.written_confirmation.set(known);
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/flintwell/src/process/mod.rs
+++ b/crates/flintwell/src/process/mod.rs
@@ -1,11 +1,12 @@
-//! The process: its start and end, its successor, its configuration, files, clock and log.
+//! Process life cycle and shared services: startup, shutdown, handover to a new version, configuration, persistent
+//! files, clock and log.
 
 pub mod clock;
 pub mod config;
-pub mod count;
+pub mod counter;
 pub mod handover;
 pub mod inherit;
-pub mod live;
+pub mod reloadable;
 pub mod log;
 pub mod reload;
 pub mod serve;
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -4,11 +4,11 @@
 //! a handle and never re-enter the policy.
 
 use crate::nodes::pool::Pool;
-use crate::process::clock::{Clock, Pulse};
+use crate::process::clock::{Clock, StallDetector};
 use crate::requests::shadow::{Decision, ShadowPolicy};
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::RefCell;
@@ -60,7 +60,7 @@
                 mailbox.step.replace(Some(step));
                 mailbox.notify.notify_one();
             }
-            None => say!("policy returned a step for request {request}, which is not in flight"),
+            None => log_line!("policy returned a step for request {request}, which is not in flight"),
         }
     }
 }
@@ -68,7 +68,7 @@
 struct PolicyHost(Rc<HostState>);
 
 impl Host for PolicyHost {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros) {
         self.0.post_step(request, Step::Attempt { node: node.clone(), timeout });
     }
     fn refuse(&mut self, request: &RequestId, retry_after: Micros) {
@@ -80,18 +80,18 @@
     fn close_idle(&mut self, node: &NodeId) {
         self.0.pool.close_idle(node);
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.0.timers.borrow_mut().insert((at, label));
         self.0.timer_set.notify_one();
     }
     /// The list is watched from the process's start, so there is nothing to do.
-    fn watch_list(&mut self) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 /// Owns the policy that decides on requests, and passes events to it.
 pub struct Dispatcher {
     pub clock: Clock,
-    pub stall_detector: Pulse,
+    pub stall_detector: StallDetector,
     policy: RefCell<Policy<PolicyHost>>,
     host_state: Rc<HostState>,
 }
@@ -111,8 +111,8 @@
             pool,
             shadow,
         });
-        let policy = RefCell::new(Policy::start(clock.now(), settings, seed, PolicyHost(host_state.clone())));
-        Dispatcher { clock, stall_detector: Pulse::new(clock), policy, host_state }
+        let policy = RefCell::new(Policy::new(clock.now(), settings, seed, PolicyHost(host_state.clone())));
+        Dispatcher { clock, stall_detector: StallDetector::new(clock), policy, host_state }
     }
 
     /// Calls the policy, and then the shadow policy with `shadow_call`. False if the policy panicked.
@@ -121,7 +121,7 @@
     fn call_policy(&self, call: impl FnOnce(&mut Policy<PolicyHost>), shadow_call: impl FnOnce(&ShadowPolicy)) -> bool {
         let result = catch_unwind(AssertUnwindSafe(|| call(&mut self.policy.borrow_mut())));
         if result.is_err() {
-            say!("policy panicked during a call");
+            log_line!("policy panicked during a call");
         }
         // After the active policy, and also if that panicked.
         self.host_state.shadow.as_deref().inspect(|shadow| shadow_call(shadow));
@@ -129,41 +129,41 @@
     }
 
     /// Passes a list, or changes to it, to the policy.
-    pub fn apply_list_update(&self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn apply_list_update(&self, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         let (now, copy) = (self.clock.now(), self.host_state.shadow.as_ref().map(|_| entries.clone()));
         let shadow_call = |shadow: &ShadowPolicy| shadow.on_list_update(now, kind, copy.unwrap_or_default());
-        self.call_policy(|policy| policy.list(now, kind, entries), shadow_call);
+        self.call_policy(|policy| policy.on_list_update(now, kind, entries), shadow_call);
     }
 
     /// Switches to other settings; the list has to be passed again afterwards.
     pub fn apply_settings(&self, settings: Settings) {
         let now = self.clock.now();
-        self.call_policy(|policy| policy.change(now, settings), |_| ());
+        self.call_policy(|policy| policy.apply_settings(now, settings), |_| ());
     }
 
     /// Sets the rate, in fetches per second, that the fleet grants this process. Returns how many fetches requests have
     /// needed so far.
     pub fn set_origin_fetch_rate(&self, rate: Option<f64>) -> u64 {
         let (now, mut demand) = (self.clock.now(), 0);
-        self.call_policy(|policy| demand = policy.granted(now, rate), |_| ());
+        self.call_policy(|policy| demand = policy.set_origin_fetch_rate(now, rate), |_| ());
         demand
     }
 
     /// Caches that have stopped answering this process.
     pub fn silent_caches(&self) -> Vec<NodeId> {
-        self.policy.borrow().silent()
+        self.policy.borrow().silent_caches()
     }
 
     /// Other proxies probe this node for the next `time`.
     pub fn defer_probe(&self, node: &NodeId, time: Micros) {
         let until = self.clock.now() + time;
-        self.call_policy(|policy| policy.tried_by_others(node, until), |_| ());
+        self.call_policy(|policy| policy.defer_probe(node, until), |_| ());
     }
 
     /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
     /// a request decided on before the stall could go to a node that a list, received but not read, says is leaving.
     pub async fn catch_up_after_stall(&self) {
-        if self.stall_detector.waited_from() < self.clock.now() {
+        if self.stall_detector.queued_since() < self.clock.now() {
             for _ in 0..CATCH_UP_TURNS {
                 yield_now().await;
             }
@@ -177,7 +177,7 @@
 
     /// Number of listed caches that the policy avoids now.
     pub fn count_avoided_caches(&self) -> usize {
-        self.policy.borrow().avoided(self.clock.now())
+        self.policy.borrow().count_avoided_caches(self.clock.now())
     }
 
     /// A handle for a request; none while another request with the same id is in flight.
@@ -199,10 +199,10 @@
             let next_at =
                 self.host_state.timers.borrow().first().map_or(self.clock.now() + IDLE_SLEEP_US, |timer| timer.0);
             tokio::select! {
-                () = sleep_until(self.clock.instant(next_at.max(not_before))) => {
+                () = sleep_until(self.clock.instant_at(next_at.max(not_before))) => {
                     let now = self.clock.now();
                     while let Some(label) = self.pop_due_timer(now) {
-                        self.call_policy(|policy| policy.timer(now, label), |shadow| shadow.on_timer(now, label));
+                        self.call_policy(|policy| policy.on_timer(now, label), |shadow| shadow.on_timer(now, label));
                     }
                     not_before = now + TIMER_INTERVAL_US;
                 }
@@ -231,7 +231,7 @@
 
 impl RequestHandle {
     /// Passes the request to the policy.
-    pub fn submit(&mut self, arrival: Arrival) {
+    pub fn submit(&mut self, arrival: IncomingRequest) {
         self.is_finished = false;
         let now = self.dispatcher.clock.now();
         let copy = self.dispatcher.host_state.shadow.as_ref().map(|shadow| {
@@ -239,7 +239,7 @@
             arrival.clone()
         });
         let shadow_call = |shadow: &ShadowPolicy| copy.into_iter().for_each(|arrival| shadow.on_request(now, arrival));
-        self.fail_unless(self.dispatcher.call_policy(|policy| policy.request_arrives(now, arrival), shadow_call));
+        self.fail_unless(self.dispatcher.call_policy(|policy| policy.on_request(now, arrival), shadow_call));
     }
 
     /// Fails the request if the policy could not decide on it.
@@ -259,7 +259,7 @@
                 self.mailbox.notify.notified().await;
             }
         };
-        let step = timeout_at(self.dispatcher.clock.instant(deadline), step).await.ok()?;
+        let step = timeout_at(self.dispatcher.clock.instant_at(deadline), step).await.ok()?;
         self.is_finished = !matches!(step, Step::Attempt { .. });
         Some(step)
     }
@@ -270,14 +270,14 @@
     }
 
     /// Reports to the policy how the attempt in flight has ended, after `wait`.
-    pub fn attempt_ended(&mut self, ending: Ending, wait: Micros, first: bool) {
+    pub fn attempt_ended(&mut self, ending: AttemptStatus, wait: Micros, first: bool) {
         let Some(node) = self.in_flight_node.take() else { return };
-        self.is_finished |= ending == Ending::Served;
-        let outcome = Outcome { number: self.attempts, ending, wait, settled: self.is_finished, first };
+        self.is_finished |= ending == AttemptStatus::Served;
+        let outcome = AttemptOutcome { attempt_index: self.attempts, status: ending, latency: wait, request_finished: self.is_finished, first_on_connection: first };
         self.attempts += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
         let shadow_call = |shadow: &ShadowPolicy| shadow.on_attempt_outcome(now, id, &node, outcome);
-        self.fail_unless(self.dispatcher.call_policy(|policy| policy.outcome(now, id, &node, outcome), shadow_call));
+        self.fail_unless(self.dispatcher.call_policy(|policy| policy.on_attempt_outcome(now, id, &node, outcome), shadow_call));
     }
 }
 
@@ -290,9 +290,9 @@
             self.in_flight_node.get_or_insert(node);
         }
         if !std::mem::replace(&mut self.is_finished, true) {
-            self.dispatcher.call_policy(|policy| policy.request_gone(now, &id), |shadow| shadow.on_request_closed(now, &id));
+            self.dispatcher.call_policy(|policy| policy.on_request_closed(now, &id), |shadow| shadow.on_request_closed(now, &id));
         }
-        self.attempt_ended(Ending::Cancelled, 0, false);
+        self.attempt_ended(AttemptStatus::Cancelled, 0, false);
         self.dispatcher.host_state.shadow.as_deref().inspect(|shadow| shadow.finish_request(now, &id));
         self.dispatcher.host_state.mailboxes.borrow_mut().remove(&self.id);
     }
--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::requests::shadow::ShadowCounts;
-use flintwell_core::interface::Standing;
+use flintwell_core::interface::NodeState;
 
 fn dispatcher() -> Rc<Dispatcher> {
     dispatcher_with(None)
@@ -19,9 +19,9 @@
     Rc::new(Dispatcher::new(Clock::start(), settings, 1, Pool::new(1, 1, 1), shadow))
 }
 
-fn entry(node: &str, kind: u32, zone: u32) -> Entry {
-    let (node, standing) = (node.into(), Standing::Ready);
-    Entry { node, kind, zone, standing, size: 1.0, ..Entry::default() }
+fn entry(node: &str, kind: u32, zone: u32) -> NodeEntry {
+    let (node, standing) = (node.into(), NodeState::Ready);
+    NodeEntry { node, kind, zone, state: standing, weight: 1.0, ..NodeEntry::default() }
 }
 
 /// Submits a read of this key and reports a miss if it was attempted at a cache. Returns the handle and the next step.
@@ -36,11 +36,11 @@
     let mut handle = dispatcher.open_handle(id.into()).expect("a handle");
     let (id, key) = (id.into(), Some(key.into()));
     let deadline = dispatcher.clock.now() + 1_000_000;
-    handle.submit(Arrival { id, class: 0, tenant: 0, key, deadline, work: None, write: false });
+    handle.submit(IncomingRequest { id, class: 0, tenant: 0, key, deadline, expected_work: None, is_write: false });
     if let Some(Step::Attempt { node, .. }) = handle.mailbox.step.take() {
         handle.attempt_started(&node);
         first = Some(node);
-        handle.attempt_ended(Ending::Miss, 1_000, false);
+        handle.attempt_ended(AttemptStatus::Miss, 1_000, false);
     }
     let step = handle.mailbox.step.take();
     if let Some(Step::Attempt { node, .. }) = &step {
@@ -56,7 +56,7 @@
     assert!(!dispatcher.call_policy(|_| panic!("as a test"), |_| ()));
     handle.fail_unless(false);
     assert!(matches!(handle.mailbox.step.take(), Some(Step::Fail)));
-    assert!(dispatcher.call_policy(|policy| policy.timer(0, 0), |_| ()));
+    assert!(dispatcher.call_policy(|policy| policy.on_timer(0, 0), |_| ()));
     assert!(dispatcher.open_handle("a".into()).is_none(), "the id is still in flight");
 }
 
@@ -65,13 +65,13 @@
     let dispatcher = dispatcher_with(other);
     let far = [entry("far 1", 0, 1), entry("far 2", 0, 1)];
     let near = [entry("near 1", 0, 0), entry("near 2", 0, 0), entry("origin", 1, 0)];
-    dispatcher.apply_list_update(ListKind::Whole, far.into_iter().chain(near).collect());
+    dispatcher.apply_list_update(ListUpdateKind::Snapshot, far.into_iter().chain(near).collect());
     let mut sent = Vec::new();
     for n in 0..60 {
         let (mut handle, step, first) = read(&dispatcher, &format!("a{n}"), &format!("k{n}"));
         assert!(matches!(step, Some(Step::Attempt { .. })), "fetched, with or without a shadow policy");
         sent.push(first.expect("a cache"));
-        handle.attempt_ended(Ending::Served, 1_000, false);
+        handle.attempt_ended(AttemptStatus::Served, 1_000, false);
     }
     (sent, dispatcher.host_state.shadow.as_ref().map(|shadow| shadow.counts()))
 }
@@ -101,7 +101,7 @@
     let dispatcher = dispatcher_with(Some(serde_json::json!({})));
     let shadow = dispatcher.host_state.shadow.clone().expect("a shadow policy");
     shadow.panic_once();
-    dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.apply_list_update(ListUpdateKind::Snapshot, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     assert!(matches!(missed(&dispatcher, "a", "k").1, Some(Step::Attempt { .. })));
     assert_eq!(shadow.counts(), ShadowCounts::default());
 }
@@ -109,13 +109,13 @@
 #[test]
 fn a_held_request_of_a_disconnected_client_leaves_no_fetch_in_flight() {
     let dispatcher = dispatcher();
-    dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.apply_list_update(ListUpdateKind::Snapshot, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     let (mut leader, step) = missed(&dispatcher, "leader", "k");
     assert!(matches!(step, Some(Step::Attempt { .. })));
     for n in 0..8 {
         assert!(missed(&dispatcher, &format!("held {n}"), "k").1.is_none(), "held, then dropped");
     }
-    leader.attempt_ended(Ending::Error, 1_000, false);
+    leader.attempt_ended(AttemptStatus::Error, 1_000, false);
     let others = ["a", "b", "c"].map(|key| missed(&dispatcher, key, key));
     assert!(others.iter().all(|(_, step)| matches!(step, Some(Step::Attempt { .. }))));
 }
@@ -123,14 +123,14 @@
 #[test]
 fn a_step_not_taken_before_its_request_is_dropped_leaves_no_attempt_in_flight() {
     let dispatcher = dispatcher();
-    dispatcher.apply_list_update(ListKind::Whole, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
+    dispatcher.apply_list_update(ListUpdateKind::Snapshot, vec![entry("cache", 0, 0), entry("origin", 1, 0)]);
     // Far more than may be in flight at the origin at once; each is sent there and dropped before it takes its step.
     for n in 0..64 {
         let (mut leader, step) = missed(&dispatcher, &format!("leader {n}"), &format!("k{n}"));
         assert!(matches!(step, Some(Step::Attempt { .. })), "{n}: fetched");
         let (held, none) = missed(&dispatcher, &format!("held {n}"), &format!("k{n}"));
         assert!(none.is_none(), "held");
-        leader.attempt_ended(Ending::Spoilt, 1_000, false);
+        leader.attempt_ended(AttemptStatus::InvalidResponse, 1_000, false);
         drop(leader);
         drop(held);
     }
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -3,14 +3,14 @@
 use crate::clients::response::ClientResponse;
 use crate::clients::decode::ClientRequest;
 use crate::fleet::lease::ListLease;
-use crate::nodes::attempt::{Attempt, Attempts};
-use crate::nodes::link::Cause;
-use crate::nodes::relay::Content;
-use crate::process::clock::span;
-use crate::process::count::one_more;
+use crate::nodes::attempt::{Attempt, AttemptService};
+use crate::nodes::connection::FailureCause;
+use crate::nodes::response_body::ResponseBody;
+use crate::process::clock::to_duration;
+use crate::process::counter::increment;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
-use crate::staff::counts::Counts;
-use flintwell_core::interface::{Ending, Micros};
+use crate::management::metrics::Metrics;
+use flintwell_core::interface::{AttemptStatus, Micros};
 use std::rc::Rc;
 use std::time::Instant;
 use tower::ServiceExt;
@@ -23,21 +23,21 @@
     request: ClientRequest,
     dispatcher: &Rc<Dispatcher>,
     lease: &ListLease,
-    attempts: &Attempts,
-    counts: &Rc<Counts>,
+    attempts: &AttemptService,
+    counts: &Rc<Metrics>,
 ) -> ClientResponse {
-    let (in_flight, class) = (counts.takes(), request.class);
+    let (in_flight, class) = (counts.start_request(), request.class);
     let Some(mut handle) = dispatcher.open_handle(request.id.clone()) else { return ClientResponse::DuplicateId };
     // A request that arrives while the process is stalled is read late. Measured from the read, its response time would
     // look too short and its deadline would be too late.
-    let received_at = dispatcher.stall_detector.waited_from();
+    let received_at = dispatcher.stall_detector.queued_since();
     let list_wait = (request.deadline(received_at) - dispatcher.clock.now()) / LIST_WAIT_DIVISOR;
-    lease.first_in_force(span(list_wait.min(MAX_LIST_WAIT_US))).await;
+    lease.wait_until_first_valid(to_duration(list_wait.min(MAX_LIST_WAIT_US))).await;
     let mut response = run(request, received_at, &mut handle, dispatcher, attempts, counts).await;
-    counts.took(dispatcher.clock.now() - received_at);
-    response.outcome().inspect(|&outcome| counts.ended(class, outcome));
-    if let ClientResponse::Served(Content::Long(relay)) = &mut response {
-        relay.carries(handle, in_flight, counts.clone(), class);
+    counts.record_latency(dispatcher.clock.now() - received_at);
+    response.outcome().inspect(|&outcome| counts.record_outcome(class, outcome));
+    if let ClientResponse::Served(ResponseBody::Streamed(relay)) = &mut response {
+        relay.attach_request(handle, in_flight, counts.clone(), class);
     }
     response
 }
@@ -47,8 +47,8 @@
     received_at: Micros,
     handle: &mut RequestHandle,
     dispatcher: &Rc<Dispatcher>,
-    attempts: &Attempts,
-    counts: &Counts,
+    attempts: &AttemptService,
+    counts: &Metrics,
 ) -> ClientResponse {
     let request = Rc::new(request);
     let deadline = request.deadline(received_at);
@@ -66,21 +66,21 @@
                 let sent_at = dispatcher.clock.now();
                 let is_fetch = dispatcher.is_origin(&node);
                 let chosen_at = Instant::now();
-                let attempt = Attempt { request: request.clone(), node, allow_for: timeout, chosen_at };
+                let attempt = Attempt { request: request.clone(), node, timeout, chosen_at };
                 let result = attempts.clone().oneshot(attempt).await;
                 let latency = dispatcher.clock.now() - sent_at;
                 // A request that the origin refused has cost it work, too.
                 let reached_node = result.as_ref().err().is_none_or(|error| !error.ending().never_ran());
                 if is_fetch && reached_node {
-                    one_more(&counts.fetches);
+                    increment(&counts.origin_attempts);
                 }
                 match result {
                     Ok(response) => {
-                        if is_fetch && response.ending == Ending::Full {
-                            one_more(&counts.refused);
+                        if is_fetch && response.ending == AttemptStatus::Full {
+                            increment(&counts.origin_refusals);
                         }
-                        handle.attempt_ended(response.ending, latency, response.first);
-                        if response.ending == Ending::Served {
+                        handle.attempt_ended(response.ending, latency, response.first_on_connection);
+                        if response.ending == AttemptStatus::Served {
                             return ClientResponse::Served(response.body);
                         }
                     }
@@ -89,7 +89,7 @@
                         if let Some(reason) = request.body.stream_status().and_then(|status| status.error.take()) {
                             return ClientResponse::Malformed(reason);
                         }
-                        if error.cause == Cause::Left {
+                        if error.cause == FailureCause::ClientDisconnected {
                             return ClientResponse::ClientDisconnected;
                         }
                         handle.attempt_ended(error.ending(), latency, false);
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -6,13 +6,13 @@
 use crate::clients::framing::Framing;
 use crate::clients::client_socket::ClientSocket;
 use crate::fleet::lease::ListLease;
-use crate::nodes::attempt::Attempts;
-use crate::nodes::relay::Content;
-use crate::process::live::Live;
+use crate::nodes::attempt::AttemptService;
+use crate::nodes::response_body::ResponseBody;
+use crate::process::reloadable::Reloadable;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::request;
-use crate::staff::counts::Counts;
+use crate::management::metrics::Metrics;
 use flintwell_settings::Network;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
@@ -28,9 +28,9 @@
 #[derive(Clone)]
 pub struct ClientService {
     pub dispatcher: Rc<Dispatcher>,
-    pub attempts: Attempts,
-    pub counts: Rc<Counts>,
-    pub network: Rc<Live<Network>>,
+    pub attempts: AttemptService,
+    pub counts: Rc<Metrics>,
+    pub network: Rc<Reloadable<Network>>,
     pub budget: Rc<BufferBudget>,
     pub lease: Rc<ListLease>,
     pub shutdown: Shutdown,
@@ -42,15 +42,15 @@
     async fn respond(&self, request: Request<Incoming>, framing: Framing) -> ClientResponse {
         if request.uri().path() == "/health/ready" {
             // Before any list is in force requests would be refused here, although another proxy could serve them.
-            return ClientResponse::Readiness(self.lease.ready() && !self.shutdown.begun());
+            return ClientResponse::Readiness(self.lease.is_ready() && !self.shutdown.has_begun());
         }
         let client = self.client.clone();
         match ClientRequest::decode(request, framing, &self.network.get(), &self.budget, client).await {
             // The request arrived slowly, or while its connection was being closed. The successor has more time left
             // to answer a retry than this process has.
-            Ok(request) if self.shutdown.succeeded() => {
+            Ok(request) if self.shutdown.has_successor() => {
                 let response = ClientResponse::Refused { retry_after: 0 };
-                response.outcome().inspect(|&outcome| self.counts.ended(request.class, outcome));
+                response.outcome().inspect(|&outcome| self.counts.record_outcome(request.class, outcome));
                 response
             }
             Ok(request) => {
@@ -62,7 +62,7 @@
 }
 
 impl Service<Request<Incoming>> for ClientService {
-    type Response = Response<Content>;
+    type Response = Response<ResponseBody>;
     type Error = Infallible;
     type Future = LocalBoxFuture<'static, Result<Self::Response, Infallible>>;
 
@@ -79,7 +79,7 @@
             let response = result.unwrap_or(ClientResponse::Failed);
             // Messages after a chunked body cannot be told apart in the raw bytes, so their framing could not be
             // checked. The connection is closed instead.
-            Ok(response.encode(service.shutdown.begun() || framing == Framing::TransferEncoded))
+            Ok(response.encode(service.shutdown.has_begun() || framing == Framing::TransferEncoded))
         })
     }
 }
--- a/crates/flintwell/src/requests/shadow.rs
+++ b/crates/flintwell/src/requests/shadow.rs
@@ -3,9 +3,9 @@
 //! The second policy sees the same events, but its decisions have no effect. Each request on which it would have decided
 //! differently is counted once, by the kind of the first difference. After that, it only learns from the request's outcomes.
 
-use crate::say;
+use crate::log_line;
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, ListKind, Micros, NodeId, Outcome, RequestId, Settings,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::{Cell, RefCell};
@@ -68,7 +68,7 @@
 }
 
 impl Host for DecisionRecorder {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
         self.record(request, Decision::Attempt(node.clone()));
     }
     fn refuse(&mut self, request: &RequestId, _: Micros) {
@@ -78,8 +78,8 @@
         self.record(request, Decision::Fail);
     }
     fn close_idle(&mut self, _: &NodeId) {}
-    fn wake_at(&mut self, _: u64, _: Micros) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: u64, _: Micros) {}
+    fn subscribe_to_list(&mut self) {}
 }
 
 /// Runs the shadow policy and compares its decisions with those in effect.
@@ -94,7 +94,7 @@
 impl ShadowPolicy {
     pub fn new(now: Micros, settings: Settings, seed: u64) -> Self {
         let (pairs, origin_kind) = (DecisionPairs::default(), settings.origin_kind);
-        let policy = RefCell::new(Some(Policy::start(now, settings, seed, DecisionRecorder(pairs.clone()))));
+        let policy = RefCell::new(Some(Policy::new(now, settings, seed, DecisionRecorder(pairs.clone()))));
         ShadowPolicy { policy, pairs, origin_kind, origins: RefCell::default(), counts: Cell::default() }
     }
 
@@ -110,7 +110,7 @@
         if catch_unwind(AssertUnwindSafe(|| call(policy))).is_err() {
             *slot = None;
             self.pairs.borrow_mut().clear();
-            say!("shadow policy panicked; shadow mode is off until restart");
+            log_line!("shadow policy panicked; shadow mode is off until restart");
         }
     }
 
@@ -120,15 +120,15 @@
     }
 
     /// Passes a list, or changes to it, to the shadow policy.
-    pub fn on_list_update(&self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
+    pub fn on_list_update(&self, now: Micros, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         let origins = entries.iter().filter(|entry| Some(entry.kind) == self.origin_kind);
         self.origins.borrow_mut().extend(origins.map(|entry| entry.node.clone()));
-        self.call(|policy| policy.list(now, kind, entries));
+        self.call(|policy| policy.on_list_update(now, kind, entries));
     }
 
     /// Passes a timer call to the shadow policy.
     pub fn on_timer(&self, now: Micros, label: u64) {
-        self.call(|policy| policy.timer(now, label));
+        self.call(|policy| policy.on_timer(now, label));
     }
 
     /// A request is about to be passed to the active policy.
@@ -146,22 +146,22 @@
     }
 
     /// Passes a request to the shadow policy.
-    pub fn on_request(&self, now: Micros, arrival: Arrival) {
+    pub fn on_request(&self, now: Micros, arrival: IncomingRequest) {
         let id = arrival.id.clone();
-        self.call(|policy| policy.request_arrives(now, arrival));
+        self.call(|policy| policy.on_request(now, arrival));
         self.compare(now, &id);
     }
 
     /// Passes the outcome of an attempt to the shadow policy.
-    pub fn on_attempt_outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: Outcome) {
+    pub fn on_attempt_outcome(&self, now: Micros, id: &RequestId, node: &NodeId, outcome: AttemptOutcome) {
         self.compare(now, id);
-        self.call(|policy| policy.outcome(now, id, node, outcome));
+        self.call(|policy| policy.on_attempt_outcome(now, id, node, outcome));
     }
 
     /// The client of a request is gone.
     pub fn on_request_closed(&self, now: Micros, id: &RequestId) {
         self.compare(now, id);
-        self.call(|policy| policy.request_gone(now, id));
+        self.call(|policy| policy.on_request_closed(now, id));
     }
 
     /// A request is over; its remaining difference is counted.
@@ -204,11 +204,11 @@
     /// Withdraws the request from the shadow policy and reports its attempt in flight, if any, as cancelled.
     fn withdraw(&self, now: Micros, id: &RequestId, shadow: &[Decision]) {
         if let [earlier @ .., Decision::Attempt(node)] = shadow {
-            let (number, ending) = (earlier.len(), Ending::Cancelled);
-            let outcome = Outcome { number, ending, wait: 0, settled: true, first: false };
-            self.call(|policy| policy.outcome(now, id, node, outcome));
+            let (number, ending) = (earlier.len(), AttemptStatus::Cancelled);
+            let outcome = AttemptOutcome { attempt_index: number, status: ending, latency: 0, request_finished: true, first_on_connection: false };
+            self.call(|policy| policy.on_attempt_outcome(now, id, node, outcome));
         }
-        self.call(|policy| policy.request_gone(now, id));
+        self.call(|policy| policy.on_request_closed(now, id));
     }
 
     /// Logs the counts at intervals.
@@ -218,7 +218,7 @@
             tokio::time::sleep(LOG_INTERVAL).await;
             let counts = self.counts();
             if std::mem::replace(&mut logged, counts) != counts {
-                say!("shadow policy: {} of {} requests decided differently: {counts:?}", counts.differing(), counts.requests);
+                log_line!("shadow policy: {} of {} requests decided differently: {counts:?}", counts.differing(), counts.requests);
             }
         }
     }
