--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -2,7 +2,8 @@
 //! directly into the reply.
 
 use flintwell_core::interface::{
-    IncomingRequest, AttemptStatus, NodeEntry, Host, Key, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, NodeState,
+    AttemptOutcome, AttemptStatus, Host, IncomingRequest, Key, ListUpdateKind, Micros, NodeEntry, NodeId,
+    NodeState, RequestId,
 };
 use flintwell_core::policy::Policy;
 use flintwell_settings::{decode, micros};
@@ -83,22 +84,22 @@
 }
 
 impl Host for SimHost {
-    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros) {
         self.write_action("submit_to", |reply| {
             reply.push(b',');
             write_text(reply, request);
             reply.push(b',');
-            write_seconds(reply, allow_for);
+            write_seconds(reply, timeout);
             reply.push(b',');
             write_text(reply, node);
         });
     }
-    fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
+    fn refuse(&mut self, request: &RequestId, retry_after: Micros) {
         self.write_action("shed", |reply| {
             reply.push(b',');
             write_text(reply, request);
             reply.push(b',');
-            write_seconds(reply, stay_away);
+            write_seconds(reply, retry_after);
         });
     }
     fn fail(&mut self, request: &RequestId) {
@@ -127,7 +128,7 @@
 }
 
 /// Maps a status code of the protocol.
-fn attempt_ending(code: i64) -> AttemptStatus {
+fn attempt_status(code: i64) -> AttemptStatus {
     match code {
         200 => AttemptStatus::Served,
         502 => AttemptStatus::Error,
@@ -190,7 +191,10 @@
         f.write_str("an array of events")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut events: A) -> Result<(), A::Error> {
-        while events.next_element_seed(EventVisitor { instances: &mut *self.instances, now: self.now })?.is_some() {}
+        while events
+            .next_element_seed(EventVisitor { instances: &mut *self.instances, now: self.now })?
+            .is_some()
+        {}
         Ok(())
     }
 }
@@ -264,7 +268,7 @@
                 self.instances.policies.remove(&instance);
             }
             "incoming" => {
-                let arrival = IncomingRequest {
+                let request = IncomingRequest {
                     id: fields.id("msg_id")?,
                     class: fields.required("qos")?,
                     tenant: fields.optional("org")?.unwrap_or(0),
@@ -277,15 +281,15 @@
                     },
                 };
                 if let Some(policy) = policy.as_mut() {
-                    policy.on_request(now, arrival);
+                    policy.on_request(now, request);
                 }
             }
             "answer" => {
-                let (id, number) = (fields.id("msg_id")?, fields.required("send_no")?);
+                let (id, attempt_index) = (fields.id("msg_id")?, fields.required("send_no")?);
                 let node = fields.id("node")?;
                 let outcome = AttemptOutcome {
-                    attempt_index: number,
-                    status: attempt_ending(fields.required("ending")?),
+                    attempt_index,
+                    status: attempt_status(fields.required("ending")?),
                     latency: fields.time("wait_time")?,
                     request_finished: fields.required("settled")?,
                     first_on_connection: false,
--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -1,14 +1,14 @@
 //! Accepts client connections up to the connection limit and serves each one until it closes.
 
-use crate::clients::framing::RequestScanner;
 use crate::clients::client_socket::ClientSocket;
-use crate::nodes::response_transfer::ResponseTransfer;
+use crate::clients::framing::RequestScanner;
+use crate::log_line;
 use crate::nodes::response_body::{RequestGuard, ResponseBody, ResponseStream};
+use crate::nodes::response_transfer::ResponseTransfer;
 use crate::nodes::stream::SharedStream;
 use crate::process::clock::PEER_IDLE_TIMEOUT;
 use crate::process::handover::{self, Successor};
 use crate::requests::service::ClientService;
-use crate::log_line;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::server::conn::http1;
@@ -44,16 +44,20 @@
 const KEEP_ALIVE_SHARE_DIVISOR: usize = 4; // one in this many open connections idle after a request is no longer few
 // Share of the client connection limit (a quarter of all descriptors) from which idle connections are evicted; clients
 // hold a third at most.
-const EVICTION_THRESHOLD: f64 = 0.5;
+const EVICTION_THRESHOLD_SHARE: f64 = 0.5;
 const EVICTION_INTERVAL: Duration = Duration::from_millis(10); // between evictions while a new connection waits
-const PARTIAL_HEAD_GRACE: Duration = Duration::from_millis(250); // for an evicted connection to complete a head it has begun
+// For an evicted connection to complete a request head that it has begun.
+const PARTIAL_HEAD_GRACE: Duration = Duration::from_millis(250);
 const READ_BUFFER_BYTES: usize = 16_384; // read buffer of a connection; far more than a request head takes
 const RETRY_DELAY: Duration = Duration::from_millis(50); // after a failed bind or accept, to avoid a busy loop
 // For the previous process to release the address; after that it is too late for a start.
 const BIND_TIMEOUT: Duration = Duration::from_secs(25);
-const MAX_CUT_OFF_TURNS: usize = 256; // runtime turns; far more than it takes to drain what was read ahead of a response
-const LINGER_TIMEOUT: Duration = Duration::from_millis(200); // for a client to close its side after we have closed ours
-const MAX_DELIVERY_TIME: Duration = Duration::from_millis(900); // within this time a written response has reached its client
+// Runtime turns; far more than it takes to drain what was read ahead of a response.
+const MAX_CUT_OFF_TURNS: usize = 256;
+// For a client to close its side after we have closed ours.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+// Within this time a written response has reached its client.
+const MAX_DELIVERY_TIME: Duration = Duration::from_millis(900);
 const MAX_LINGER_BYTES: usize = 262_144; // discarded while lingering; more than clients have in flight
 // Connections that linger at once; bounded, so that a flood of clients cannot hold more descriptors this way.
 const MAX_LINGERING: usize = 128;
@@ -65,6 +69,7 @@
 struct ConnectionTable {
     /// Number of open connections from which idle ones are evicted although permits are left.
     eviction_threshold: usize,
+    /// Makes the keys of idle connections unique.
     next_sequence: Cell<u64>,
     open_count: Cell<usize>,
     /// Connections that wait for their clients to close their side.
@@ -142,22 +147,25 @@
     /// Waits for a connection permit and evicts idle connections meanwhile. Without eviction, idle connections would
     /// use up all permits and the requests in the listen backlog would be lost. Connections that have sent nothing
     /// go first, so that hundreds of silent ones do not displace those in use; then the longest idle.
-    async fn acquire_permit(&self, room: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
-        let mut permit = pin!(room.clone().acquire_owned());
+    async fn acquire_permit(&self, permits: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
+        let mut permit = pin!(permits.clone().acquire_owned());
         loop {
-            let permits_exhausted = room.available_permits() == 0;
+            let permits_exhausted = permits.available_permits() == 0;
             // Clients that keep each connection after one request may run out of descriptors of their own before
             // our limit is reached, and we would not notice. So eviction starts below the limit.
             if permits_exhausted || self.open_count.get() >= self.eviction_threshold {
                 let (now, mut idle) = (Instant::now(), self.idle.borrow_mut());
                 let mut candidates = idle.keys();
-                let due = candidates.find(|p| p.1 <= now && (permits_exhausted || p.0 == Received::Nothing && p.1 + SILENT_GRACE <= now));
+                let due = candidates.find(|p| {
+                    p.1 <= now && (permits_exhausted || p.0 == Received::Nothing && p.1 + SILENT_GRACE <= now)
+                });
                 // Where each request comes on a new connection, waiting until one of the few silent connections
                 // may be evicted would leave the backlog waiting past its deadlines. So a connection idle after
                 // a request is evicted early if these are a large share.
                 let silent_count = idle.keys().take_while(|key| key.0 != Received::Request).count();
-                let longest_used =
-                    idle.keys().nth(silent_count).filter(|_| (idle.len() - silent_count) * KEEP_ALIVE_SHARE_DIVISOR >= self.open_count.get());
+                let longest_used = idle.keys().nth(silent_count).filter(|_| {
+                    (idle.len() - silent_count) * KEEP_ALIVE_SHARE_DIVISOR >= self.open_count.get()
+                });
                 let victim = due.or(longest_used).copied();
                 victim.and_then(|key| idle.remove(&key)).inspect(|evict| evict.notify_one());
             }
@@ -197,11 +205,11 @@
     async fn head_timeout(&self) {
         loop {
             let since = self.head_awaited_since.get();
-            let left = since.map_or(HEAD_TIMEOUT, |since| HEAD_TIMEOUT.saturating_sub(since.elapsed()));
-            if left.is_zero() {
+            let remaining = since.map_or(HEAD_TIMEOUT, |since| HEAD_TIMEOUT.saturating_sub(since.elapsed()));
+            if remaining.is_zero() {
                 return;
             }
-            tokio::time::sleep(left).await;
+            tokio::time::sleep(remaining).await;
         }
     }
     /// Completes once a streamed response is in progress.
@@ -216,28 +224,38 @@
     async fn cut_off<C: Future<Output = hyper::Result<()>>>(
         &self,
         mut connection: Pin<&mut C>,
-        way: &ResponseStream,
+        response: &ResponseStream,
         successor: &Successor,
     ) -> Option<(ResponseTransfer, Option<RequestGuard>)> {
         self.unwritten.replace(Some(Vec::new()));
         for _ in 0..MAX_CUT_OFF_TURNS {
-            let polled = poll_fn(|cx| {
-                way.poll_read_ahead(cx);
+            let poll = poll_fn(|cx| {
+                response.poll_read_ahead(cx);
                 Poll::Ready(connection.as_mut().poll(cx))
             });
-            if let Poll::Ready(Err(_)) = polled.await {
+            if let Poll::Ready(Err(_)) = poll.await {
                 return None;
             }
             // All that the connection had buffered is in `unwritten` now, because those writes never block.
-            if way.is_drained() {
+            if response.is_drained() {
                 let unwritten = self.unwritten.borrow_mut().as_mut().map(std::mem::take)?;
-                let (rest, left) = way.take_upstream()?;
-                let kept =
-                    successor.spool(way.drain_buffered()).inspect_err(|error| log_line!("buffering a response for handover failed: {error}")).ok()?;
+                let (upstream, max_remaining_bytes) = response.take_upstream()?;
+                let buffered = successor
+                    .spool(response.drain_buffered())
+                    .inspect_err(|error| log_line!("buffering a response for handover failed: {error}"))
+                    .ok()?;
                 let client = self.stream.clone();
                 return Some((
-                    ResponseTransfer { client, unwritten, buffered: kept, upstream: rest, chunked: !way.has_known_length, is_end_pending: way.is_end_pending(), max_remaining_bytes: left },
-                    way.take_request(),
+                    ResponseTransfer {
+                        client,
+                        unwritten,
+                        buffered,
+                        upstream,
+                        chunked: !response.has_known_length,
+                        is_end_pending: response.is_end_pending(),
+                        max_remaining_bytes,
+                    },
+                    response.take_request(),
                 ));
             }
             tokio::task::yield_now().await;
@@ -253,8 +271,9 @@
             return;
         }
         let socket = SockRef::from(&*self.stream);
-        let is_truncated =
-            self.streamed_response.borrow().as_ref().is_some_and(|way| way.is_truncated() && !way.has_known_length && !self.accepts_chunked.get());
+        let is_truncated = self.streamed_response.borrow().as_ref().is_some_and(|response| {
+            response.is_truncated() && !response.has_known_length && !self.accepts_chunked.get()
+        });
         if is_truncated {
             // Where the end of the connection marks the end of the body, a clean close would make a truncated response
             // look complete. So the connection is reset. An error here means that it is broken already.
@@ -265,19 +284,19 @@
         self.idle.take().map(|key| self.table.idle.borrow_mut().remove(&key));
         // Nothing can be lost if no response was written recently. An evicted connection does not linger either: it
         // would hold its permit meanwhile.
-        let recently_written =
-            !self.is_evicted.get() && self.response_written_at.get().is_some_and(|at| at.elapsed() < MAX_DELIVERY_TIME);
+        let recently_written = !self.is_evicted.get()
+            && self.response_written_at.get().is_some_and(|at| at.elapsed() < MAX_DELIVERY_TIME);
         let too_many = self.table.lingering_count.get() >= MAX_LINGERING;
         if socket.shutdown(Shutdown::Write).is_err() || !recently_written || too_many {
             return;
         }
         self.table.lingering_count.set(self.table.lingering_count.get() + 1);
         let discard_input = async {
-            let (mut left, mut discarded) = (MAX_LINGER_BYTES, [0; 4_096]);
-            while left > 0 && self.stream.readable().await.is_ok() {
+            let (mut remaining, mut discarded) = (MAX_LINGER_BYTES, [0; 4_096]);
+            while remaining > 0 && self.stream.readable().await.is_ok() {
                 match self.stream.try_read(&mut discarded) {
                     Ok(0) => return,
-                    Ok(bytes) => left = left.saturating_sub(bytes),
+                    Ok(bytes) => remaining = remaining.saturating_sub(bytes),
                     Err(error) if error.kind() == ErrorKind::WouldBlock => {}
                     Err(_) => return,
                 }
@@ -290,7 +309,7 @@
     /// Keeps reading a streamed response ahead of the client; never completes.
     async fn read_ahead(&self) {
         poll_fn(|cx| {
-            self.streamed_response.borrow().iter().for_each(|way| way.poll_read_ahead(cx));
+            self.streamed_response.borrow().iter().for_each(|response| response.poll_read_ahead(cx));
             Poll::Pending
         })
         .await
@@ -348,12 +367,12 @@
         if self.client.unwritten.borrow().is_some() {
             return Poll::Pending;
         }
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before {
+        if buf.filled().len() > filled_before {
             self.client.on_bytes_read();
         }
-        self.client.scanner.borrow_mut().read(&buf.filled()[before..]);
+        self.client.scanner.borrow_mut().read(&buf.filled()[filled_before..]);
         result
     }
 }
@@ -421,14 +440,14 @@
 }
 
 /// Accepts connections until shutdown closes the listener, then accepts what is left in the backlog.
-pub async fn accept_connections(listener: &TcpListener, room: &Arc<Semaphore>, front: &ClientService) {
-    let shutdown = front.shutdown.clone();
-    let eviction_threshold = (room.available_permits() as f64 * EVICTION_THRESHOLD) as usize;
+pub async fn accept_connections(listener: &TcpListener, permits: &Arc<Semaphore>, service: &ClientService) {
+    let shutdown = service.shutdown.clone();
+    let eviction_threshold = (permits.available_permits() as f64 * EVICTION_THRESHOLD_SHARE) as usize;
     let table = Rc::new(ConnectionTable { eviction_threshold, ..ConnectionTable::default() });
     loop {
         let next = async {
             // At the connection limit accepting pauses, and new connections wait in the backlog.
-            let permit = table.acquire_permit(room).await;
+            let permit = table.acquire_permit(permits).await;
             (permit, listener.accept().await)
         };
         let (permit, accepted) = tokio::select! {
@@ -439,7 +458,7 @@
             next = next => next,
         };
         match accepted {
-            Ok((stream, _)) => spawn_connection(stream, permit, front.clone(), &table),
+            Ok((stream, _)) => spawn_connection(stream, permit, service.clone(), &table),
             Err(error) => {
                 log_line!("accepting a client connection failed: {error}");
                 tokio::time::sleep(RETRY_DELAY).await;
@@ -450,28 +469,33 @@
     while !shutdown.has_successor()
         && let Ok(Ok((stream, _))) = timeout(BACKLOG_DRAIN_TIMEOUT, listener.accept()).await
     {
-        spawn_connection(stream, table.acquire_permit(room).await, front.clone(), &table);
+        spawn_connection(stream, table.acquire_permit(permits).await, service.clone(), &table);
     }
 }
 
-fn spawn_connection(stream: TcpStream, permit: Option<OwnedSemaphorePermit>, front: ClientService, table: &Rc<ConnectionTable>) {
-    let idle_closed = front.shutdown.idle_closed();
-    let handover_shutdown = front.shutdown.clone();
+fn spawn_connection(
+    stream: TcpStream,
+    permit: Option<OwnedSemaphorePermit>,
+    service: ClientService,
+    table: &Rc<ConnectionTable>,
+) {
+    let idle_closed = service.shutdown.idle_closed();
+    let handover_shutdown = service.shutdown.clone();
     if let Err(error) = stream.set_nodelay(true) {
         log_line!("setting TCP_NODELAY on a client connection failed: {error}");
     }
     let client = table.register(stream);
-    let front = ClientService { client: ClientSocket::on(client.stream.clone()), ..front };
+    let service = ClientService { client: ClientSocket::new(client.stream.clone()), ..service };
     let stack = ServiceBuilder::new()
         .map_response({
             let client = client.clone();
-            move |answer: Response<ResponseBody>| {
+            move |response: Response<ResponseBody>| {
                 let client = client.clone();
-                if let ResponseBody::Streamed(relay) = answer.body() {
-                    client.streamed_response.replace(Some(relay.stream.clone()));
+                if let ResponseBody::Streamed(body) = response.body() {
+                    client.streamed_response.replace(Some(body.stream.clone()));
                     client.stream_started.notify_one();
                 }
-                answer.map(|content| TrackedBody { content, client })
+                response.map(|content| TrackedBody { content, client })
             }
         })
         .map_request({
@@ -483,12 +507,15 @@
                 request
             }
         })
-        .service(front);
+        .service(service);
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(READ_BUFFER_BYTES);
     let closing = client.clone();
     let serve = async move {
-        let stream = TokioIo::new(TrackedStream { stream: SharedStream(client.stream.clone()), client: client.clone() });
+        let stream = TokioIo::new(TrackedStream {
+            stream: SharedStream(client.stream.clone()),
+            client: client.clone(),
+        });
         let mut connection = pin!(http.serve_connection(stream, TowerToHyperService::new(stack)));
         // A successor takes over streamed responses, those in progress and those that start from now on.
         let mut handover_start = pin!(async {
@@ -520,7 +547,8 @@
         connection.as_mut().graceful_shutdown();
         // A client that never completes its head would keep its permit while others wait for one, and each of
         // hundreds that send nothing would too. So both get a short time to end.
-        let grace = if client.is_idle_after(Received::Nothing) { BACKLOG_DRAIN_TIMEOUT } else { PARTIAL_HEAD_GRACE };
+        let grace =
+            if client.is_idle_after(Received::Nothing) { BACKLOG_DRAIN_TIMEOUT } else { PARTIAL_HEAD_GRACE };
         let has_ended = timeout(grace, connection.as_mut()).await.is_ok();
         if !has_ended && client.idle.get().is_none() {
             tokio::select! {
@@ -544,11 +572,14 @@
     client: &Rc<ClientConnection>,
     successor: &Successor,
 ) {
-    let way = client.streamed_response.borrow().clone();
-    match way.filter(|way| (way.has_known_length || client.accepts_chunked.get()) && way.halt()) {
-        Some(way) => {
-            if let Some((carry, carried)) = client.cut_off(connection.as_mut(), &way, successor).await {
-                handover::hand_over(successor, carry, carried).await;
+    let response = client.streamed_response.borrow().clone();
+    match response
+        .filter(|response| (response.has_known_length || client.accepts_chunked.get()) && response.halt())
+    {
+        Some(response) => {
+            if let Some((transfer, request)) = client.cut_off(connection.as_mut(), &response, successor).await
+            {
+                handover::hand_over(successor, transfer, request).await;
             }
         }
         // It is completed here, if the client reads it in time.
--- a/crates/flintwell/src/clients/body.rs
+++ b/crates/flintwell/src/clients/body.rs
@@ -28,9 +28,11 @@
 pub struct BufferBudget(Cell<usize>);
 
 impl BufferBudget {
+    /// A budget of `bytes` bytes.
     pub fn new(bytes: usize) -> Rc<Self> {
         Rc::new(BufferBudget(Cell::new(bytes)))
     }
+    /// Bytes that can still be reserved.
     pub fn available_bytes(&self) -> u64 {
         self.0.get() as u64
     }
@@ -47,6 +49,7 @@
 pub struct BodyBuffer {
     /// Blocks with the bytes charged for each.
     blocks: VecDeque<(Bytes, usize)>,
+    /// The block that is being filled.
     open_block: BytesMut,
     charged_bytes: usize,
     length: u64,
@@ -54,8 +57,15 @@
 }
 
 impl BodyBuffer {
+    /// An empty buffer that is charged to `budget`.
     pub fn new(budget: Rc<BufferBudget>) -> Self {
-        BodyBuffer { blocks: VecDeque::new(), open_block: BytesMut::new(), charged_bytes: 0, length: 0, budget }
+        BodyBuffer {
+            blocks: VecDeque::new(),
+            open_block: BytesMut::new(),
+            charged_bytes: 0,
+            length: 0,
+            budget,
+        }
     }
 
     /// Appends `data`, and leaves in it what does not fit into the budget; returns whether all did fit.
@@ -65,9 +75,14 @@
     pub fn push(&mut self, data: &mut Bytes, content_length: Option<u64>) -> bool {
         while !data.is_empty() {
             if self.open_block.len() == self.open_block.capacity() {
-                let left = content_length.map_or(u64::MAX, |length| length.saturating_sub(self.length)).max(1);
-                let max_block = if content_length.is_none() && self.length == 0 { FIRST_BLOCK_BYTES } else { BLOCK_BYTES };
-                let block = max_block.min(usize::try_from(left).unwrap_or(max_block));
+                let remaining =
+                    content_length.map_or(u64::MAX, |length| length.saturating_sub(self.length)).max(1);
+                let max_block = if content_length.is_none() && self.length == 0 {
+                    FIRST_BLOCK_BYTES
+                } else {
+                    BLOCK_BYTES
+                };
+                let block = max_block.min(usize::try_from(remaining).unwrap_or(max_block));
                 if !self.budget.reserve(block) {
                     return false;
                 }
@@ -111,6 +126,7 @@
 /// A body that is sent to a node while it is still being received.
 pub struct StreamingBody {
     buffer: BodyBuffer,
+    /// Received after what is in `buffer`, and sent next after it.
     pending: Bytes,
     incoming: Incoming,
     content_length: Option<u64>,
@@ -144,7 +160,9 @@
         let (start, mut buffer, mut length) = (Instant::now(), BodyBuffer::new(budget.clone()), 0);
         loop {
             // A fixed time limit would be too short for long bodies, and would let a stalled short one wait for long.
-            let deadline = start + BASE_RECEIVE_TIMEOUT + Duration::from_micros(length * 1_000_000 / MIN_RATE_BYTES_PER_S);
+            let deadline = start
+                + BASE_RECEIVE_TIMEOUT
+                + Duration::from_micros(length * 1_000_000 / MIN_RATE_BYTES_PER_S);
             let frame = match timeout_at(deadline, body.frame()).await {
                 Err(_) => return Err(Malformed::BodyTimeout),
                 Ok(None) => break,
@@ -161,7 +179,14 @@
                 buffer.seal_block();
                 let status = Rc::<StreamStatus>::default();
                 let idle_timer = IdleTimer::new(STREAM_IDLE_TIMEOUT);
-                let streaming = StreamingBody { buffer, pending: data, incoming: body, content_length, idle_timer, status: status.clone() };
+                let streaming = StreamingBody {
+                    buffer,
+                    pending: data,
+                    incoming: body,
+                    content_length,
+                    idle_timer,
+                    status: status.clone(),
+                };
                 return Ok(ReceivedBody::Streaming(Cell::new(Some(Box::new(streaming))), status));
             }
         }
@@ -172,7 +197,9 @@
     /// The body for an attempt; none if it is streamed and an earlier attempt has taken it.
     pub fn upstream_body(&self) -> Option<UpstreamBody> {
         match self {
-            ReceivedBody::Buffered(buffer) => Some(UpstreamBody::Buffered { buffer: buffer.clone(), sent: 0 }),
+            ReceivedBody::Buffered(buffer) => {
+                Some(UpstreamBody::Buffered { buffer: buffer.clone(), sent: 0 })
+            }
             ReceivedBody::Streaming(streaming, _) => streaming.take().map(UpstreamBody::Streaming),
         }
     }
@@ -189,7 +216,10 @@
     pub fn max_receive_time(&self) -> Duration {
         match self {
             ReceivedBody::Buffered(_) => Duration::ZERO,
-            ReceivedBody::Streaming(..) => BASE_RECEIVE_TIMEOUT + Duration::from_micros(MAX_BODY_BYTES * 1_000_000 / MIN_RATE_BYTES_PER_S),
+            ReceivedBody::Streaming(..) => {
+                BASE_RECEIVE_TIMEOUT
+                    + Duration::from_micros(MAX_BODY_BYTES * 1_000_000 / MIN_RATE_BYTES_PER_S)
+            }
         }
     }
 }
@@ -228,7 +258,9 @@
         match self {
             UpstreamBody::Empty => SizeHint::with_exact(0),
             UpstreamBody::Buffered { buffer, .. } => SizeHint::with_exact(buffer.length),
-            UpstreamBody::Streaming(streaming) => streaming.content_length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            UpstreamBody::Streaming(streaming) => {
+                streaming.content_length.map_or_else(SizeHint::default, SizeHint::with_exact)
+            }
         }
     }
 }
--- a/crates/flintwell/src/clients/body/tests.rs
+++ b/crates/flintwell/src/clients/body/tests.rs
@@ -7,7 +7,11 @@
     for _ in 0..100_000 {
         assert!(buffer.push(&mut Bytes::from_static(b"x"), Some(100_000)));
     }
-    assert!(buffer.charged_bytes >= 100_000 && budget.0.get() == 200_000 - buffer.charged_bytes, "{}", buffer.charged_bytes);
+    assert!(
+        buffer.charged_bytes >= 100_000 && budget.0.get() == 200_000 - buffer.charged_bytes,
+        "{}",
+        buffer.charged_bytes
+    );
     buffer.seal_block();
     assert_eq!(buffer.blocks.iter().map(|block| block.0.len()).sum::<usize>(), 100_000);
     let left = std::iter::from_fn(|| buffer.pop()).map(|block| block.len()).sum::<usize>();
--- a/crates/flintwell/src/clients/client_socket.rs
+++ b/crates/flintwell/src/clients/client_socket.rs
@@ -13,7 +13,8 @@
 pub struct ClientSocket(Option<Rc<TcpStream>>);
 
 impl ClientSocket {
-    pub fn on(stream: Rc<TcpStream>) -> Self {
+    /// A socket that is shared with the client's connection.
+    pub fn new(stream: Rc<TcpStream>) -> Self {
         ClientSocket(Some(stream))
     }
 
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -1,9 +1,9 @@
 //! Decodes and validates a client's message into a typed request.
 
 use crate::clients::body::{BufferBudget, ReceivedBody};
+use crate::clients::client_socket::ClientSocket;
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
-use crate::clients::client_socket::ClientSocket;
 use flintwell_core::interface::{IncomingRequest, Key, Micros, RequestId};
 use flintwell_settings::Network;
 use hyper::body::Incoming;
@@ -20,6 +20,7 @@
 /// A client's request with its validated headers.
 pub struct ClientRequest {
     pub id: RequestId,
+    /// The id as received, sent on to nodes.
     pub id_header: HeaderValue,
     pub idempotency_key: Option<HeaderValue>,
     pub host: Option<HeaderValue>,
@@ -27,10 +28,11 @@
     pub path: Uri,
     pub body: ReceivedBody,
     pub client: ClientSocket,
+    /// Index of the request's class in the settings.
     pub class: usize,
     tenant: usize,
     key: Option<Key>,
-    work: Option<Micros>,
+    expected_work: Option<Micros>,
     /// How long the client waits for the response, from when it sent the request.
     client_timeout: Micros,
 }
@@ -65,7 +67,9 @@
             return Err(Malformed::Method);
         }
         // Of a duplicated header, a node might use the other value than we do.
-        if let Some(name) = SINGLETON_HEADERS.into_iter().find(|name| headers.get_all(*name).iter().nth(1).is_some()) {
+        if let Some(name) =
+            SINGLETON_HEADERS.into_iter().find(|name| headers.get_all(*name).iter().nth(1).is_some())
+        {
             return Err(Malformed::Header(name));
         }
         let text = |name: &'static str| {
@@ -82,7 +86,8 @@
             let parse = |value: &str| value.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
             text(name)?.map(|value| parse(value).ok_or(Malformed::Header(name))).transpose()
         };
-        let client_timeout = number("x-deadline")?.ok_or(Malformed::Header("x-deadline"))?.min(MAX_DEADLINE_S);
+        let client_timeout =
+            number("x-deadline")?.ok_or(Malformed::Header("x-deadline"))?.min(MAX_DEADLINE_S);
         let key = path.path().rsplit('/').next().filter(|key| !key.is_empty()).map(Key::from);
         Ok(ClientRequest {
             id: required("x-request-id")?.into(),
@@ -91,7 +96,10 @@
             tenant: index_in("x-tenant", &network.tenants)?.unwrap_or(0),
             key,
             // An invalid cost hint is ignored; it is no reason to reject the request.
-            work: number("x-cost-hint").ok().flatten().map(|hint| hint.min(MAX_DEADLINE_S * 1e6) as Micros),
+            expected_work: number("x-cost-hint")
+                .ok()
+                .flatten()
+                .map(|hint| hint.min(MAX_DEADLINE_S * 1e6) as Micros),
             client_timeout: (client_timeout * 1e6) as Micros,
             idempotency_key: headers.get("idempotency-key").cloned(),
             host: headers.get(HOST).cloned(),
@@ -104,18 +112,19 @@
 
     /// The deadline of the response to a request that the client may have sent at `sent`.
     pub fn deadline(&self, sent: Micros) -> Micros {
-        sent + self.body.max_receive_time().as_micros() as Micros + (self.client_timeout - DEADLINE_MARGIN_US).max(0)
+        sent + self.body.max_receive_time().as_micros() as Micros
+            + (self.client_timeout - DEADLINE_MARGIN_US).max(0)
     }
 
     /// The request as it is passed to the policy.
-    pub fn arrival(&self, deadline: Micros) -> IncomingRequest {
+    pub fn to_incoming(&self, deadline: Micros) -> IncomingRequest {
         IncomingRequest {
             id: self.id.clone(),
             class: self.class,
             tenant: self.tenant,
             key: self.key.clone(),
             deadline,
-            expected_work: self.work,
+            expected_work: self.expected_work,
             is_write: self.method == Method::PUT,
         }
     }
--- a/crates/flintwell/src/clients/framing.rs
+++ b/crates/flintwell/src/clients/framing.rs
@@ -136,7 +136,11 @@
             let remaining = remaining - count as u64;
             *self = match state_after {
                 None => BodyDecoder::Length(remaining),
-                Some(state_after) => BodyDecoder::Chunked(if remaining == 0 { state_after } else { ChunkState::Data(remaining) }),
+                Some(state_after) => BodyDecoder::Chunked(if remaining == 0 {
+                    state_after
+                } else {
+                    ChunkState::Data(remaining)
+                }),
             };
         }
         true
@@ -207,7 +211,10 @@
             }
         }
         let body_bytes = &mut self.body_bytes;
-        if !self.decoder.as_mut().is_none_or(|decoder| decoder.decode(bytes, |payload| *body_bytes += payload.len() as u64))
+        if !self
+            .decoder
+            .as_mut()
+            .is_none_or(|decoder| decoder.decode(bytes, |payload| *body_bytes += payload.len() as u64))
         {
             self.decoder = None;
         }
--- a/crates/flintwell/src/clients/framing/tests.rs
+++ b/crates/flintwell/src/clients/framing/tests.rs
@@ -25,12 +25,22 @@
     let twice = "PUT /k HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n";
     let no_number = "PUT /k HTTP/1.1\r\nContent-Length: +5\r\n\r\n";
     assert_eq!(framings(get.as_bytes()), [Length]);
-    assert_eq!(framings([put, get, "\r\n", put, both].concat().as_bytes()), [Length, Length, Length, Ambiguous]);
-    assert_eq!(framings([get, transfer_encoded, get].concat().as_bytes()), [Length, TransferEncoded], "messages after a transfer encoding are not scanned");
+    assert_eq!(
+        framings([put, get, "\r\n", put, both].concat().as_bytes()),
+        [Length, Length, Length, Ambiguous]
+    );
+    assert_eq!(
+        framings([get, transfer_encoded, get].concat().as_bytes()),
+        [Length, TransferEncoded],
+        "messages after a transfer encoding are not scanned"
+    );
     assert_eq!(framings([twice, get].concat().as_bytes()), [Ambiguous]);
     assert_eq!(framings(no_number.as_bytes()), [Ambiguous]);
     assert_eq!(framings(&get.as_bytes()[..20]), []);
-    assert_eq!(framings(&both.replace("Content", "Transfer-Encoding: x\r\nContent").into_bytes()), [Ambiguous]);
+    assert_eq!(
+        framings(&both.replace("Content", "Transfer-Encoding: x\r\nContent").into_bytes()),
+        [Ambiguous]
+    );
 }
 
 #[test]
@@ -46,7 +56,10 @@
             // Another decoder continues from there.
             let Some(mut decoder) = scanner.decoder else { continue };
             let mut rest = Vec::new();
-            assert!(decoder.decode(&response[cut..], |payload| rest.extend_from_slice(payload)) && decoder.is_complete());
+            assert!(
+                decoder.decode(&response[cut..], |payload| rest.extend_from_slice(payload))
+                    && decoder.is_complete()
+            );
             assert_eq!(rest, body[scanner.body_bytes as usize..], "cut at {cut}");
         }
         let mut scanner = ResponseScanner::default();
--- a/crates/flintwell/src/clients/mod.rs
+++ b/crates/flintwell/src/clients/mod.rs
@@ -1,9 +1,9 @@
 //! Client side: connections, request decoding and responses.
 
 pub mod accept;
-pub mod response;
 pub mod body;
+pub mod client_socket;
 pub mod decode;
 pub mod framing;
 pub mod malformed;
-pub mod client_socket;
+pub mod response;
--- a/crates/flintwell/src/clients/response.rs
+++ b/crates/flintwell/src/clients/response.rs
@@ -1,8 +1,8 @@
 //! Responses to clients and their encoding.
 
 use crate::clients::malformed::Malformed;
-use crate::nodes::response_body::ResponseBody;
 use crate::management::metrics::RequestOutcome;
+use crate::nodes::response_body::ResponseBody;
 use bytes::Bytes;
 use flintwell_core::interface::Micros;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -11,7 +11,7 @@
 /// How a client's message is answered.
 pub enum ClientResponse {
     Served(ResponseBody),
-    /// Not processed; `retry_after` is the advised delay before a retry, 0 for none.
+    /// Refused; retrying is harmless. `retry_after` is the advised delay before that, 0 for none.
     Refused {
         retry_after: Micros,
     },
@@ -36,7 +36,10 @@
             ClientResponse::Refused { .. } => Some(RequestOutcome::Refused),
             ClientResponse::Failed => Some(RequestOutcome::Failed),
             ClientResponse::Served(ResponseBody::Streamed(_)) => None,
-            ClientResponse::Malformed(_) | ClientResponse::DuplicateId | ClientResponse::Readiness(_) | ClientResponse::ClientDisconnected => None,
+            ClientResponse::Malformed(_)
+            | ClientResponse::DuplicateId
+            | ClientResponse::Readiness(_)
+            | ClientResponse::ClientDisconnected => None,
         }
     }
 
@@ -44,13 +47,16 @@
     pub fn encode(self, close: bool) -> Response<ResponseBody> {
         // After a malformed message the next request's start is unknown: the following bytes might belong to its
         // body. So the connection is closed.
-        let close = close || matches!(self, ClientResponse::Malformed(_) | ClientResponse::ClientDisconnected);
+        let close =
+            close || matches!(self, ClientResponse::Malformed(_) | ClientResponse::ClientDisconnected);
         let retry_after = if let ClientResponse::Refused { retry_after } = self { retry_after } else { 0 };
         let text = |bytes: &'static [u8]| ResponseBody::from(Bytes::from_static(bytes));
         let (status, body) = match self {
             ClientResponse::Served(body) => (StatusCode::OK, body),
             ClientResponse::Refused { .. } => (StatusCode::SERVICE_UNAVAILABLE, text(b"")),
-            ClientResponse::Failed | ClientResponse::ClientDisconnected => (StatusCode::BAD_GATEWAY, text(b"")),
+            ClientResponse::Failed | ClientResponse::ClientDisconnected => {
+                (StatusCode::BAD_GATEWAY, text(b""))
+            }
             ClientResponse::DuplicateId => (StatusCode::CONFLICT, text(b"this id is in hand\n")),
             ClientResponse::Readiness(true) => (StatusCode::OK, text(b"ready\n")),
             ClientResponse::Readiness(false) => (StatusCode::SERVICE_UNAVAILABLE, text(b"stopping\n")),
@@ -76,7 +82,9 @@
         Malformed::Header(name) => {
             (StatusCode::BAD_REQUEST, format!("header {name}: missing or not understood\n"))
         }
-        Malformed::AmbiguousFraming => (StatusCode::BAD_REQUEST, "a body comes with its length or chunked\n".into()),
+        Malformed::AmbiguousFraming => {
+            (StatusCode::BAD_REQUEST, "a body comes with its length or chunked\n".into())
+        }
         Malformed::BodyTooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n".into()),
         Malformed::InvalidBody => (StatusCode::BAD_REQUEST, "the body is not whole\n".into()),
         Malformed::BodyTimeout => (StatusCode::REQUEST_TIMEOUT, "the body came too late\n".into()),
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -3,12 +3,13 @@
 //! Holds the policy and a handle for each request in flight. The policy's calls to its host only leave a step for
 //! a handle and never re-enter the policy.
 
+use crate::log_line;
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, StallDetector};
 use crate::requests::shadow::{Decision, ShadowPolicy};
-use crate::log_line;
 use flintwell_core::interface::{
-    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
+    AttemptOutcome, AttemptStatus, Host, IncomingRequest, ListUpdateKind, Micros, NodeEntry, NodeId,
+    RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::RefCell;
@@ -20,7 +21,8 @@
 use tokio::time::{sleep_until, timeout_at};
 
 const TIMER_INTERVAL_US: Micros = 1_000; // between timer calls; the resolution of the runtime's timers
-const CATCH_UP_TURNS: usize = 16; // runtime turns in which sockets, connections and list are read, a long list included
+// Runtime turns in which sockets, connections and the list are read; enough for a long list, too.
+const CATCH_UP_TURNS: usize = 16;
 const IDLE_SLEEP_US: Micros = 3_600_000_000; // sleep while no timer is set; setting one ends it
 
 /// The next step of a request.
@@ -30,6 +32,7 @@
     Fail,
 }
 
+/// Holds the next step of a request until its handle takes it.
 #[derive(Default)]
 struct Mailbox {
     step: RefCell<Option<Step>>,
@@ -97,6 +100,7 @@
 }
 
 impl Dispatcher {
+    /// Starts the policy; a shadow policy, if given, sees the same events.
     pub fn new(
         clock: Clock,
         settings: Settings,
@@ -118,7 +122,11 @@
     /// Calls the policy, and then the shadow policy with `shadow_call`. False if the policy panicked.
     ///
     /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
-    fn call_policy(&self, call: impl FnOnce(&mut Policy<PolicyHost>), shadow_call: impl FnOnce(&ShadowPolicy)) -> bool {
+    fn call_policy(
+        &self,
+        call: impl FnOnce(&mut Policy<PolicyHost>),
+        shadow_call: impl FnOnce(&ShadowPolicy),
+    ) -> bool {
         let result = catch_unwind(AssertUnwindSafe(|| call(&mut self.policy.borrow_mut())));
         if result.is_err() {
             log_line!("policy panicked during a call");
@@ -154,9 +162,9 @@
         self.policy.borrow().silent_caches()
     }
 
-    /// Other proxies probe this node for the next `time`.
-    pub fn defer_probe(&self, node: &NodeId, time: Micros) {
-        let until = self.clock.now() + time;
+    /// Other proxies probe this node for the next `duration`.
+    pub fn defer_probe(&self, node: &NodeId, duration: Micros) {
+        let until = self.clock.now() + duration;
         self.call_policy(|policy| policy.defer_probe(node, until), |_| ());
     }
 
@@ -188,16 +196,27 @@
             return None;
         }
         mailboxes.insert(id.clone(), mailbox.clone());
-        Some(RequestHandle { dispatcher: self.clone(), id, mailbox, attempts: 0, in_flight_node: None, is_finished: true })
+        Some(RequestHandle {
+            dispatcher: self.clone(),
+            id,
+            mailbox,
+            attempt_count: 0,
+            in_flight_node: None,
+            is_finished: true,
+        })
     }
 
-    /// Calls the policy at the times it asked for, with a minimum interval between calls. Without it, a policy that asks
-    /// at each call for a time in the past would leave our single core no time for requests.
+    /// Calls the policy at the times it asked for, with a minimum interval between calls. Without it, a policy that
+    /// asks at each call for a time in the past would leave our single core no time for requests.
     pub async fn run_timers(&self) {
         let mut not_before = 0;
         loop {
-            let next_at =
-                self.host_state.timers.borrow().first().map_or(self.clock.now() + IDLE_SLEEP_US, |timer| timer.0);
+            let next_at = self
+                .host_state
+                .timers
+                .borrow()
+                .first()
+                .map_or(self.clock.now() + IDLE_SLEEP_US, |timer| timer.0);
             tokio::select! {
                 () = sleep_until(self.clock.instant_at(next_at.max(not_before))) => {
                     let now = self.clock.now();
@@ -218,28 +237,29 @@
     }
 }
 
-/// A request's connection to the policy. If it is dropped before the request is over, the policy is told that the client
-/// is gone and that the attempt in flight, if any, was cancelled.
+/// A request's connection to the policy. If it is dropped before the request is over, it reports to the policy that
+/// the client is gone and that the attempt in flight, if any, was cancelled.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
     id: RequestId,
     mailbox: Rc<Mailbox>,
-    attempts: usize,
+    attempt_count: usize,
     in_flight_node: Option<NodeId>,
     is_finished: bool,
 }
 
 impl RequestHandle {
     /// Passes the request to the policy.
-    pub fn submit(&mut self, arrival: IncomingRequest) {
+    pub fn submit(&mut self, request: IncomingRequest) {
         self.is_finished = false;
         let now = self.dispatcher.clock.now();
         let copy = self.dispatcher.host_state.shadow.as_ref().map(|shadow| {
             shadow.expect_request(&self.id);
-            arrival.clone()
+            request.clone()
         });
-        let shadow_call = |shadow: &ShadowPolicy| copy.into_iter().for_each(|arrival| shadow.on_request(now, arrival));
-        self.fail_unless(self.dispatcher.call_policy(|policy| policy.on_request(now, arrival), shadow_call));
+        let shadow_call =
+            |shadow: &ShadowPolicy| copy.into_iter().for_each(|request| shadow.on_request(now, request));
+        self.fail_unless(self.dispatcher.call_policy(|policy| policy.on_request(now, request), shadow_call));
     }
 
     /// Fails the request if the policy could not decide on it.
@@ -269,15 +289,24 @@
         self.in_flight_node = Some(node.clone());
     }
 
-    /// Reports to the policy how the attempt in flight has ended, after `wait`.
-    pub fn attempt_ended(&mut self, ending: AttemptStatus, wait: Micros, first: bool) {
+    /// Reports to the policy how the attempt in flight has ended, after `latency`.
+    pub fn attempt_ended(&mut self, status: AttemptStatus, latency: Micros, first_on_connection: bool) {
         let Some(node) = self.in_flight_node.take() else { return };
-        self.is_finished |= ending == AttemptStatus::Served;
-        let outcome = AttemptOutcome { attempt_index: self.attempts, status: ending, latency: wait, request_finished: self.is_finished, first_on_connection: first };
-        self.attempts += 1;
+        self.is_finished |= status == AttemptStatus::Served;
+        let outcome = AttemptOutcome {
+            attempt_index: self.attempt_count,
+            status,
+            latency,
+            request_finished: self.is_finished,
+            first_on_connection,
+        };
+        self.attempt_count += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
         let shadow_call = |shadow: &ShadowPolicy| shadow.on_attempt_outcome(now, id, &node, outcome);
-        self.fail_unless(self.dispatcher.call_policy(|policy| policy.on_attempt_outcome(now, id, &node, outcome), shadow_call));
+        self.fail_unless(
+            self.dispatcher
+                .call_policy(|policy| policy.on_attempt_outcome(now, id, &node, outcome), shadow_call),
+        );
     }
 }
 
@@ -290,7 +319,10 @@
             self.in_flight_node.get_or_insert(node);
         }
         if !std::mem::replace(&mut self.is_finished, true) {
-            self.dispatcher.call_policy(|policy| policy.on_request_closed(now, &id), |shadow| shadow.on_request_closed(now, &id));
+            self.dispatcher.call_policy(
+                |policy| policy.on_request_closed(now, &id),
+                |shadow| shadow.on_request_closed(now, &id),
+            );
         }
         self.attempt_ended(AttemptStatus::Cancelled, 0, false);
         self.dispatcher.host_state.shadow.as_deref().inspect(|shadow| shadow.finish_request(now, &id));
--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -20,8 +20,8 @@
 }
 
 fn entry(node: &str, kind: u32, zone: u32) -> NodeEntry {
-    let (node, standing) = (node.into(), NodeState::Ready);
-    NodeEntry { node, kind, zone, state: standing, weight: 1.0, ..NodeEntry::default() }
+    let (node, state) = (node.into(), NodeState::Ready);
+    NodeEntry { node, kind, zone, state, weight: 1.0, ..NodeEntry::default() }
 }
 
 /// Submits a read of this key and reports a miss if it was attempted at a cache. Returns the handle and the next step.
@@ -36,7 +36,15 @@
     let mut handle = dispatcher.open_handle(id.into()).expect("a handle");
     let (id, key) = (id.into(), Some(key.into()));
     let deadline = dispatcher.clock.now() + 1_000_000;
-    handle.submit(IncomingRequest { id, class: 0, tenant: 0, key, deadline, expected_work: None, is_write: false });
+    handle.submit(IncomingRequest {
+        id,
+        class: 0,
+        tenant: 0,
+        key,
+        deadline,
+        expected_work: None,
+        is_write: false,
+    });
     if let Some(Step::Attempt { node, .. }) = handle.mailbox.step.take() {
         handle.attempt_started(&node);
         first = Some(node);
--- a/crates/flintwell/src/requests/mod.rs
+++ b/crates/flintwell/src/requests/mod.rs
@@ -2,6 +2,6 @@
 //! them.
 
 pub mod dispatcher;
-pub mod service;
 pub mod request;
+pub mod service;
 pub mod shadow;
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -1,21 +1,22 @@
 //! Serves one request from start to end; the policy makes each decision.
 
-use crate::clients::response::ClientResponse;
 use crate::clients::decode::ClientRequest;
+use crate::clients::response::ClientResponse;
 use crate::fleet::lease::ListLease;
+use crate::management::metrics::Metrics;
 use crate::nodes::attempt::{Attempt, AttemptService};
 use crate::nodes::connection::FailureCause;
 use crate::nodes::response_body::ResponseBody;
 use crate::process::clock::to_duration;
 use crate::process::counter::increment;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
-use crate::management::metrics::Metrics;
 use flintwell_core::interface::{AttemptStatus, Micros};
 use std::rc::Rc;
 use std::time::Instant;
 use tower::ServiceExt;
 
-const LIST_WAIT_DIVISOR: Micros = 3; // a new process waits for its list for a third of the time that a request has left
+// A new process waits for its list for one third of the time that a request has left.
+const LIST_WAIT_DIVISOR: Micros = 3;
 const MAX_LIST_WAIT_US: Micros = 1_000_000;
 
 /// Serves a request and counts its outcome.
@@ -23,21 +24,23 @@
     request: ClientRequest,
     dispatcher: &Rc<Dispatcher>,
     lease: &ListLease,
-    attempts: &AttemptService,
-    counts: &Rc<Metrics>,
+    attempt_service: &AttemptService,
+    metrics: &Rc<Metrics>,
 ) -> ClientResponse {
-    let (in_flight, class) = (counts.start_request(), request.class);
-    let Some(mut handle) = dispatcher.open_handle(request.id.clone()) else { return ClientResponse::DuplicateId };
+    let (in_flight, class) = (metrics.start_request(), request.class);
+    let Some(mut handle) = dispatcher.open_handle(request.id.clone()) else {
+        return ClientResponse::DuplicateId;
+    };
     // A request that arrives while the process is stalled is read late. Measured from the read, its response time would
     // look too short and its deadline would be too late.
     let received_at = dispatcher.stall_detector.queued_since();
     let list_wait = (request.deadline(received_at) - dispatcher.clock.now()) / LIST_WAIT_DIVISOR;
     lease.wait_until_first_valid(to_duration(list_wait.min(MAX_LIST_WAIT_US))).await;
-    let mut response = run(request, received_at, &mut handle, dispatcher, attempts, counts).await;
-    counts.record_latency(dispatcher.clock.now() - received_at);
-    response.outcome().inspect(|&outcome| counts.record_outcome(class, outcome));
-    if let ClientResponse::Served(ResponseBody::Streamed(relay)) = &mut response {
-        relay.attach_request(handle, in_flight, counts.clone(), class);
+    let mut response = run(request, received_at, &mut handle, dispatcher, attempt_service, metrics).await;
+    metrics.record_latency(dispatcher.clock.now() - received_at);
+    response.outcome().inspect(|&outcome| metrics.record_outcome(class, outcome));
+    if let ClientResponse::Served(ResponseBody::Streamed(body)) = &mut response {
+        body.attach_request(handle, in_flight, metrics.clone(), class);
     }
     response
 }
@@ -47,12 +50,12 @@
     received_at: Micros,
     handle: &mut RequestHandle,
     dispatcher: &Rc<Dispatcher>,
-    attempts: &AttemptService,
-    counts: &Metrics,
+    attempt_service: &AttemptService,
+    metrics: &Metrics,
 ) -> ClientResponse {
     let request = Rc::new(request);
     let deadline = request.deadline(received_at);
-    handle.submit(request.arrival(deadline));
+    handle.submit(request.to_incoming(deadline));
     loop {
         match handle.next_step(deadline).await {
             Some(Step::Attempt { node, timeout }) => {
@@ -67,17 +70,17 @@
                 let is_fetch = dispatcher.is_origin(&node);
                 let chosen_at = Instant::now();
                 let attempt = Attempt { request: request.clone(), node, timeout, chosen_at };
-                let result = attempts.clone().oneshot(attempt).await;
+                let result = attempt_service.clone().oneshot(attempt).await;
                 let latency = dispatcher.clock.now() - sent_at;
                 // A request that the origin refused has cost it work, too.
                 let reached_node = result.as_ref().err().is_none_or(|error| !error.ending().never_ran());
                 if is_fetch && reached_node {
-                    increment(&counts.origin_attempts);
+                    increment(&metrics.origin_attempts);
                 }
                 match result {
                     Ok(response) => {
                         if is_fetch && response.ending == AttemptStatus::Full {
-                            increment(&counts.origin_refusals);
+                            increment(&metrics.origin_refusals);
                         }
                         handle.attempt_ended(response.ending, latency, response.first_on_connection);
                         if response.ending == AttemptStatus::Served {
@@ -86,7 +89,9 @@
                     }
                     Err(error) => {
                         // A streamed body allows this one attempt only.
-                        if let Some(reason) = request.body.stream_status().and_then(|status| status.error.take()) {
+                        if let Some(reason) =
+                            request.body.stream_status().and_then(|status| status.error.take())
+                        {
                             return ClientResponse::Malformed(reason);
                         }
                         if error.cause == FailureCause::ClientDisconnected {
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -1,18 +1,18 @@
 //! The client-facing service: readiness check, or else decode, serve and encode.
 
-use crate::clients::response::ClientResponse;
 use crate::clients::body::BufferBudget;
+use crate::clients::client_socket::ClientSocket;
 use crate::clients::decode::ClientRequest;
 use crate::clients::framing::Framing;
-use crate::clients::client_socket::ClientSocket;
+use crate::clients::response::ClientResponse;
 use crate::fleet::lease::ListLease;
+use crate::management::metrics::Metrics;
 use crate::nodes::attempt::AttemptService;
 use crate::nodes::response_body::ResponseBody;
 use crate::process::reloadable::Reloadable;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::request;
-use crate::management::metrics::Metrics;
 use flintwell_settings::Network;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
--- a/crates/flintwell/src/requests/shadow.rs
+++ b/crates/flintwell/src/requests/shadow.rs
@@ -1,11 +1,13 @@
 //! Shadow mode: runs a second policy with other settings beside the active one.
 //!
-//! The second policy sees the same events, but its decisions have no effect. Each request on which it would have decided
-//! differently is counted once, by the kind of the first difference. After that, it only learns from the request's outcomes.
+//! The second policy sees the same events, but its decisions have no effect. Each request on which it would have
+//! decided differently is counted once, by the kind of the first difference. After that, it only learns from the
+//! request's outcomes.
 
 use crate::log_line;
 use flintwell_core::interface::{
-    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
+    AttemptOutcome, AttemptStatus, Host, IncomingRequest, ListUpdateKind, Micros, NodeEntry, NodeId,
+    RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::{Cell, RefCell};
@@ -42,7 +44,11 @@
 impl ShadowCounts {
     /// Number of requests with any difference.
     pub fn differing(&self) -> u64 {
-        self.different_cache + self.origin_vs_cache + self.not_attempted + self.attempted_instead + self.refusal_or_timing
+        self.different_cache
+            + self.origin_vs_cache
+            + self.not_attempted
+            + self.attempted_instead
+            + self.refusal_or_timing
     }
 }
 
@@ -92,6 +98,7 @@
 }
 
 impl ShadowPolicy {
+    /// Starts a shadow policy with these settings.
     pub fn new(now: Micros, settings: Settings, seed: u64) -> Self {
         let (pairs, origin_kind) = (DecisionPairs::default(), settings.origin_kind);
         let policy = RefCell::new(Some(Policy::new(now, settings, seed, DecisionRecorder(pairs.clone()))));
@@ -103,7 +110,7 @@
         self.counts.get()
     }
 
-    /// Calls the shadow policy. A fault in it must not affect any request, so a panic ends shadow mode and nothing else.
+    /// Calls the shadow policy. A fault in it must not affect any request, so a panic only ends shadow mode.
     fn call(&self, call: impl FnOnce(&mut Policy<DecisionRecorder>)) {
         let mut slot = self.policy.borrow_mut();
         let Some(policy) = slot.as_mut() else { return };
@@ -146,9 +153,9 @@
     }
 
     /// Passes a request to the shadow policy.
-    pub fn on_request(&self, now: Micros, arrival: IncomingRequest) {
-        let id = arrival.id.clone();
-        self.call(|policy| policy.on_request(now, arrival));
+    pub fn on_request(&self, now: Micros, request: IncomingRequest) {
+        let id = request.id.clone();
+        self.call(|policy| policy.on_request(now, request));
         self.compare(now, &id);
     }
 
@@ -181,14 +188,17 @@
     fn compare(&self, now: Micros, id: &RequestId) {
         let mut pairs = self.pairs.borrow_mut();
         let Some(pair) = pairs.get_mut(id).filter(|pair| !pair.differs) else { return };
-        let Some((actual, shadow)) = pair.actual.iter().zip(&pair.shadow).find(|(actual, shadow)| actual != shadow)
+        let Some((actual, shadow)) =
+            pair.actual.iter().zip(&pair.shadow).find(|(actual, shadow)| actual != shadow)
         else {
             return;
         };
         let mut counts = self.counts.get();
         let is_origin = |node: &NodeId| self.origins.borrow().contains(node);
         *match (actual, shadow) {
-            (Decision::Attempt(a), Decision::Attempt(b)) if is_origin(a) == is_origin(b) => &mut counts.different_cache,
+            (Decision::Attempt(a), Decision::Attempt(b)) if is_origin(a) == is_origin(b) => {
+                &mut counts.different_cache
+            }
             (Decision::Attempt(_), Decision::Attempt(_)) => &mut counts.origin_vs_cache,
             (Decision::Attempt(_), _) => &mut counts.not_attempted,
             (_, Decision::Attempt(_)) => &mut counts.attempted_instead,
@@ -204,8 +214,14 @@
     /// Withdraws the request from the shadow policy and reports its attempt in flight, if any, as cancelled.
     fn withdraw(&self, now: Micros, id: &RequestId, shadow: &[Decision]) {
         if let [earlier @ .., Decision::Attempt(node)] = shadow {
-            let (number, ending) = (earlier.len(), AttemptStatus::Cancelled);
-            let outcome = AttemptOutcome { attempt_index: number, status: ending, latency: 0, request_finished: true, first_on_connection: false };
+            let (attempt_index, status) = (earlier.len(), AttemptStatus::Cancelled);
+            let outcome = AttemptOutcome {
+                attempt_index,
+                status,
+                latency: 0,
+                request_finished: true,
+                first_on_connection: false,
+            };
             self.call(|policy| policy.on_attempt_outcome(now, id, node, outcome));
         }
         self.call(|policy| policy.on_request_closed(now, id));
@@ -218,7 +234,11 @@
             tokio::time::sleep(LOG_INTERVAL).await;
             let counts = self.counts();
             if std::mem::replace(&mut logged, counts) != counts {
-                log_line!("shadow policy: {} of {} requests decided differently: {counts:?}", counts.differing(), counts.requests);
+                log_line!(
+                    "shadow policy: {} of {} requests decided differently: {counts:?}",
+                    counts.differing(),
+                    counts.requests
+                );
             }
         }
     }
