--- a/crates/flintwell/src/requests/mod.rs
+++ b/crates/flintwell/src/requests/mod.rs
@@ -1,6 +1,7 @@
-//! Request handling from arrival to response, and the adapter to the decision module.
+//! Request handling from arrival to response, and the adapter to the policy (`flintwell-core`) that decides on
+//! them.
 
 pub mod dispatcher;
-pub mod service;
 pub mod request;
+pub mod service;
 pub mod shadow;
