--- a/crates/flintwell/src/management/api.rs
+++ b/crates/flintwell/src/management/api.rs
@@ -29,13 +29,13 @@
 use tokio::time::{sleep, timeout};
 use tower::service_fn;
 
-const CALLERS: usize = 8; // leaves room for complete requests beside a few connections that never finish one
-const CALL_WITHIN: Duration = Duration::from_secs(5); // callers wait for a second
-const BODY_MOST: usize = 4_096; // a node id and the JSON around it
-const PAUSE: Duration = Duration::from_millis(50); // keeps a failing accept from spinning
+const MAX_CONNECTIONS: usize = 8; // leaves room for complete requests beside a few connections that never finish one
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5); // callers wait for a second
+const MAX_BODY_BYTES: usize = 4_096; // a node id and the JSON around it
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50); // keeps a failing accept from spinning
 
 /// State that the API reads and changes.
-pub struct Office {
+pub struct ApiState {
     pub counts: Rc<Metrics>,
     pub dispatcher: Rc<Dispatcher>,
     pub registry: Rc<Registry>,
@@ -49,115 +49,115 @@
 }
 
 #[derive(Deserialize)]
-struct Named {
+struct NodeRequest {
     who: String,
 }
 
 /// Status and JSON body of a response.
-type Said = (StatusCode, String);
+type Reply = (StatusCode, String);
 
-const FLEET: &str = "/api/fleet"; // state of the other proxies
-const RULES: &str = "/api/violations"; // counters of conditions that should not occur
-const LIST: &str = "/api/list"; // version and age of the server list, and the basis of its lease
-const ROLLOUT: &str = "/api/rollout/"; // prefix of the calls that change settings
+const FLEET_PATH: &str = "/api/fleet"; // state of the other proxies
+const VIOLATIONS_PATH: &str = "/api/violations"; // counters of conditions that should not occur
+const LIST_PATH: &str = "/api/list"; // version and age of the server list, and the basis of its lease
+const ROLLOUT_PREFIX: &str = "/api/rollout/"; // prefix of the calls that change settings
 
 /// Accepts and serves connections until the process ends. At the connection limit the oldest connection is closed, so
 /// that callers that connect without completing a request cannot lock out the others.
-pub async fn answer(listener: &TcpListener, office: &Rc<Office>) {
+pub async fn serve(listener: &TcpListener, state: &Rc<ApiState>) {
     let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 open.retain(|call| !call.is_finished());
-                if open.len() >= CALLERS {
+                if open.len() >= MAX_CONNECTIONS {
                     open.pop_front().inspect(JoinHandle::abort);
                 }
-                let office = office.clone();
+                let state = state.clone();
                 open.push_back(spawn_local(async move {
-                    let _ = timeout(CALL_WITHIN, call(stream, office)).await;
+                    let _ = timeout(REQUEST_TIMEOUT, serve_connection(stream, state)).await;
                 }));
             }
             Err(error) => {
                 log_line!("management API: accept failed: {error}");
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn call(stream: TcpStream, office: Rc<Office>) {
+async fn serve_connection(stream: TcpStream, state: Rc<ApiState>) {
     let service = service_fn(move |request| {
-        let office = office.clone();
-        async move { Ok::<_, Infallible>(encode(said(request, &office).await)) }
+        let state = state.clone();
+        async move { Ok::<_, Infallible>(to_response(handle(request, &state).await)) }
     });
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(CALL_WITHIN).keep_alive(false);
+    http.timer(TokioTimer::new()).header_read_timeout(REQUEST_TIMEOUT).keep_alive(false);
     // An error here means that the caller has gone.
     let _ = http.serve_connection(TokioIo::new(stream), TowerToHyperService::new(service)).await;
 }
 
 /// Serves the calls that change settings; they exist only if the configuration has a `rollout` section.
-async fn rolls(request: Request<Incoming>, rollout: &Rollout) -> Result<Said, StatusCode> {
+async fn handle_rollout(request: Request<Incoming>, rollout: &Rollout) -> Result<Reply, StatusCode> {
     let (head, body) = request.into_parts();
-    let what = head.uri.path().strip_prefix(ROLLOUT).unwrap_or_default();
-    let said = match head.method {
-        Method::GET => rollout.asked(what),
+    let endpoint = head.uri.path().strip_prefix(ROLLOUT_PREFIX).unwrap_or_default();
+    let reply = match head.method {
+        Method::GET => rollout.get(endpoint),
         Method::POST => {
             let text = Limited::new(body, MESSAGE_MOST).collect().await;
-            rollout.word(what, &text.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes())
+            rollout.post(endpoint, &text.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes())
         }
         _ => return Err(StatusCode::METHOD_NOT_ALLOWED),
     };
-    Ok(said.map_or_else(
+    Ok(reply.map_or_else(
         |(status, why)| (status, serde_json::json!({ "error": why }).to_string()),
         |text| (StatusCode::OK, text),
     ))
 }
 
-async fn said(request: Request<Incoming>, office: &Office) -> Result<Said, StatusCode> {
-    if let Some(rollout) = office.rollout.as_deref().filter(|_| request.uri().path().starts_with(ROLLOUT)) {
-        return rolls(request, rollout).await;
+async fn handle(request: Request<Incoming>, state: &ApiState) -> Result<Reply, StatusCode> {
+    if let Some(rollout) = state.rollout.as_deref().filter(|_| request.uri().path().starts_with(ROLLOUT_PREFIX)) {
+        return handle_rollout(request, rollout).await;
     }
-    if let Some(words) = office.words.as_deref().filter(|_| request.uri().path() == FLEET) {
+    if let Some(words) = state.words.as_deref().filter(|_| request.uri().path() == FLEET_PATH) {
         let text = serde_json::to_string(&words.fleet()).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
         return Ok((StatusCode::OK, text));
     }
-    let wanted = match request.uri().path() {
-        "/api/ready" | "/api/telemetry" | RULES | LIST => Method::GET,
+    let expected = match request.uri().path() {
+        "/api/ready" | "/api/telemetry" | VIOLATIONS_PATH | LIST_PATH => Method::GET,
         "/api/exclude" | "/api/include" => Method::POST,
         _ => return Err(StatusCode::NOT_FOUND),
     };
-    if request.method() != wanted {
+    if request.method() != expected {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
     let (head, body) = request.into_parts();
     match head.uri.path() {
-        "/api/ready" => match office.lease.ready() && !office.shutdown.has_begun() {
+        "/api/ready" => match state.lease.ready() && !state.shutdown.has_begun() {
             true => Ok((StatusCode::OK, r#"{"ready":true}"#.into())),
             false => Ok((StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#.into())),
         },
         "/api/telemetry" => {
-            let figures = office.counts.figures(office.registry.known(), office.dispatcher.avoided());
+            let figures = state.counts.telemetry(state.registry.known(), state.dispatcher.avoided());
             let text = serde_json::to_string(&figures).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
             Ok((StatusCode::OK, text))
         }
-        RULES => {
-            let text = serde_json::to_string(&office.counts.rule_figures());
+        VIOLATIONS_PATH => {
+            let text = serde_json::to_string(&state.counts.violations_report());
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
-        LIST => {
-            let text = serde_json::to_string(&office.list_status.figures());
+        LIST_PATH => {
+            let text = serde_json::to_string(&state.list_status.figures());
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
         path => {
-            let text = Limited::new(body, BODY_MOST).collect().await.map_err(|_| StatusCode::BAD_REQUEST)?;
-            let named = serde_json::from_slice::<Named>(&text.to_bytes());
-            let who = named.ok().map(|named| named.who).filter(|who| !who.is_empty());
+            let text = Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(|_| StatusCode::BAD_REQUEST)?;
+            let decoded = serde_json::from_slice::<NodeRequest>(&text.to_bytes());
+            let who = decoded.ok().map(|request| request.who).filter(|who| !who.is_empty());
             let who = who.ok_or(StatusCode::BAD_REQUEST)?;
-            let out = path == "/api/exclude";
-            let done = if out { office.registry.exclude(&who) } else { office.registry.include(&who) };
-            match done {
-                Ok(()) => Ok((StatusCode::OK, format!(r#"{{"out":{out}}}"#))),
+            let exclude = path == "/api/exclude";
+            let result = if exclude { state.registry.exclude(&who) } else { state.registry.include(&who) };
+            match result {
+                Ok(()) => Ok((StatusCode::OK, format!(r#"{{"out":{exclude}}}"#))),
                 Err(Refused::Unknown) => Err(StatusCode::NOT_FOUND),
                 Err(Refused::NotRecorded) => Err(StatusCode::INSUFFICIENT_STORAGE),
             }
@@ -165,8 +165,8 @@
     }
 }
 
-fn encode(said: Result<Said, StatusCode>) -> Response<Full<Bytes>> {
-    let (status, text) = said.unwrap_or_else(|status| {
+fn to_response(reply: Result<Reply, StatusCode>) -> Response<Full<Bytes>> {
+    let (status, text) = reply.unwrap_or_else(|status| {
         let why = match status {
             StatusCode::NOT_FOUND => "unknown path, or no cache node with this id",
             StatusCode::METHOD_NOT_ALLOWED => "method not allowed for this path",
--- a/crates/flintwell/src/management/fleet_status.rs
+++ b/crates/flintwell/src/management/fleet_status.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const WITHIN: Duration = Duration::from_secs(5); // allows for a busy proxy
+const CALL_TIMEOUT: Duration = Duration::from_secs(5); // allows for a busy proxy
 
 /// Subcommands of `flintwell fleet`.
 #[derive(Subcommand)]
@@ -27,7 +27,7 @@
     let Command::Status { at, json } = command;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    let call = flintwell_call::call(*at, Method::GET, "/api/fleet", Default::default(), WITHIN);
+    let call = flintwell_call::call(*at, Method::GET, "/api/fleet", Default::default(), CALL_TIMEOUT);
     let (status, text) = runtime.block_on(call).map_err(|why| format!("{at}: {why}"))?;
     if status != StatusCode::OK {
         return Err(format!("{at}: messages between proxies are not configured there ({status})"));
@@ -37,11 +37,11 @@
         return Ok(());
     }
     let fleet: Fleet = serde_json::from_slice(&text).map_err(|e| format!("{at}: {e}"))?;
-    print!("{}", shown(&fleet));
+    print!("{}", render(&fleet));
     Ok(())
 }
 
-fn shown(fleet: &Fleet) -> String {
+fn render(fleet: &Fleet) -> String {
     let Fleet { name, number, members, share, dropped, .. } = fleet;
     let rate = share.rate.map_or("no limit known".into(), |rate| format!("{rate:.1} fetches a second"));
     let mut text = format!(
--- a/crates/flintwell/src/management/metrics.rs
+++ b/crates/flintwell/src/management/metrics.rs
@@ -27,7 +27,7 @@
 
 /// Requests of one class, by outcome.
 #[derive(Default)]
-struct Ended {
+struct OutcomeCounts {
     served: Cell<u64>,
     refused: Cell<u64>,
     failed: Cell<u64>,
@@ -35,10 +35,10 @@
 
 /// Counters since the start of the process. Every configured class is present from the start, with zeros.
 pub struct Metrics {
-    cases: RefCell<Vec<(String, Rc<Ended>)>>,
+    classes: RefCell<Vec<(String, Rc<OutcomeCounts>)>>,
     /// Response times, recorded only if the configuration has a `rollout` section.
-    times: Option<RefCell<Histogram<u64>>>,
-    in_hand: Counter,
+    latencies: Option<RefCell<Histogram<u64>>>,
+    in_flight: Counter,
     /// Attempts at cache nodes whose request was written completely.
     pub cache_attempts: Counter,
     /// Attempts at the origin.
@@ -62,7 +62,7 @@
 
 /// Response body of `/api/telemetry`; the operators' tools expect these field names.
 #[derive(Serialize)]
-pub struct Figures {
+pub struct Telemetry {
     passed: BTreeMap<String, u64>,
     dropped: BTreeMap<String, u64>,
     bad_gateway: BTreeMap<String, u64>,
@@ -75,7 +75,7 @@
 /// Response body of `/api/violations`: conditions that should not occur. Separate from `/api/telemetry`, whose format
 /// is fixed by the operators.
 #[derive(Serialize)]
-pub struct RuleFigures {
+pub struct ViolationsReport {
     /// How often the lease on the server list lapsed.
     list_lapses: u64,
     /// Requests sent although a rule forbade it, by rule.
@@ -83,91 +83,91 @@
 }
 
 impl Metrics {
-    pub fn new(cases: &[String], timed: bool) -> Rc<Self> {
-        let counts = Metrics {
-            cases: RefCell::default(),
-            times: timed.then(|| RefCell::new(new_times())),
-            in_hand: Counter::default(),
+    pub fn new(classes: &[String], records_latency: bool) -> Rc<Self> {
+        let metrics = Metrics {
+            classes: RefCell::default(),
+            latencies: records_latency.then(|| RefCell::new(new_times())),
+            in_flight: Counter::default(),
             cache_attempts: Counter::default(),
             origin_attempts: Counter::default(),
             origin_refusals: Counter::default(),
             violations: Violations::default(),
             lapses: Counter::default(),
         };
-        counts.knows(cases);
-        Rc::new(counts)
+        metrics.add_classes(classes);
+        Rc::new(metrics)
     }
 
     /// Adds the classes beyond those already present; existing classes keep their index.
-    pub fn knows(&self, cases: &[String]) {
-        let mut known = self.cases.borrow_mut();
-        let more: Vec<_> = cases.iter().skip(known.len()).map(|case| (case.clone(), Rc::default())).collect();
+    pub fn add_classes(&self, classes: &[String]) {
+        let mut known = self.classes.borrow_mut();
+        let more: Vec<_> = classes.iter().skip(known.len()).map(|class| (class.clone(), Rc::default())).collect();
         known.extend(more);
     }
 
     /// Records a response time, measured from the last byte of the request.
     pub fn record_latency(&self, time: Micros) {
-        if let Some(times) = &self.times {
-            times.borrow_mut().saturating_record(time.max(1) as u64);
+        if let Some(latencies) = &self.latencies {
+            latencies.borrow_mut().saturating_record(time.max(1) as u64);
         }
     }
 
     /// Counts a request as in flight until the returned guard is dropped.
     pub fn start_request(&self) -> InFlightGuard {
-        increment(&self.in_hand);
-        InFlightGuard(self.in_hand.clone())
+        increment(&self.in_flight);
+        InFlightGuard(self.in_flight.clone())
     }
 
     /// Counts the outcome of a request, by the index of its class.
-    pub fn record_outcome(&self, case: usize, end: RequestOutcome) {
-        let cases = self.cases.borrow();
-        let Some((_, ended)) = cases.get(case) else { return };
+    pub fn record_outcome(&self, class: usize, end: RequestOutcome) {
+        let classes = self.classes.borrow();
+        let Some((_, outcomes)) = classes.get(class) else { return };
         increment(match end {
-            RequestOutcome::Served => &ended.served,
-            RequestOutcome::Refused => &ended.refused,
-            RequestOutcome::Failed => &ended.failed,
+            RequestOutcome::Served => &outcomes.served,
+            RequestOutcome::Refused => &outcomes.refused,
+            RequestOutcome::Failed => &outcomes.failed,
         });
     }
 
     /// Body of `/api/telemetry`, with the numbers of known and of avoided cache nodes.
-    pub fn figures(&self, known: usize, skipped: usize) -> Figures {
-        let cases = self.cases.borrow();
-        let by = |count: fn(&Ended) -> &Cell<u64>| {
-            cases.iter().map(|(case, ended)| (case.clone(), count(ended).get())).collect()
+    pub fn telemetry(&self, known: usize, skipped: usize) -> Telemetry {
+        let classes = self.classes.borrow();
+        let by_class = |count: fn(&OutcomeCounts) -> &Cell<u64>| {
+            classes.iter().map(|(class, outcomes)| (class.clone(), count(outcomes).get())).collect()
         };
-        Figures {
-            passed: by(|ended| &ended.served),
-            dropped: by(|ended| &ended.refused),
-            bad_gateway: by(|ended| &ended.failed),
+        Telemetry {
+            passed: by_class(|outcomes| &outcomes.served),
+            dropped: by_class(|outcomes| &outcomes.refused),
+            bad_gateway: by_class(|outcomes| &outcomes.failed),
             upstream_tries: self.cache_attempts.get(),
-            in_progress: self.in_hand.get(),
+            in_progress: self.in_flight.get(),
             known_cache_nodes: known,
             skipped_cache_nodes: skipped,
         }
     }
 
     /// Body of `/api/violations`.
-    pub fn rule_figures(&self) -> RuleFigures {
-        RuleFigures { list_lapses: self.lapses.get(), violations: self.violations.by_name() }
+    pub fn violations_report(&self) -> ViolationsReport {
+        ViolationsReport { list_lapses: self.lapses.get(), violations: self.violations.by_name() }
     }
 
     /// Metrics that a rollout compares between proxies.
-    pub fn compared(&self, epoch: u64, started_ms: u64) -> wire::Figures {
-        let ends = |ended: &Ended| wire::Ends {
-            served: ended.served.get(),
-            refused: ended.refused.get(),
-            failed: ended.failed.get(),
+    pub fn rollout_figures(&self, epoch: u64, started_ms: u64) -> wire::Figures {
+        let ends = |outcomes: &OutcomeCounts| wire::Ends {
+            served: outcomes.served.get(),
+            refused: outcomes.refused.get(),
+            failed: outcomes.failed.get(),
         };
-        let cases = self.cases.borrow();
+        let classes = self.classes.borrow();
         wire::Figures {
             epoch,
             started_ms,
-            cases: cases.iter().map(|(case, ended)| (case.clone(), ends(ended))).collect(),
+            cases: classes.iter().map(|(class, outcomes)| (class.clone(), ends(outcomes))).collect(),
             attempts: self.cache_attempts.get(),
             fetches: self.origin_attempts.get(),
             refused: self.origin_refusals.get(),
             memory_kb: memory_kb().unwrap_or(0),
-            times: self.times.as_ref().map_or_else(String::new, |times| encode_times(&times.borrow())),
+            times: self.latencies.as_ref().map_or_else(String::new, |latencies| encode_times(&latencies.borrow())),
         }
     }
 }
--- a/crates/flintwell/src/management/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-const IDLE: Duration = Duration::from_secs(3_600); // sleep with nothing due; the next change interrupts it
+const IDLE_SLEEP: Duration = Duration::from_secs(3_600); // sleep with nothing due; the next change interrupts it
 
 /// This proxy's part in a rollout of settings.
 pub struct Rollout {
@@ -30,18 +30,18 @@
     pub counts: Rc<Metrics>,
     pub changed: Notify,
     /// Applies settings to all components at once.
-    pub put: Box<dyn Fn(&Value)>,
+    pub apply: Box<dyn Fn(&Value)>,
     pub registry: Rc<Registry>,
 }
 
 /// JSON body of a successful call, or status and reason of a failed one.
-pub type Said = Result<String, (StatusCode, String)>;
+pub type Reply = Result<String, (StatusCode, String)>;
 
-fn refused(refusal: Refusal) -> (StatusCode, String) {
+fn conflict(refusal: Refusal) -> (StatusCode, String) {
     (StatusCode::CONFLICT, refusal.to_string())
 }
 
-fn read<T: DeserializeOwned>(text: &[u8]) -> Result<T, (StatusCode, String)> {
+fn decode<T: DeserializeOwned>(text: &[u8]) -> Result<T, (StatusCode, String)> {
     serde_json::from_slice(text).map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))
 }
 
@@ -56,47 +56,47 @@
         self.member.borrow().status(self.now(), &self.name, program, self.started_ms)
     }
 
-    fn told(&self) -> Said {
+    fn status_reply(&self) -> Reply {
         serde_json::to_string(&self.status())
             .map_err(|error| (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()))
     }
 
-    /// Serves a GET request; `what` is the path below `/api/rollout/`.
-    pub fn asked(&self, what: &str) -> Said {
-        let wrong = |error: serde_json::Error| (StatusCode::INTERNAL_SERVER_ERROR, error.to_string());
-        match what {
-            "status" => self.told(),
-            "settings" => serde_json::to_string(&self.member.borrow().in_force().settings).map_err(wrong),
-            "nodes" => serde_json::to_string(&self.registry.listing()).map_err(wrong),
+    /// Serves a GET request; `endpoint` is the path below `/api/rollout/`.
+    pub fn get(&self, endpoint: &str) -> Reply {
+        let internal_error = |error: serde_json::Error| (StatusCode::INTERNAL_SERVER_ERROR, error.to_string());
+        match endpoint {
+            "status" => self.status_reply(),
+            "settings" => serde_json::to_string(&self.member.borrow().in_force().settings).map_err(internal_error),
+            "nodes" => serde_json::to_string(&self.registry.listing()).map_err(internal_error),
             "figures" => {
                 let epoch = self.member.borrow().in_force().epoch;
-                serde_json::to_string(&self.counts.compared(epoch, self.started_ms)).map_err(wrong)
+                serde_json::to_string(&self.counts.rollout_figures(epoch, self.started_ms)).map_err(internal_error)
             }
             _ => Err((StatusCode::NOT_FOUND, "unknown path".into())),
         }
     }
 
     /// Handles a message from the rollout's conductor (POST); the response is the resulting status.
-    pub fn word(&self, what: &str, text: &[u8]) -> Said {
+    pub fn post(&self, endpoint: &str, text: &[u8]) -> Reply {
         let now = self.now();
-        let (step, puts) = match what {
+        let (step, applies) = match endpoint {
             "stage" => {
-                let stage: Stage = read(text)?;
-                (Some(self.member.borrow().stage(&stage, check_change).map_err(refused)?), false)
+                let stage: Stage = decode(text)?;
+                (Some(self.member.borrow().stage(&stage, check_change).map_err(conflict)?), false)
             }
-            "apply" => (self.member.borrow().apply(now, &read::<Named>(text)?).map_err(refused)?, true),
-            "confirm" => (self.member.borrow().confirm(&read::<Named>(text)?).map_err(refused)?, false),
+            "apply" => (self.member.borrow().apply(now, &decode::<Named>(text)?).map_err(conflict)?, true),
+            "confirm" => (self.member.borrow().confirm(&decode::<Named>(text)?).map_err(conflict)?, false),
             "renew" => {
-                self.member.borrow_mut().renew(now, &read::<Named>(text)?).map_err(refused)?;
+                self.member.borrow_mut().renew(now, &decode::<Named>(text)?).map_err(conflict)?;
                 self.changed.notify_one();
                 (None, false)
             }
             "revert" => {
                 let before = self.member.borrow().in_force().epoch;
-                let back = self.member.borrow_mut().revert(&read::<Named>(text)?);
-                back.map_err(refused)?;
+                let reverted = self.member.borrow_mut().revert(&decode::<Named>(text)?);
+                reverted.map_err(conflict)?;
                 if self.member.borrow().in_force().epoch != before {
-                    self.went_back(before);
+                    self.apply_reverted(before);
                 }
                 (None, false)
             }
@@ -111,21 +111,21 @@
                 return Err((StatusCode::INSUFFICIENT_STORAGE, why));
             }
             self.member.borrow_mut().take(step);
-            if puts {
+            if applies {
                 let member = self.member.borrow();
-                (self.put)(&member.in_force().settings);
+                (self.apply)(&member.in_force().settings);
                 log_line!("settings of epoch {} in force, not yet confirmed", member.in_force().epoch);
             }
             self.changed.notify_one();
         }
-        self.told()
+        self.status_reply()
     }
 
     /// Applies the settings reverted to. This does not depend on recording them, since unconfirmed settings are reverted
     /// at the next start anyway.
-    fn went_back(&self, from: u64) {
+    fn apply_reverted(&self, from: u64) {
         let member = self.member.borrow();
-        (self.put)(&member.in_force().settings);
+        (self.apply)(&member.in_force().settings);
         log_line!("settings of epoch {from} reverted to epoch {}", member.in_force().epoch);
         if let Err(error) = self.disk.write(member.record()) {
             log_line!("rollout state not written to disk: {error}");
@@ -133,16 +133,16 @@
     }
 
     /// Reverts settings whose confirmation does not arrive in time.
-    pub async fn follow(&self) {
+    pub async fn run(&self) {
         loop {
             let due = self.member.borrow().due();
-            let wait = due.map_or(IDLE, |due| Duration::from_millis(due.saturating_sub(self.now())));
+            let wait = due.map_or(IDLE_SLEEP, |due| Duration::from_millis(due.saturating_sub(self.now())));
             tokio::select! {
                 () = sleep(wait) => {
                     let before = self.member.borrow().in_force().epoch;
-                    let back = self.member.borrow_mut().tick(self.now());
-                    if back.is_some() {
-                        self.went_back(before);
+                    let reverted = self.member.borrow_mut().tick(self.now());
+                    if reverted.is_some() {
+                        self.apply_reverted(before);
                     }
                 }
                 () = self.changed.notified() => {}
--- a/crates/flintwell/src/process/clock.rs
+++ b/crates/flintwell/src/process/clock.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::time::{Sleep, sleep};
 
-const BEAT: Micros = 10_000; // short compared with deadlines, negligible CPU cost
+const CHECK_INTERVAL: Micros = 10_000; // short compared with deadlines, negligible CPU cost
 /// Longest time without progress on a client or node connection; healthy peers may pause for seconds.
 pub const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-const STALL: Micros = 40_000; // since the beat before last; twice the normal value of two beats
+const STALL_THRESHOLD: Micros = 40_000; // since the second-to-last run; twice the normal value of two intervals
 
 /// Source of the current time for the whole process.
 #[derive(Clone, Copy)]
@@ -42,52 +42,53 @@
 /// Detects stalls of the runtime thread with a periodic task that records when it last ran.
 pub struct StallDetector {
     clock: Clock,
-    last: Cell<Micros>,
-    before: Cell<Micros>,
+    last_run: Cell<Micros>,
+    previous_run: Cell<Micros>,
 }
 
 impl StallDetector {
     pub fn new(clock: Clock) -> Self {
         let now = clock.now();
-        StallDetector { clock, last: Cell::new(now), before: Cell::new(now) }
+        StallDetector { clock, last_run: Cell::new(now), previous_run: Cell::new(now) }
     }
+    /// Records the time at every interval; never returns.
     pub async fn run(&self) {
         loop {
-            tokio::time::sleep(to_duration(BEAT)).await;
-            self.before.set(self.last.replace(self.clock.now()));
+            tokio::time::sleep(to_duration(CHECK_INTERVAL)).await;
+            self.previous_run.set(self.last_run.replace(self.clock.now()));
         }
     }
-    /// Earliest time at which input that is read now may have arrived: the current time, or the last beat before a
+    /// Earliest time at which input that is read now may have arrived: the current time, or the last check before a
     /// stall. Input that arrives while the process is stalled looks new when it is read, so a deadline counted from
     /// the read would be exceeded.
     pub fn queued_since(&self) -> Micros {
-        let (now, before) = (self.clock.now(), self.before.get());
-        if now - before > STALL { before } else { now }
+        let (now, previous) = (self.clock.now(), self.previous_run.get());
+        if now - previous > STALL_THRESHOLD { previous } else { now }
     }
 }
 
 /// Idle timer for a peer: limits how long we wait for it without receiving data.
 pub struct IdleTimer {
-    most: Duration,
-    ends: Pin<Box<Sleep>>,
-    waits: bool,
+    limit: Duration,
+    sleep: Pin<Box<Sleep>>,
+    is_running: bool,
 }
 
 impl IdleTimer {
-    pub fn new(most: Duration) -> Self {
-        IdleTimer { most, ends: Box::pin(sleep(most)), waits: false }
+    pub fn new(limit: Duration) -> Self {
+        IdleTimer { limit, sleep: Box::pin(sleep(limit)), is_running: false }
     }
     /// Stops the timer; call when data has been received.
     pub fn reset(&mut self) {
-        self.waits = false;
+        self.is_running = false;
     }
     /// Starts the timer if it is not running; ready once it has expired. Call when no data is available.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         // Counts only the time spent waiting for the peer.
-        if !std::mem::replace(&mut self.waits, true) {
-            self.ends.as_mut().reset(tokio::time::Instant::now() + self.most);
+        if !std::mem::replace(&mut self.is_running, true) {
+            self.sleep.as_mut().reset(tokio::time::Instant::now() + self.limit);
         }
-        self.ends.as_mut().poll(cx)
+        self.sleep.as_mut().poll(cx)
     }
 }
 
--- a/crates/flintwell/src/process/reload.rs
+++ b/crates/flintwell/src/process/reload.rs
@@ -10,20 +10,20 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-const AGAIN: Duration = Duration::from_millis(200); // well within the lease on the server list
+const RETRY_INTERVAL: Duration = Duration::from_millis(200); // well within the lease on the server list
 
 /// Reloads the file at each signal. In-flight requests, connections and learned state are kept.
 pub async fn on_signal(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
     while hangup.recv().await.is_some() {
-        read_anew(hangup, path, discovery).await;
+        reload(hangup, path, discovery).await;
     }
 }
 
 /// Retries until the file can be read. An invalid or partly written file must not stop a proxy that is serving, and a
 /// read that fails only for a moment (file being renamed, no free descriptor) must not leave the proxy with the old
 /// discovery address for good.
-async fn read_anew(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
-    let mut told = false;
+async fn reload(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
+    let mut error_logged = false;
     loop {
         match config::read(path) {
             Ok(config) => {
@@ -32,16 +32,16 @@
                     .send_if_modified(|addr| std::mem::replace(addr, config.discovery) != config.discovery);
                 return;
             }
-            Err(error) if !told => {
+            Err(error) if !error_logged => {
                 log_line!("configuration reload failed, keeping the previous one and retrying: {error}");
-                told = true;
+                error_logged = true;
             }
             Err(_) => {}
         }
         tokio::select! {
             // Log the error again for each further SIGHUP.
-            _ = hangup.recv() => told = false,
-            () = sleep(AGAIN) => {}
+            _ = hangup.recv() => error_logged = false,
+            () = sleep(RETRY_INTERVAL) => {}
         }
     }
 }
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -27,7 +27,7 @@
 use crate::requests::watch::Watch;
 use crate::log_line;
 use crate::management::metrics::Metrics;
-use crate::management::api::{self, Office};
+use crate::management::api::{self, ApiState};
 use crate::management::rollout::Rollout;
 use flintwell_list_watch::{Figures, Lease, Watch as ListWatch};
 use flintwell_rollout::member::Member;
@@ -206,7 +206,7 @@
         let put = move |settings: &serde_json::Value| match (decode(settings), decode_network(settings)) {
             // No await in between: no other task sees the components with different settings.
             (Ok(settings), Ok(network)) => {
-                put_counts.knows(&network.classes);
+                put_counts.add_classes(&network.classes);
                 put_network.set(network);
                 put_dispatcher.change(settings);
                 put_registry.retell();
@@ -222,12 +222,12 @@
             disk,
             counts: counts.clone(),
             changed: Notify::new(),
-            put: Box::new(put),
+            apply: Box::new(put),
             registry: registry.clone(),
         })
     });
     if let Some(rollout) = rollout.clone() {
-        spawn_local(lasting("rollout", async move || rollout.follow().await));
+        spawn_local(lasting("rollout", async move || rollout.run().await));
     }
     let words = config.words.take().map(|words| {
         let (dispatcher, counts) = (dispatcher.clone(), counts.clone());
@@ -246,8 +246,8 @@
         let (counts, dispatcher) = (counts.clone(), dispatcher.clone());
         let (lease, shutdown) = (lease.clone(), shutdown.clone());
         let office =
-            Rc::new(Office { counts, dispatcher, registry, list_status, lease, shutdown, rollout, words });
-        let answering = async move || api::answer(&listener, &office).await;
+            Rc::new(ApiState { counts, dispatcher, registry, list_status, lease, shutdown, rollout, words });
+        let answering = async move || api::serve(&listener, &office).await;
         spawn_local(lasting("management API", answering));
     }
     if inherits && let Some(path) = succession.takes_over_at() {
--- a/crates/flintwell/src/process/store.rs
+++ b/crates/flintwell/src/process/store.rs
@@ -5,20 +5,20 @@
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-const FILE_MOST: u64 = 4 << 20; // a list of ten thousand nodes
-const FILES_MOST: usize = 4_096; // far more than the nodes of a fleet
+const MAX_FILE_BYTES: u64 = 4 << 20; // a list of ten thousand nodes
+const MAX_FILES: usize = 4_096; // far more than the nodes of a fleet
 
 /// Directory for the files of this proxy. Without a directory, writes are discarded and reads find nothing.
 #[derive(Clone)]
 pub struct Store(Option<PathBuf>);
 
 impl Store {
-    /// Creates the directory of the proxy `name` in `below`, the directory for temporary files, if there is one.
-    pub fn open(below: Option<&Path>, name: &str) -> io::Result<Self> {
-        let Some(below) = below else { return Ok(Store(None)) };
-        let folder = below.join(format!("flintwell-{}", escape_file_name(name)));
-        fs::create_dir_all(&folder)?;
-        Ok(Store(Some(folder)))
+    /// Creates the directory of the proxy `name` in `parent`, the directory for temporary files, if there is one.
+    pub fn open(parent: Option<&Path>, name: &str) -> io::Result<Self> {
+        let Some(parent) = parent else { return Ok(Store(None)) };
+        let directory = parent.join(format!("flintwell-{}", escape_file_name(name)));
+        fs::create_dir_all(&directory)?;
+        Ok(Store(Some(directory)))
     }
 
     /// Whether there is a directory to store files in.
@@ -28,36 +28,36 @@
 
     /// Replaces a file atomically: a process killed while writing in place would leave a partial file to its successor.
     pub fn write(&self, file: &str, text: &[u8]) -> io::Result<()> {
-        let Some(folder) = &self.0 else { return Ok(()) };
-        let unfinished = folder.join(format!("new-{}", std::process::id()));
-        fs::write(&unfinished, text)?;
-        fs::rename(&unfinished, folder.join(file))
+        let Some(directory) = &self.0 else { return Ok(()) };
+        let temporary = directory.join(format!("new-{}", std::process::id()));
+        fs::write(&temporary, text)?;
+        fs::rename(&temporary, directory.join(file))
     }
 
     /// Removes a file; a missing file is no error.
     pub fn remove(&self, file: &str) {
-        let _ = self.0.as_ref().map(|folder| fs::remove_file(folder.join(file)));
+        let _ = self.0.as_ref().map(|directory| fs::remove_file(directory.join(file)));
     }
 
     /// Path of a file, whether or not it exists.
     pub fn path(&self, file: &str) -> Option<PathBuf> {
-        self.0.as_ref().map(|folder| folder.join(file))
+        self.0.as_ref().map(|directory| directory.join(file))
     }
 
     /// Reads a file, up to a maximum size.
     pub fn read(&self, file: &str) -> Option<Vec<u8>> {
         let mut text = Vec::new();
         let opened = fs::File::open(self.path(file)?).ok()?;
-        opened.take(FILE_MOST).read_to_end(&mut text).ok()?;
+        opened.take(MAX_FILE_BYTES).read_to_end(&mut text).ok()?;
         Some(text)
     }
 
     /// Names of the files that start with `prefix`.
     pub fn list_files(&self, prefix: &str) -> Vec<String> {
-        let Some(folder) = &self.0 else { return Vec::new() };
-        let found = fs::read_dir(folder).into_iter().flatten().flatten();
-        let names = found.filter_map(|entry| entry.file_name().into_string().ok());
-        names.filter(|name| name.starts_with(prefix)).take(FILES_MOST).collect()
+        let Some(directory) = &self.0 else { return Vec::new() };
+        let entries = fs::read_dir(directory).into_iter().flatten().flatten();
+        let names = entries.filter_map(|entry| entry.file_name().into_string().ok());
+        names.filter(|name| name.starts_with(prefix)).take(MAX_FILES).collect()
     }
 }
 
