--- a/crates/flintwell/src/main.rs
+++ b/crates/flintwell/src/main.rs
@@ -14,7 +14,7 @@
 
 #[derive(Parser)]
 #[command(version, about = "Sidecar proxy that distributes keys over cache nodes in front of a slow origin")]
-struct Arguments {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
@@ -54,9 +54,9 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
-        Command::Serve { config } => config::read(&config).and_then(|read| serve::serve(read, config)),
-        Command::Check { config } => config::read(&config).map(|config| println!("{config}")),
+    let result = match Cli::parse().command {
+        Command::Serve { config } => config::load(&config).and_then(|loaded| serve::serve(loaded, config)),
+        Command::Check { config } => config::load(&config).map(|config| println!("{config}")),
         Command::Supervise { config } => flintwell_supervise::supervise(&config),
         Command::Fleet { command } => management::fleet_status::run(&command),
         Command::Rollout { command } => return rollout(command),
@@ -65,7 +65,7 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("flintwell: {error}");
@@ -77,8 +77,8 @@
 fn rollout(command: flintwell_conduct::Command) -> ExitCode {
     match flintwell_conduct::run(command) {
         Ok(code) => ExitCode::from(code),
-        Err(wrong) => {
-            wrong.iter().for_each(|one| eprintln!("flintwell: {one}"));
+        Err(errors) => {
+            errors.iter().for_each(|error| eprintln!("flintwell: {error}"));
             ExitCode::from(2)
         }
     }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -8,15 +8,15 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const SOCKETS: usize = 1_024; // the usual soft limit on descriptors of a process
-const MANAGEMENT: &str = "EDGE_MGMT"; // overrides `mgmt` of the file
-const MEMORY: f64 = 64.0;
-const MEGABYTE: f64 = 1_048_576.0;
-const BODIES: f64 = 0.25; // share of the memory limit
-const ANSWERS: f64 = 0.375; // share of the memory limit; the rest is for connections and the process itself
-const KEY_LEAST: usize = 16; // shorter keys can be guessed
+const DEFAULT_SOCKETS: usize = 1_024; // the usual soft limit on descriptors of a process
+const MANAGEMENT_ENV: &str = "EDGE_MGMT"; // overrides `mgmt` of the file
+const DEFAULT_MEMORY_MB: f64 = 64.0;
+const BYTES_PER_MB: f64 = 1_048_576.0;
+const REQUEST_BODY_SHARE: f64 = 0.25; // of the memory limit
+const READ_AHEAD_SHARE: f64 = 0.375; // of the memory limit; the rest is for connections and the process itself
+const MIN_KEY_BYTES: usize = 16; // shorter keys can be guessed
 /// Smallest usable descriptor limit; below it none would be left for clients and nodes.
-pub const SOCKETS_LEAST: usize = 64;
+pub const MIN_SOCKETS: usize = 64;
 
 #[derive(Deserialize)]
 struct Limits {
@@ -29,7 +29,7 @@
 /// Settings rollout: the fleet this proxy belongs to and where it persists the settings in force.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rollout {
+pub struct RolloutConfig {
     /// Name of the fleet; rollout messages for another fleet are refused.
     pub fleet: String,
     /// State directory, used by this proxy only; it must outlive the process.
@@ -39,7 +39,7 @@
 /// Messages between the proxies of the fleet, as configured.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct WordsTold {
+struct PeerMessagingSection {
     cluster: String,
     listen: SocketAddr,
     /// Address at which other proxies reach `listen`, if it differs.
@@ -63,7 +63,7 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -79,12 +79,11 @@
     settings: Value,
     /// Settings cannot be changed at run time without it.
     #[serde(default)]
-    rollout: Option<Rollout>,
+    rollout: Option<RolloutConfig>,
     /// The proxy exchanges no messages with other proxies without it.
     #[serde(default)]
-    words: Option<WordsTold>,
-    /// Settings of a second, passive policy instance whose decisions are compared with those taken; overrides on top
-    /// of `settings`.
+    words: Option<PeerMessagingSection>,
+    /// Overrides on top of `settings` for a shadow policy, whose decisions are only compared with those taken.
     #[serde(default)]
     watch_with: Option<Value>,
 }
@@ -98,36 +97,37 @@
     pub seed: u64,
     pub sockets: usize,
     /// Bytes of request bodies that may be buffered.
-    pub bodies: usize,
+    pub request_body_bytes: usize,
     /// Bytes of streamed responses that may be read ahead of their clients.
-    pub answers: usize,
-    pub known: Listing,
+    pub read_ahead_bytes: usize,
+    pub initial_nodes: Listing,
     pub settings: Settings,
-    pub watch_with: Option<Settings>,
+    /// Settings of the shadow policy, `watch_with` laid over `settings`.
+    pub shadow_settings: Option<Settings>,
     pub network: Network,
-    pub rollout: Option<Rollout>,
-    pub words: Option<PeerMessagingConfig>,
+    pub rollout: Option<RolloutConfig>,
+    pub peer_messaging: Option<PeerMessagingConfig>,
     /// The settings as JSON, unchanged from the file.
-    pub told: Value,
+    pub settings_json: Value,
 }
 
 /// Reads and validates the configuration file; the error names the file.
-pub fn read(path: &Path) -> Result<Config, String> {
-    let place = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
-    let text = std::fs::read(path).map_err(|e| place(&e))?;
-    decode_config(&text).map_err(|e| place(&e))
+pub fn load(path: &Path) -> Result<Config, String> {
+    let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+    let text = std::fs::read(path).map_err(|e| with_path(&e))?;
+    parse(&text).map_err(|e| with_path(&e))
 }
 
-fn decode_config(text: &[u8]) -> Result<Config, String> {
-    let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let sockets = file.limits.as_ref().and_then(|limits| limits.sockets).unwrap_or(SOCKETS);
-    let memory = file.limits.and_then(|limits| limits.memory_mb).unwrap_or(MEMORY).max(0.0);
-    if sockets < SOCKETS_LEAST {
-        return Err(format!("limits.sockets is {sockets}; the minimum is {SOCKETS_LEAST}"));
+fn parse(text: &[u8]) -> Result<Config, String> {
+    let file: ConfigFile = serde_json::from_slice(text).map_err(|e| e.to_string())?;
+    let sockets = file.limits.as_ref().and_then(|limits| limits.sockets).unwrap_or(DEFAULT_SOCKETS);
+    let memory = file.limits.and_then(|limits| limits.memory_mb).unwrap_or(DEFAULT_MEMORY_MB).max(0.0);
+    if sockets < MIN_SOCKETS {
+        return Err(format!("limits.sockets is {sockets}; the minimum is {MIN_SOCKETS}"));
     }
     check(&file.settings)?;
     let settings = decode(&file.settings)?;
-    let management = management_told()?.or(file.mgmt);
+    let management = management_from_env()?.or(file.mgmt);
     if let Some(rollout) = &file.rollout {
         if rollout.fleet.is_empty() || rollout.state.as_os_str().is_empty() {
             return Err("rollout: fleet and state must not be empty".into());
@@ -136,8 +136,8 @@
             return Err("rollout: needs the management API, but mgmt is not set".into());
         }
     }
-    let words = file.words.map(|told| words(told, &settings, &file.settings)).transpose()?;
-    let watch_with = file.watch_with.map(|other| {
+    let peer_messaging = file.words.map(|section| peer_messaging(section, &settings, &file.settings)).transpose()?;
+    let shadow_settings = file.watch_with.map(|other| {
         let both = laid_over(file.settings.clone(), other);
         check(&both).and_then(|()| decode(&both)).map_err(|e| format!("watch_with: {e}"))
     });
@@ -148,22 +148,22 @@
         discovery: file.discovery,
         seed: u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {e}"))?,
         sockets,
-        bodies: (memory * MEGABYTE * BODIES) as usize,
-        answers: (memory * MEGABYTE * ANSWERS) as usize,
-        known: file.known,
+        request_body_bytes: (memory * BYTES_PER_MB * REQUEST_BODY_SHARE) as usize,
+        read_ahead_bytes: (memory * BYTES_PER_MB * READ_AHEAD_SHARE) as usize,
+        initial_nodes: file.known,
         network: decode_network(&file.settings)?,
         settings,
-        watch_with: watch_with.transpose()?,
+        shadow_settings: shadow_settings.transpose()?,
         rollout: file.rollout,
-        words,
-        told: file.settings,
+        peer_messaging,
+        settings_json: file.settings,
     })
 }
 
-fn words(told: WordsTold, settings: &Settings, file: &Value) -> Result<PeerMessagingConfig, String> {
-    let WordsTold { cluster, listen, advertise, peers, key_file } = told;
+fn peer_messaging(section: PeerMessagingSection, settings: &Settings, settings_json: &Value) -> Result<PeerMessagingConfig, String> {
+    let PeerMessagingSection { cluster, listen, advertise, peers, key_file } = section;
     let advertise = advertise.unwrap_or(listen);
-    if file["limits"]["peer_messages"] == Value::Bool(false) {
+    if settings_json["limits"]["peer_messages"] == Value::Bool(false) {
         return Err("words: limits.peer_messages forbids messages between proxies".into());
     }
     if cluster.is_empty() || listen.port() == 0 || advertise.ip().is_unspecified() {
@@ -179,8 +179,8 @@
     let key = match key_file {
         Some(file) => {
             let key = std::fs::read(&file).map_err(|e| format!("words: key_file {}: {e}", file.display()))?;
-            if key.len() < KEY_LEAST {
-                return Err(format!("words: key_file {} has fewer than {KEY_LEAST} bytes", file.display()));
+            if key.len() < MIN_KEY_BYTES {
+                return Err(format!("words: key_file {} has fewer than {MIN_KEY_BYTES} bytes", file.display()));
             }
             key
         }
@@ -191,14 +191,14 @@
 
 /// Management address from the environment. It takes precedence over the file, because versions that run side by side
 /// share the file but need an address each.
-fn management_told() -> Result<Option<SocketAddr>, String> {
-    let told = std::env::var(MANAGEMENT).ok().filter(|told| !told.is_empty());
-    told.map(|told| told.parse().map_err(|e| format!("{MANAGEMENT} is {told}: {e}"))).transpose()
+fn management_from_env() -> Result<Option<SocketAddr>, String> {
+    let value = std::env::var(MANAGEMENT_ENV).ok().filter(|value| !value.is_empty());
+    value.map(|value| value.parse().map_err(|e| format!("{MANAGEMENT_ENV} is {value}: {e}"))).transpose()
 }
 
 impl std::fmt::Display for Config {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let cases = self.network.classes.join(", ");
+        let classes = self.network.classes.join(", ");
         writeln!(f, "{} listens on {}, discovery at {}", self.name, self.listen, self.discovery)?;
         if let Some(management) = self.management {
             writeln!(f, "management address {management}")?;
@@ -208,7 +208,7 @@
             "proxy {} of {}, {} descriptors",
             self.settings.index, self.settings.fleet_size, self.sockets
         )?;
-        let watched = if self.watch_with.is_some() { "; settings of watch_with are compared" } else { "" };
-        write!(f, "classes: {cases}; initial nodes: {}{watched}", self.known.len())
+        let shadow = if self.shadow_settings.is_some() { "; shadow policy with the settings of watch_with" } else { "" };
+        write!(f, "classes: {classes}; initial nodes: {}{shadow}", self.initial_nodes.len())
     }
 }
--- a/crates/flintwell/src/process/reload.rs
+++ b/crates/flintwell/src/process/reload.rs
@@ -25,7 +25,7 @@
 async fn reload(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
     let mut error_logged = false;
     loop {
-        match config::read(path) {
+        match config::load(path) {
             Ok(config) => {
                 log_line!("configuration reloaded; discovery at {}", config.discovery);
                 discovery
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -14,9 +14,9 @@
 use crate::nodes::permission::Permission;
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, to_duration};
-use crate::process::config::{Config, SOCKETS_LEAST};
+use crate::process::config::{Config, MIN_SOCKETS};
 use crate::process::handover::{self, Inheritance};
-use crate::process::inherit;
+use crate::process::socket_activation;
 use crate::process::reloadable::Reloadable;
 use crate::process::reload;
 use crate::process::shutdown;
@@ -48,17 +48,17 @@
 use tokio::time::sleep;
 use tokio_seqpacket::UnixSeqpacketListener;
 
-const AGAIN: Duration = Duration::from_millis(100); // well within a discovery long poll
-const SUPERVISED: &str = "EDGE_SUPERVISED"; // set by a supervisor; the process then ends with it
-const DESCRIPTORS_MOST: u64 = 65_536; // a table of this size takes half a MB
-const OWN_SOCKETS: usize = 32; // runtime, signals, log, listener and discovery, with some reserve
+const RESTART_DELAY: Duration = Duration::from_millis(100); // well within a discovery long poll
+const SUPERVISED_ENV: &str = "EDGE_SUPERVISED"; // set by a supervisor; the process then ends with it
+const MAX_TABLE_SIZE: u64 = 65_536; // a table of this size takes half a MB
+const RESERVED_DESCRIPTORS: usize = 32; // runtime, signals, log, listener and discovery, with some reserve
 
 /// Runs a background task to its end and restarts it after a panic. A task that ended with a panic would otherwise be
 /// missing for the rest of the process's life without any sign but its effects: a stale server list, a closed listener.
-async fn lasting(part: &str, mut work: impl AsyncFnMut()) {
+async fn restart_on_panic(part: &str, mut work: impl AsyncFnMut()) {
     while AssertUnwindSafe(work()).catch_unwind().await.is_err() {
         log_line!("task {part} panicked; restarting it");
-        sleep(AGAIN).await;
+        sleep(RESTART_DELAY).await;
     }
 }
 
@@ -66,8 +66,8 @@
 /// log has its own), the kernel waits for an RCU grace period before it grows the table. Until then `open` and `accept`
 /// block the only runtime thread, for up to a second on a busy machine, and in a fleet whose proxies start together at
 /// the same number of connections in all of them.
-fn makes_room(sockets: usize) {
-    let most = (sockets as u64).min(DESCRIPTORS_MOST);
+fn grow_descriptor_table(sockets: usize) {
+    let most = (sockets as u64).min(MAX_TABLE_SIZE);
     // If this fails, the table grows on demand.
     let _ = fcntl_dupfd_cloexec(std::io::stderr(), most as i32 - 1);
 }
@@ -83,10 +83,10 @@
         log_line!("limits.sockets is {}, but RLIMIT_NOFILE is {limit}; using {limit}", config.sockets);
         config.sockets = limit;
     }
-    if limit < SOCKETS_LEAST {
-        return Err(format!("RLIMIT_NOFILE is {limit}; the minimum is {SOCKETS_LEAST}"));
+    if limit < MIN_SOCKETS {
+        return Err(format!("RLIMIT_NOFILE is {limit}; the minimum is {MIN_SOCKETS}"));
     }
-    makes_room(config.sockets);
+    grow_descriptor_table(config.sockets);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, run(config, path))
@@ -96,14 +96,14 @@
     // Comes first, since SIGHUP ends the process until the handler is installed.
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
     // A request holds one client connection and at most one node connection, so each side gets half.
-    let connections = (config.sockets - OWN_SOCKETS) / 2;
-    let inherited = inherit::listener()?;
+    let connections = (config.sockets - RESERVED_DESCRIPTORS) / 2;
+    let inherited = socket_activation::inherited_listener()?;
     let inherits = inherited.is_some();
     let listener = match inherited {
         Some(listener) => listener,
         None => accept::listen(config.listen).await.map_err(|e| format!("listen {}: {e}", config.listen))?,
     };
-    if std::env::var_os(SUPERVISED).is_some() {
+    if std::env::var_os(SUPERVISED_ENV).is_some() {
         // If the supervisor is killed, this process must not survive it: it would keep the listening socket occupied
         // when the next supervisor starts.
         let ends = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::TERM));
@@ -123,7 +123,7 @@
                 log_line!("{why}");
                 None
             });
-            let member = Member::start(&rollout.fleet, left, &config.told);
+            let member = Member::start(&rollout.fleet, left, &config.settings_json);
             // The settings confirmed last take precedence over the file.
             let in_force = &member.in_force().settings;
             (config.settings, config.network) = (decode(in_force)?, decode_network(in_force)?);
@@ -141,17 +141,17 @@
     let figures = Figures { pushed, fleet, index, grace };
     let origin_kind = config.settings.origin_kind;
     let (clock, seed) = (Clock::start(), config.seed);
-    let watch = config.watch_with.map(|other| Rc::new(Watch::new(clock.now(), other, seed)));
+    let watch = config.shadow_settings.map(|other| Rc::new(Watch::new(clock.now(), other, seed)));
     let dispatcher = Rc::new(Dispatcher::new(clock, config.settings, seed, pool.clone(), watch.clone()));
     if let Some(watch) = watch {
-        spawn_local(lasting("settings comparison", async move || watch.tell().await));
+        spawn_local(restart_on_panic("shadow policy", async move || watch.tell().await));
     }
     let succession = Succession::open(store.clone(), dispatcher.clock.now());
     let succession = Rc::new(succession.map_err(|e| format!("directory for temporary files: {e}"))?);
     let kept = KeptList::new(store.clone());
     let (source, begins_with, age) = match kept.left() {
         Some(Left { listing, age }) => (Source::Folder, listing, age),
-        None => (Source::Configuration, config.known, None),
+        None => (Source::Configuration, config.initial_nodes, None),
     };
     let now = clock.now();
     let list_watch = ListWatch::new(
@@ -182,24 +182,24 @@
     );
     discovery.start(&begins_with);
     let watched = dispatcher.clone();
-    spawn_local(lasting("discovery", async move || discovery.watch(&watched).await));
+    spawn_local(restart_on_panic("discovery", async move || discovery.watch(&watched).await));
     let leased = registry.clone();
-    spawn_local(lasting("list lease", async move || leased.keep_lease().await));
+    spawn_local(restart_on_panic("list lease", async move || leased.keep_lease().await));
     let reloading = async move || reload::on_signal(&mut hangup, &path, &moves).await;
-    spawn_local(lasting("reload", reloading));
+    spawn_local(restart_on_panic("reload", reloading));
     let timed = dispatcher.clone();
-    spawn_local(lasting("timers", async move || timed.keep_time().await));
+    spawn_local(restart_on_panic("timers", async move || timed.keep_time().await));
     let beating = dispatcher.clone();
-    spawn_local(lasting("stall detector", async move || beating.pulse.run().await));
+    spawn_local(restart_on_panic("stall detector", async move || beating.pulse.run().await));
     let followed = registry.clone();
-    spawn_local(lasting("registry", async move || followed.follow().await));
+    spawn_local(restart_on_panic("registry", async move || followed.follow().await));
     let swept = pool.clone();
-    spawn_local(lasting("pool sweep", async move || swept.sweep().await));
-    let (stop, shutdown) = shutdown::new();
+    spawn_local(restart_on_panic("pool sweep", async move || swept.sweep().await));
+    let (stop, shutdown) = shutdown::channel();
     let room = Arc::new(Semaphore::new(connections));
     let rooms = [(room.clone(), connections), (pool.room(), connections)];
     let (sharing, stopping) = (succession.clone(), shutdown.clone());
-    spawn_local(lasting("connection limits", async move || sharing.share(&rooms, &stopping).await));
+    spawn_local(restart_on_panic("connection limits", async move || sharing.share_limits(&rooms, &stopping).await));
     let rollout = changes.map(|(disk, member)| {
         let (put_dispatcher, put_network) = (dispatcher.clone(), network.clone());
         let (put_counts, put_registry) = (counts.clone(), registry.clone());
@@ -227,14 +227,14 @@
         })
     });
     if let Some(rollout) = rollout.clone() {
-        spawn_local(lasting("rollout", async move || rollout.run().await));
+        spawn_local(restart_on_panic("rollout", async move || rollout.run().await));
     }
-    let words = config.words.take().map(|words| {
+    let words = config.peer_messaging.take().map(|peer_messaging| {
         let (dispatcher, counts) = (dispatcher.clone(), counts.clone());
-        Rc::new(Words::new(words, config.name.clone(), place, seed, dispatcher, counts))
+        Rc::new(Words::new(peer_messaging, config.name.clone(), place, seed, dispatcher, counts))
     });
     if let Some(words) = words.clone() {
-        spawn_local(lasting("peer messages", async move || words.speak().await));
+        spawn_local(restart_on_panic("peer messaging", async move || words.speak().await));
     }
     if let (Some(words), shutdown) = (words.clone(), shutdown.clone()) {
         spawn_local(async move {
@@ -248,35 +248,35 @@
         let office =
             Rc::new(ApiState { counts, dispatcher, registry, list_status, lease, shutdown, rollout, words });
         let answering = async move || api::serve(&listener, &office).await;
-        spawn_local(lasting("management API", answering));
+        spawn_local(restart_on_panic("management API", answering));
     }
-    if inherits && let Some(path) = succession.takes_over_at() {
+    if inherits && let Some(path) = succession.handover_socket() {
         // Failing to bind this socket must not keep the process from serving; only handover is unavailable then.
         match UnixSeqpacketListener::bind(&path) {
             Ok(mut listener) => {
                 let takeover = Inheritance { rooms: [room.clone(), pool.room()], counts: counts.clone() };
-                spawn_local(lasting("handover", async move || takeover.take_over(&mut listener).await));
+                spawn_local(restart_on_panic("handover", async move || takeover.take_over(&mut listener).await));
             }
             Err(error) => log_line!("cannot take over responses from a predecessor: {error}"),
         }
     }
     let permission = Permission { pool, lease: lease.clone(), violations: counts.violations.clone() };
-    let attempts = Attempts::new(permission, counts.clone(), Budget::new(config.answers));
-    let budget = Budget::new(config.bodies);
+    let attempts = Attempts::new(permission, counts.clone(), Budget::new(config.read_ahead_bytes));
+    let budget = Budget::new(config.request_body_bytes);
     let longest_now = network.clone();
     let front =
         Front { dispatcher, attempts, counts, network, budget, lease, shutdown, client: Presence::default() };
     let at = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
-    succession.serves().map_err(|e| format!("directory for temporary files: {e}"))?;
+    succession.mark_serving().map_err(|e| format!("directory for temporary files: {e}"))?;
     log_line!("{} serves on {at}", config.name);
     let client_room = room.clone();
     let accepting =
-        spawn_local(lasting("accept", async move || accept::accept(&listener, &client_room, &front).await));
-    let longest = || to_duration(longest_now.get().longest);
-    let has_successor = || inherits && succession.succeeded();
-    let successor = async || handover::successor(succession.successor().as_deref()).await;
+        spawn_local(restart_on_panic("accept", async move || accept::accept(&listener, &client_room, &front).await));
+    let max_request_time = || to_duration(longest_now.get().longest);
+    let has_successor = || inherits && succession.has_successor();
+    let successor = async || handover::successor(succession.successor_socket().as_deref()).await;
     let stopped =
-        stop.on_signal(accepting, room, connections as u32, longest, has_successor, successor).await;
+        stop.run(accepting, room, connections as u32, max_request_time, has_successor, successor).await;
     stopped.map_err(|e| format!("signals: {e}"))
 }
 
--- a/crates/flintwell/src/process/serve/tests.rs
+++ b/crates/flintwell/src/process/serve/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[tokio::test]
-async fn a_part_that_panics_starts_again() {
+async fn task_is_restarted_after_a_panic() {
     let mut starts = 0;
-    let work = async || {
+    let task = async || {
         starts += 1;
         assert!(starts > 2, "panics twice");
     };
-    lasting("a part", work).await;
+    restart_on_panic("a task", task).await;
     assert_eq!(starts, 3);
 }
--- a/crates/flintwell/src/process/shutdown.rs
+++ b/crates/flintwell/src/process/shutdown.rs
@@ -14,15 +14,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-const CALM: Duration = Duration::from_millis(450); // clients still connect for a while after the signal
-const LISTENER: Duration = Duration::from_millis(100); // for a request sent again after its idle connection closed
-const LATE: Duration = Duration::from_millis(50); // for the first request on the last accepted connections
-const READS: Duration = Duration::from_secs(60); // beyond the longest deadline, for clients that read slowly
+/// Before idle connections are closed: clients still connect for a while after the signal.
+const ACCEPT_GRACE: Duration = Duration::from_millis(450);
+/// Before the listener is closed: a request that crossed the close of its connection is sent again on a new one.
+const RECONNECT_GRACE: Duration = Duration::from_millis(100);
+/// Before the last idle connections are closed: time for the first request on those accepted last.
+const LATE_CONNECTION_GRACE: Duration = Duration::from_millis(50);
+/// Added to the longest deadline, for clients that read slowly.
+const SLOW_READER_GRACE: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     Serving,
-    Begun,
+    Draining,
     IdleClosed,
     ListenerClosed,
     AllClosed,
@@ -32,7 +36,7 @@
 #[derive(Clone)]
 pub struct Shutdown {
     phases: watch::Receiver<Phase>,
-    succeeded: Rc<Cell<bool>>,
+    has_successor: Rc<Cell<bool>>,
     successor: Rc<OnceCell<Rc<Successor>>>,
 }
 
@@ -43,65 +47,65 @@
     }
     /// Waits until the listener has to be closed.
     pub async fn listener_closed(&self) {
-        self.reached(Phase::Begun).await;
-        if !self.succeeded.get() {
-            self.reached(Phase::ListenerClosed).await;
+        self.wait_for_phase(Phase::Draining).await;
+        if !self.has_successor.get() {
+            self.wait_for_phase(Phase::ListenerClosed).await;
         }
     }
     /// Whether a successor serves the same listening socket. Connections still in the accept queue then belong to the
     /// successor: one that is accepted or inspected here during shutdown would be lost with this process.
     pub fn has_successor(&self) -> bool {
-        self.succeeded.get()
+        self.has_successor.get()
     }
     /// Completes when a connection accepted now has to be closed if idle. A request that crosses this close is sent
     /// again on a new connection and is lost if the listener is already closed. So connections accepted late, while
     /// idle ones are already being closed, stay open until the last phase.
     pub fn idle_closed(&self) -> impl Future<Output = ()> + use<> {
-        let late = *self.phases.borrow() >= Phase::IdleClosed;
-        let (shutdown, phase) = (self.clone(), if late { Phase::AllClosed } else { Phase::IdleClosed });
-        async move { shutdown.reached(phase).await }
+        let closing_idle = *self.phases.borrow() >= Phase::IdleClosed;
+        let (shutdown, phase) = (self.clone(), if closing_idle { Phase::AllClosed } else { Phase::IdleClosed });
+        async move { shutdown.wait_for_phase(phase).await }
     }
     /// Waits for shutdown and returns the successor that takes over streamed responses; never completes without one.
     pub async fn successor(&self) -> Rc<Successor> {
-        self.reached(Phase::Begun).await;
+        self.wait_for_phase(Phase::Draining).await;
         match self.successor.get() {
             Some(successor) => successor.clone(),
             None => std::future::pending().await,
         }
     }
-    async fn reached(&self, least: Phase) {
+    async fn wait_for_phase(&self, target: Phase) {
         // An error means that the sender is gone, after the last phase.
-        let _ = self.phases.clone().wait_for(|phase| *phase >= least).await;
+        let _ = self.phases.clone().wait_for(|phase| *phase >= target).await;
     }
 }
 
 /// Runs the shutdown and publishes its phases.
-pub struct Stop {
+pub struct ShutdownController {
     phases: watch::Sender<Phase>,
-    succeeded: Rc<Cell<bool>>,
+    has_successor: Rc<Cell<bool>>,
     successor: Rc<OnceCell<Rc<Successor>>>,
 }
 
 /// Creates the controller of the shutdown and its observer.
-pub fn new() -> (Stop, Shutdown) {
+pub fn channel() -> (ShutdownController, Shutdown) {
     let (sender, receiver) = watch::channel(Phase::Serving);
-    let (succeeded, successor) = (Rc::<Cell<bool>>::default(), Rc::default());
+    let (has_successor, successor) = (Rc::<Cell<bool>>::default(), Rc::default());
     let shutdown =
-        Shutdown { phases: receiver, succeeded: succeeded.clone(), successor: Rc::clone(&successor) };
-    (Stop { phases: sender, succeeded, successor }, shutdown)
+        Shutdown { phases: receiver, has_successor: has_successor.clone(), successor: Rc::clone(&successor) };
+    (ShutdownController { phases: sender, has_successor, successor }, shutdown)
 }
 
-impl Stop {
+impl ShutdownController {
     /// Waits for SIGTERM or SIGINT, then runs the shutdown to its end. `accepting` completes once the listener is
-    /// closed, client connections hold permits of `room` (`connections` in total), and no request is in flight for
-    /// longer than `longest`. `has_successor` is evaluated at the signal; if it is true, `successor` connects to the
-    /// process that takes over streamed responses.
-    pub async fn on_signal(
+    /// closed, client connections hold permits of `client_permits` (`connections` in total), and no request is in
+    /// flight for longer than `max_request_time`. `has_successor` is evaluated at the signal; if it is true,
+    /// `successor` connects to the process that takes over streamed responses.
+    pub async fn run(
         self,
         accepting: JoinHandle<()>,
-        room: Arc<Semaphore>,
+        client_permits: Arc<Semaphore>,
         connections: u32,
-        longest: impl FnOnce() -> Duration,
+        max_request_time: impl FnOnce() -> Duration,
         has_successor: impl FnOnce() -> bool,
         successor: impl AsyncFnOnce() -> Option<Successor>,
     ) -> std::io::Result<()> {
@@ -114,26 +118,26 @@
             // Shutdown begins only after this: a request refused while we still accept connections would be sent to us
             // again.
             successor().await.map(|successor| self.successor.set(Rc::new(successor)));
-            self.succeeded.set(true);
+            self.has_successor.set(true);
         }
-        log_line!("shutting down{}", if self.succeeded.get() { "; a successor serves the socket" } else { "" });
-        self.phases.send_replace(Phase::Begun);
+        log_line!("shutting down{}", if self.has_successor.get() { "; a successor serves the socket" } else { "" });
+        self.phases.send_replace(Phase::Draining);
         // With a successor no connections are accepted from here on, since a long response to a later request would be
         // cut off by SIGKILL; the successor accepts them instead.
-        let calm = if self.succeeded.get() { Duration::ZERO } else { CALM };
+        let accept_grace = if self.has_successor.get() { Duration::ZERO } else { ACCEPT_GRACE };
         for (wait, phase) in
-            [(calm, Phase::IdleClosed), (LISTENER, Phase::ListenerClosed), (LATE, Phase::AllClosed)]
+            [(accept_grace, Phase::IdleClosed), (RECONNECT_GRACE, Phase::ListenerClosed), (LATE_CONNECTION_GRACE, Phase::AllClosed)]
         {
             sleep(wait).await;
             self.phases.send_replace(phase);
         }
-        let rest = async {
+        let closed = async {
             // Acquiring the permits earlier would leave none for the last accepted connections.
             let _ = accepting.await;
-            let _ = room.acquire_many(connections).await;
+            let _ = client_permits.acquire_many(connections).await;
         };
         // The extra time keeps a long response from being cut off while its client still reads it.
-        if timeout(longest() + READS, rest).await.is_err() {
+        if timeout(max_request_time() + SLOW_READER_GRACE, closed).await.is_err() {
             log_line!("shutdown timed out with connections still open");
         }
         Ok(())
