--- a/crates/flintwell-core/src/interface.rs
+++ b/crates/flintwell-core/src/interface.rs
@@ -1,179 +1,211 @@
-//! Types between the decision module and whoever hosts it: ids, settings, outcomes and the host's calls.
+//! Types shared by the decision module and its host: ids, settings, attempt results and the host's callbacks.
 
 use std::sync::Arc;
 
-/// Whole microseconds: an instant on the host's clock, or a span.
+/// Microseconds: an instant on the host's clock, or a duration.
 pub type Micros = i64;
 pub type RequestId = Arc<str>;
 pub type NodeId = Arc<str>;
 pub type Key = Arc<str>;
 
-/// What the module may do. Each call takes effect at the instant the module was told of.
+/// Actions that the module requests. Each takes effect at the time passed to the call that caused it.
 pub trait Host {
-    /// Starts an attempt; `allow_for` is its time-out.
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros);
-    /// Final answer: turned away, trying again is harmless; `stay_away` is advice, 0 for none.
-    fn refuse(&mut self, request: &RequestId, stay_away: Micros);
-    /// Final answer: nothing is promised about the effect.
+    /// Starts an attempt that times out after `timeout`.
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros);
+    /// Final answer: the request was refused and may be retried safely. `retry_after` is a hint for the
+    /// client, 0 for none.
+    fn refuse(&mut self, request: &RequestId, retry_after: Micros);
+    /// Final answer: the request may or may not have taken effect.
     fn fail(&mut self, request: &RequestId);
-    /// Closes our idle connections to a node.
+    /// Closes the idle connections of this proxy to a node.
     fn close_idle(&mut self, node: &NodeId);
-    /// Asks for a call of `timer` with this label at or after `at`.
-    fn wake_at(&mut self, label: u64, at: Micros);
-    /// Subscribes to changes of the list.
-    fn watch_list(&mut self);
+    /// Requests a call of the module's timer event with this label at or after `at`.
+    fn set_timer(&mut self, label: u64, at: Micros);
+    /// Subscribes to updates of the node list.
+    fn subscribe_to_list(&mut self);
 }
 
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
+    /// May run any number of times.
     Safe,
+    /// Repeats are deduplicated by the request's idempotency key, within a scope and for a limited time.
     Keyed,
+    /// Must run at most once.
     Unsafe,
 }
 
-/// Which cache nodes drop repeats of a keyed request.
+/// Cache nodes that share deduplication of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
 }
 
+/// Settings of a class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    pub effect: Effect,
-    pub group: Group,
-    pub memory: Micros,
+    pub idempotency: Idempotency,
+    /// Nodes to which a keyed request may be repeated.
+    pub dedup_scope: DedupScope,
+    /// How long repeats of a keyed request are recognized.
+    pub dedup_window: Micros,
     pub latency_target: Micros,
-    /// The latency target grows by this many times the request's own work.
-    pub target_stretch: f64,
-    /// Share of the worth still paid after the latency target.
-    pub late_share: f64,
-    /// The kinds and the zones of cache nodes that it may be sent to; all where not given.
+    /// The latency target grows by this many times the request's expected work.
+    pub target_work_factor: f64,
+    /// Fraction of the worth that remains after the latency target.
+    pub late_worth: f64,
+    /// Kinds of cache nodes that may serve the class; `None` allows all.
     pub kinds: Option<Vec<u32>>,
+    /// Zones whose cache nodes may serve the class; `None` allows all.
     pub zones: Option<Vec<u32>>,
 }
 
-/// What the list's sizes stand for.
+/// Meaning of the weights in the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sizes {
-    /// Nothing.
+pub enum WeightMode {
+    /// Weights carry no information.
     None,
-    /// The registered ones, exact or rough.
+    /// Weights are registered capacities, exact or approximate.
     Declared,
-    /// The registered ones, lowered the more requests a node holds.
+    /// Weights are registered capacities, reduced as a node holds more requests.
     Live,
 }
 
+/// Settings of one proxy.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub classes: Vec<Class>,
-    /// Requests a second within each tenant's share, over all proxies.
+    /// Quota of each tenant over all proxies, in requests per second.
     pub quotas: Vec<f64>,
-    /// True where a cache node that lacks a key says so and the proxy asks the origin.
-    pub aside: bool,
+    /// Cache-aside mode: a cache node reports a miss and the proxy fetches from the origin. Otherwise
+    /// read-through: the cache node fetches.
+    pub cache_aside: bool,
+    /// Node kind of the origin.
     pub origin_kind: Option<u32>,
-    pub index: u32,
-    /// Where this proxy is.
+    /// Number of this proxy in the fleet.
+    pub proxy_index: u32,
+    /// Zone of this proxy.
     pub zone: u32,
-    pub zones: u32,
-    /// What an attempt to another zone costs, in worth of a request.
-    pub cross_price: f64,
+    /// Number of zones.
+    pub zone_count: u32,
+    /// Cost of an attempt in another zone, in units of a request's worth.
+    pub cross_zone_cost: f64,
+    /// Number of proxies.
     pub fleet_size: u32,
     pub max_attempts: usize,
-    /// Longest advice to stay away that clients heed; 0 where advice does not reach them.
-    pub max_stay_away: Micros,
-    /// True where the list answers only when asked.
+    /// Longest `retry_after` that clients follow; 0 if it does not reach them.
+    pub max_retry_after: Micros,
+    /// The list service answers only when asked.
     pub list_on_request: bool,
-    pub ask_within: Micros,
-    pub sizes: Sizes,
+    /// Time limit for requesting the list from the list service.
+    pub max_list_refresh_interval: Micros,
+    pub weight_mode: WeightMode,
+    /// Fraction of its capacity that a node has right after its start.
     pub start_capacity: f64,
+    /// Time from a node's start to its full capacity.
     pub ramp_time: Micros,
-    /// The most by which a listed start may be off, either way.
-    pub start_drift: Micros,
-    /// What an open connection a cache node costs, in new connections a request; 0 where they cost nothing.
-    pub connection_price: f64,
-    /// How long a cold node can be pushed before it falls.
-    pub fall: Micros,
-    /// From the choice of a node until its first byte, at most: a connection may have to come up.
-    pub dial_within: Micros,
+    /// Largest error of a listed start time, in either direction.
+    pub max_start_time_error: Micros,
+    /// Cost of one open connection per cache node, in units of one new connection per request; 0 if open
+    /// connections cost nothing.
+    pub connection_cost: f64,
+    /// How long a cold node withstands overload before it fails.
+    pub cold_overload_window: Micros,
+    /// Longest time from choosing a node to sending the first byte, including opening a connection.
+    pub dial_timeout: Micros,
 }
 
+/// What an update of the node list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdateKind {
     /// Only the entries that changed.
-    Changes,
-    Whole,
-    /// The whole list as this instance last had it, maybe old.
-    Kept,
-    /// A call failed or the subscription broke; the old list stands.
+    Delta,
+    /// The complete list.
+    Snapshot,
+    /// The complete list that this instance stored last; it may be outdated.
+    Restored,
+    /// A request for the list failed or the subscription broke; the previous list stays in use.
     Failed,
 }
 
+/// State of a node according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum NodeState {
     Ready,
     Draining,
     #[default]
     Gone,
 }
 
+/// One node in the list.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct NodeEntry {
     pub node: NodeId,
     pub zone: u32,
     pub kind: u32,
     pub cell: u32,
-    pub standing: Standing,
-    pub size: f64,
-    /// Its last start; 0 for long ago.
+    pub state: NodeState,
+    /// Relative capacity.
+    pub weight: f64,
+    /// Time of the last start; 0 if it was long ago.
     pub started_at: Micros,
 }
 
-/// A request as it arrives.
+/// A request when it arrives at the proxy.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct IncomingRequest {
     pub id: RequestId,
     pub class: usize,
     pub tenant: usize,
     pub key: Option<Key>,
     pub deadline: Micros,
-    /// Expected work on a standard core, where hinted.
-    pub work: Option<Micros>,
-    pub write: bool,
+    /// Expected processing time on a standard core, if the client gave a hint.
+    pub expected_work: Option<Micros>,
+    pub is_write: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptStatus {
     Served,
+    /// The node answered with an error.
     Error,
+    /// The node refused the request because it is at capacity.
     Full,
     TimedOut,
     ConnectFailed,
+    /// The connection was reset after the request was sent.
     Reset,
     Cancelled,
     NotSent,
+    /// The cache node does not have the key.
     Miss,
-    /// An answer came that makes no sense: it may have run, and nothing is learned of load.
-    Spoilt,
-    /// A code this version does not know: it may have run.
+    /// The response was invalid: the request may have run, and the response says nothing about load.
+    InvalidResponse,
+    /// A status code that this version does not know: the request may have run.
     Unknown,
 }
 
-impl Ending {
+impl AttemptStatus {
+    /// Whether the request certainly did not run at the node.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent | Self::Miss)
     }
 }
 
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Outcome {
-    pub number: usize,
-    pub ending: Ending,
-    pub wait: Micros,
-    /// The request is over, by this outcome or before it.
-    pub settled: bool,
-    /// It was the first on a connection opened for it, as far as the host can tell.
-    pub first: bool,
+pub struct AttemptOutcome {
+    /// Index of the attempt within its request.
+    pub attempt_index: usize,
+    pub status: AttemptStatus,
+    /// Time from the start of the attempt to its end.
+    pub latency: Micros,
+    /// The request has its final answer, through this outcome or an earlier event.
+    pub request_finished: bool,
+    /// The request was the first on a newly opened connection, as far as the host knows.
+    pub first_on_connection: bool,
 }
--- a/crates/flintwell-core/src/lib.rs
+++ b/crates/flintwell-core/src/lib.rs
@@ -1,4 +1,5 @@
-//! The core of flintwell: `interface` holds the types, `policy` every decision, `state` its records.
+//! The load-balancing policy of flintwell: `interface` has its types, `policy` its decisions, `state` its
+//! data.
 #![forbid(unsafe_code)]
 
 pub mod interface;
--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -1,7 +1,8 @@
-//! Reads each event by position straight into a call, and writes each answer straight into the reply.
+//! The simulator's JSON protocol. Events are decoded by position, directly into module calls, and actions are written
+//! directly into the reply.
 
 use flintwell_core::interface::{
-    Arrival, Ending, Entry, Host, Key, ListKind, Micros, NodeId, Outcome, RequestId, Standing,
+    IncomingRequest, AttemptStatus, NodeEntry, Host, Key, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, NodeState,
 };
 use flintwell_core::policy::Policy;
 use flintwell_settings::{decode, micros};
@@ -16,7 +17,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-const WRITE_MARK: u64 = 4;
+const WRITE_MARK: u64 = 4; // bit of `marks`
+/// Names of the known events. Events of the same protocol that this host does not need are listed and ignored.
 const EVENTS: [&str; 10] = [
     "begin",
     "shutdown",
@@ -32,7 +34,7 @@
 
 type Reply = Rc<RefCell<Vec<u8>>>;
 
-/// One instance's way to answer.
+/// The host of one instance: writes the module's actions into the shared reply.
 struct SimHost {
     instance: u64,
     reply: Reply,
@@ -47,7 +49,7 @@
     let _ = serde_json::to_writer(&mut *reply, text);
 }
 
-/// Microseconds as seconds with six places.
+/// Writes microseconds as seconds with six decimal places.
 fn push_seconds(reply: &mut Vec<u8>, time: Micros) {
     if time < 0 {
         reply.push(b'-');
@@ -64,7 +66,7 @@
 }
 
 impl SimHost {
-    /// Writes one action: its name, the instance and what `rest` adds.
+    /// Writes one action: its name, the instance, and the values that `rest` adds.
     fn act(&self, name: &str, rest: impl FnOnce(&mut Vec<u8>)) {
         let mut reply = self.reply.borrow_mut();
         if reply.last() == Some(&b']') {
@@ -80,7 +82,7 @@
 }
 
 impl Host for SimHost {
-    fn attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
         self.act("submit_to", |r| {
             r.push(b',');
             push_text(r, request);
@@ -110,7 +112,7 @@
             push_text(r, node);
         });
     }
-    fn wake_at(&mut self, label: u64, at: Micros) {
+    fn set_timer(&mut self, label: u64, at: Micros) {
         self.act("set_timer", |r| {
             r.push(b',');
             push_number(r, label);
@@ -118,27 +120,28 @@
             push_seconds(r, at);
         });
     }
-    fn watch_list(&mut self) {
+    fn subscribe_to_list(&mut self) {
         self.act("watch", |r| r.extend_from_slice(b",true"));
     }
 }
 
-fn ending(code: i64) -> Ending {
+/// The ending that a status code of the protocol stands for.
+fn ending(code: i64) -> AttemptStatus {
     match code {
-        200 => Ending::Served,
-        502 => Ending::Error,
-        429 => Ending::Full,
-        408 => Ending::TimedOut,
-        521 => Ending::ConnectFailed,
-        520 => Ending::Reset,
-        444 => Ending::Cancelled,
-        409 => Ending::NotSent,
-        204 => Ending::Miss,
-        _ => Ending::Unknown,
+        200 => AttemptStatus::Served,
+        502 => AttemptStatus::Error,
+        429 => AttemptStatus::Full,
+        408 => AttemptStatus::TimedOut,
+        521 => AttemptStatus::ConnectFailed,
+        520 => AttemptStatus::Reset,
+        444 => AttemptStatus::Cancelled,
+        409 => AttemptStatus::NotSent,
+        204 => AttemptStatus::Miss,
+        _ => AttemptStatus::Unknown,
     }
 }
 
-/// All instances hosted by this process; they share nothing but the reply being written.
+/// All instances that this process hosts; they share only the reply buffer.
 #[derive(Default)]
 pub struct Proxies {
     running: HashMap<u64, Policy<SimHost>>,
@@ -153,6 +156,7 @@
 }
 
 impl Proxies {
+    /// Processes one line of input and returns the reply.
     pub fn batch(&mut self, line: &[u8]) -> Result<Ref<'_, Vec<u8>>, serde_json::Error> {
         let batch: Batch = serde_json::from_slice(line)?;
         {
@@ -182,7 +186,7 @@
 impl<'de> Visitor<'de> for Events<'_> {
     type Value = ();
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("the array of events")
+        f.write_str("an array of events")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut events: A) -> Result<(), A::Error> {
         while events.next_element_seed(Event { proxies: &mut *self.proxies, now: self.now })?.is_some() {}
@@ -202,7 +206,7 @@
     }
 }
 
-/// The values of one event, by position.
+/// Reads the values of one event by position.
 struct Fields<'n, A> {
     event: &'n str,
     seq: A,
@@ -227,17 +231,17 @@
     }
 }
 
-/// Text, borrowed where it holds no escapes.
+/// Text, borrowed if it contains no escapes.
 #[derive(Deserialize)]
 struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
 
 impl<'de> Visitor<'de> for Event<'_> {
     type Value = ();
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("an event: an array of its name and values")
+        f.write_str("an event: an array with its name and its values")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        let name = seq.next_element::<Text>()?.ok_or_else(|| A::Error::custom("an event without a name"))?.0;
+        let name = seq.next_element::<Text>()?.ok_or_else(|| A::Error::custom("event without a name"))?.0;
         if !EVENTS.contains(&&*name) {
             eprintln!("flintwell-simhost: unknown event '{name}' skipped");
             while seq.next_element::<IgnoredAny>()?.is_some() {}
@@ -253,67 +257,67 @@
                 let conf: Value = fields.need("conf")?;
                 let settings = decode(&conf).map_err(|e| A::Error::custom(format!("event begin: {e}")))?;
                 let host = SimHost { instance, reply: self.proxies.reply.clone() };
-                self.proxies.running.insert(instance, Policy::start(now, settings, seed, host));
+                self.proxies.running.insert(instance, Policy::new(now, settings, seed, host));
             }
             "shutdown" => {
                 self.proxies.running.remove(&instance);
             }
             "incoming" => {
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     id: fields.id("msg_id")?,
                     class: fields.need("qos")?,
                     tenant: fields.maybe("org")?.unwrap_or(0),
                     key: fields.maybe::<Text>("item")?.map(|t| Key::from(t.0)),
                     deadline: fields.time("deadline")?,
-                    work: fields.maybe("cost_guess")?.map(micros),
-                    write: {
+                    expected_work: fields.maybe("cost_guess")?.map(micros),
+                    is_write: {
                         fields.maybe::<IgnoredAny>("size")?;
                         fields.maybe::<u64>("marks")?.unwrap_or(0) & WRITE_MARK != 0
                     },
                 };
                 if let Some(policy) = policy.as_mut() {
-                    policy.request_arrives(now, arrival);
+                    policy.on_request(now, arrival);
                 }
             }
             "answer" => {
                 let (id, number) = (fields.id("msg_id")?, fields.need("send_no")?);
                 let node = fields.id("node")?;
-                let outcome = Outcome {
-                    number,
-                    ending: ending(fields.need("ending")?),
-                    wait: fields.time("wait_time")?,
-                    settled: fields.need("settled")?,
-                    first: false,
+                let outcome = AttemptOutcome {
+                    attempt_index: number,
+                    status: ending(fields.need("ending")?),
+                    latency: fields.time("wait_time")?,
+                    request_finished: fields.need("settled")?,
+                    first_on_connection: false,
                 };
                 if let Some(policy) = policy.as_mut() {
-                    policy.outcome(now, &id, &node, outcome);
+                    policy.on_attempt_outcome(now, &id, &node, outcome);
                 }
             }
             "targets" => {
                 let kind = match &*fields.need::<Text>("how")?.0 {
-                    "Partial" => ListKind::Changes,
-                    "Complete" => ListKind::Whole,
-                    "Persisted" => ListKind::Kept,
-                    "Error" => ListKind::Failed,
+                    "Partial" => ListUpdateKind::Delta,
+                    "Complete" => ListUpdateKind::Snapshot,
+                    "Persisted" => ListUpdateKind::Restored,
+                    "Error" => ListUpdateKind::Failed,
                     other => return Err(A::Error::custom(format!("event targets: how: unknown '{other}'"))),
                 };
                 let _version = fields.maybe::<IgnoredAny>("stamp")?;
                 let items = fields.maybe::<Vec<Item>>("items")?.unwrap_or_default();
                 if let Some(policy) = policy.as_mut() {
-                    policy.list(now, kind, items.into_iter().map(Item::entry).collect());
+                    policy.on_list_update(now, kind, items.into_iter().map(Item::entry).collect());
                 }
             }
             "timeout_fired" => {
                 let label = fields.need("label")?;
                 if let Some(policy) = policy.as_mut() {
-                    policy.timer(now, label);
+                    policy.on_timer(now, label);
                 }
             }
-            // A stream that has begun is the client's own.
+            // A response that has begun needs no more decisions, like a request whose client is gone.
             "vanished" | "begun" => {
                 let id = fields.id("msg_id")?;
                 if let Some(policy) = policy.as_mut() {
-                    policy.request_gone(now, &id);
+                    policy.on_request_closed(now, &id);
                 }
             }
             _ => {}
@@ -323,7 +327,7 @@
     }
 }
 
-/// One entry of a list: a short array, nulls allowed past the id.
+/// One entry of a list: an array, in which all values after the id may be null or absent.
 #[derive(Deserialize)]
 struct Item<'a>(
     #[serde(borrow)] Cow<'a, str>,
@@ -336,19 +340,19 @@
 );
 
 impl Item<'_> {
-    fn entry(self) -> Entry {
-        Entry {
+    fn entry(self) -> NodeEntry {
+        NodeEntry {
             node: self.0.into(),
             zone: self.1.unwrap_or(0),
             kind: self.2.unwrap_or(0),
             cell: self.3.unwrap_or(0),
-            // A standing that is not known is no leave to send.
-            standing: match self.4.as_deref() {
-                Some("Ready") => Standing::Ready,
-                Some("Gone") => Standing::Gone,
-                _ => Standing::Draining,
+            // An unknown state counts as draining, so that no new requests are sent to the node.
+            state: match self.4.as_deref() {
+                Some("Ready") => NodeState::Ready,
+                Some("Gone") => NodeState::Gone,
+                _ => NodeState::Draining,
             },
-            size: self.5.unwrap_or(1.0),
+            weight: self.5.unwrap_or(1.0),
             started_at: self.6.map_or(0, micros),
         }
     }
--- a/crates/flintwell/src/clients/body.rs
+++ b/crates/flintwell/src/clients/body.rs
@@ -1,4 +1,4 @@
-//! The body of a request: kept whole while the process has room for it, else passed on to one node as it comes.
+//! Request bodies: buffered whole within a memory budget, or else streamed to a single node.
 
 use crate::clients::malformed::Malformed;
 use crate::process::clock::IdleTimer;
@@ -15,21 +15,22 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-pub const LONGEST: u64 = 32 << 20; // bytes; the longest body or answer that there is
-const WITHIN: Duration = Duration::from_millis(1_300); // for a body beyond what its bytes take; a bad one is told soon
-const RATE: u64 = 48_000; // bytes a second; slow clients have 64,000
-const STALL: Duration = Duration::from_millis(2_500); // between two pieces of a body that is passed on as it comes
-const BLOCK: usize = 65_536; // bytes of a body kept together; pieces come in any size
-const BLOCK_FIRST: usize = 4_096; // bytes kept of one whose length is not told
+/// Maximum length of a request or response body.
+pub const MAX_BODY_BYTES: u64 = 32 << 20; // bytes
+const WITHIN: Duration = Duration::from_millis(1_300); // added to a body's transfer time; a bad body is rejected soon
+const RATE: u64 = 48_000; // bytes per second; slow clients have 64,000
+const STALL: Duration = Duration::from_millis(2_500); // between two frames of a streamed body
+const BLOCK: usize = 65_536; // bytes of a buffer block; frames come in any size
+const BLOCK_FIRST: usize = 4_096; // bytes of the first block where the body's length is unknown
 
-/// Bytes of bodies that this process may keep.
-pub struct Budget(Cell<usize>);
+/// Memory budget, in bytes, shared by buffered bodies.
+pub struct BufferBudget(Cell<usize>);
 
-impl Budget {
+impl BufferBudget {
     pub fn new(bytes: usize) -> Rc<Self> {
-        Rc::new(Budget(Cell::new(bytes)))
+        Rc::new(BufferBudget(Cell::new(bytes)))
     }
-    pub fn left(&self) -> u64 {
+    pub fn available_bytes(&self) -> u64 {
         self.0.get() as u64
     }
     fn take(&self, bytes: usize) -> bool {
@@ -41,23 +42,25 @@
     }
 }
 
-/// What was kept of a body, in blocks within the budget.
-pub struct Kept {
-    /// With the room that each takes.
+/// Buffered part of a body, in blocks that are charged to the budget.
+pub struct BodyBuffer {
+    /// Blocks with the bytes charged for each.
     blocks: VecDeque<(Bytes, usize)>,
     last: BytesMut,
     held: usize,
     length: u64,
-    budget: Rc<Budget>,
+    budget: Rc<BufferBudget>,
 }
 
-impl Kept {
-    pub fn new(budget: Rc<Budget>) -> Self {
-        Kept { blocks: VecDeque::new(), last: BytesMut::new(), held: 0, length: 0, budget }
+impl BodyBuffer {
+    pub fn new(budget: Rc<BufferBudget>) -> Self {
+        BodyBuffer { blocks: VecDeque::new(), last: BytesMut::new(), held: 0, length: 0, budget }
     }
 
-    /// Danger: pieces kept as they come cost many times their bytes where they are small. What does not fit into
-    /// the budget is left in `data`.
+    /// Appends `data`, and leaves in it what does not fit into the budget; returns whether all did fit.
+    ///
+    /// The data is copied into larger blocks, because small frames kept as they come take many times their size in
+    /// memory.
     pub fn push(&mut self, data: &mut Bytes, told: Option<u64>) -> bool {
         while !data.is_empty() {
             if self.last.len() == self.last.capacity() {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// The first block; what is taken needs its room no more.
+    /// Removes the first block and returns its bytes to the budget.
     pub fn pop(&mut self) -> Option<Bytes> {
         if self.blocks.is_empty() {
             self.seal();
@@ -98,45 +101,48 @@
     }
 }
 
-impl Drop for Kept {
+impl Drop for BodyBuffer {
     fn drop(&mut self) {
         self.budget.give_back(self.held);
     }
 }
 
-/// A body that comes in while it goes out.
+/// A body that is sent to a node while it is still being received.
 pub struct Passing {
-    kept: Kept,
+    kept: BodyBuffer,
     next: Bytes,
     rest: Incoming,
     told: Option<u64>,
     patience: IdleTimer,
-    end: Rc<End>,
+    end: Rc<StreamStatus>,
 }
 
-/// How a body that is passed on has ended.
+/// How a streamed body has ended.
 #[derive(Default)]
-pub struct End {
-    pub whole: Notify,
-    pub broken: Cell<Option<Malformed>>,
+pub struct StreamStatus {
+    /// Notified once the body is complete.
+    pub completed: Notify,
+    /// Why receiving the body failed, if it did.
+    pub error: Cell<Option<Malformed>>,
 }
 
+/// The body of a client's request.
 pub enum Payload {
-    Kept(Rc<Kept>),
-    /// None once its one attempt has it.
-    Passing(Cell<Option<Box<Passing>>>, Rc<End>),
+    Kept(Rc<BodyBuffer>),
+    /// None once its single attempt has taken it.
+    Passing(Cell<Option<Box<Passing>>>, Rc<StreamStatus>),
 }
 
 impl Payload {
-    /// The whole body, or as much as there was room for.
-    pub async fn receive(mut body: Incoming, budget: &Rc<Budget>) -> Result<Self, Malformed> {
+    /// Receives a body: whole, or as much as the budget has room for; the rest is streamed.
+    pub async fn receive(mut body: Incoming, budget: &Rc<BufferBudget>) -> Result<Self, Malformed> {
         let told = body.size_hint().exact();
-        if told.is_some_and(|told| told > LONGEST) {
+        if told.is_some_and(|told| told > MAX_BODY_BYTES) {
             return Err(Malformed::BodyTooLong);
         }
-        let (start, mut kept, mut length) = (Instant::now(), Kept::new(budget.clone()), 0);
+        let (start, mut kept, mut length) = (Instant::now(), BodyBuffer::new(budget.clone()), 0);
         loop {
-            // Danger: one fixed time is too short for a long body, and lets a short one stand for long.
+            // A fixed time limit would be too short for long bodies, and would let a stalled short one wait for long.
             let due = start + WITHIN + Duration::from_micros(length * 1_000_000 / RATE);
             let frame = match timeout_at(due, body.frame()).await {
                 Err(_) => return Err(Malformed::BodyLate),
@@ -144,15 +150,15 @@
                 Ok(Some(Err(_))) => return Err(Malformed::BodyBroken),
                 Ok(Some(Ok(frame))) => frame,
             };
-            // What comes behind a body in a trailer is no part of it.
+            // Trailers are not part of the body.
             let Ok(mut data) = frame.into_data() else { continue };
             length += data.len() as u64;
-            if length > LONGEST {
+            if length > MAX_BODY_BYTES {
                 return Err(Malformed::BodyTooLong);
             }
             if !kept.push(&mut data, told) {
                 kept.seal();
-                let end = Rc::<End>::default();
+                let end = Rc::<StreamStatus>::default();
                 let patience = IdleTimer::new(STALL);
                 let passing = Passing { kept, next: data, rest: body, told, patience, end: end.clone() };
                 return Ok(Payload::Passing(Cell::new(Some(Box::new(passing))), end));
@@ -162,66 +168,66 @@
         Ok(Payload::Kept(Rc::new(kept)))
     }
 
-    /// The body for an attempt; none if an earlier one has taken it.
-    pub fn hand_out(&self) -> Option<Outgoing> {
+    /// The body for an attempt; none if it is streamed and an earlier attempt has taken it.
+    pub fn upstream_body(&self) -> Option<UpstreamBody> {
         match self {
-            Payload::Kept(kept) => Some(Outgoing::Kept { kept: kept.clone(), sent: 0 }),
-            Payload::Passing(passing, _) => passing.take().map(Outgoing::Passing),
+            Payload::Kept(kept) => Some(UpstreamBody::Kept { kept: kept.clone(), sent: 0 }),
+            Payload::Passing(passing, _) => passing.take().map(UpstreamBody::Passing),
         }
     }
 
-    /// Where it is passed on as it comes: how it has ended, if it has.
-    pub fn passing(&self) -> Option<&End> {
+    /// For a streamed body: whether and how it has ended.
+    pub fn stream_status(&self) -> Option<&StreamStatus> {
         match self {
             Payload::Kept(_) => None,
             Payload::Passing(_, end) => Some(end),
         }
     }
 
-    /// How long a client may still take to send it.
-    pub fn takes(&self) -> Duration {
+    /// How long the client may still take to send the body.
+    pub fn max_receive_time(&self) -> Duration {
         match self {
             Payload::Kept(_) => Duration::ZERO,
-            Payload::Passing(..) => WITHIN + Duration::from_micros(LONGEST * 1_000_000 / RATE),
+            Payload::Passing(..) => WITHIN + Duration::from_micros(MAX_BODY_BYTES * 1_000_000 / RATE),
         }
     }
 }
 
-/// A body on its way to a node.
-pub enum Outgoing {
+/// A request body as it is sent to a node.
+pub enum UpstreamBody {
     Empty,
-    Kept { kept: Rc<Kept>, sent: usize },
+    Kept { kept: Rc<BodyBuffer>, sent: usize },
     Passing(Box<Passing>),
 }
 
-impl Body for Outgoing {
+impl Body for UpstreamBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            Outgoing::Empty => Poll::Ready(None),
-            Outgoing::Kept { kept, sent } => {
+            UpstreamBody::Empty => Poll::Ready(None),
+            UpstreamBody::Kept { kept, sent } => {
                 *sent += 1;
                 Poll::Ready(kept.blocks.get(*sent - 1).map(|block| Ok(Frame::data(block.0.clone()))))
             }
-            Outgoing::Passing(passing) => passing.poll(cx),
+            UpstreamBody::Passing(passing) => passing.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Empty => true,
-            Outgoing::Kept { kept, sent } => *sent >= kept.blocks.len(),
-            Outgoing::Passing(passing) => passing.ended(),
+            UpstreamBody::Empty => true,
+            UpstreamBody::Kept { kept, sent } => *sent >= kept.blocks.len(),
+            UpstreamBody::Passing(passing) => passing.ended(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Empty => SizeHint::with_exact(0),
-            Outgoing::Kept { kept, .. } => SizeHint::with_exact(kept.length),
-            Outgoing::Passing(passing) => passing.told.map_or_else(SizeHint::default, SizeHint::with_exact),
+            UpstreamBody::Empty => SizeHint::with_exact(0),
+            UpstreamBody::Kept { kept, .. } => SizeHint::with_exact(kept.length),
+            UpstreamBody::Passing(passing) => passing.told.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -243,14 +249,14 @@
                     let Ok(data) = frame.into_data() else { continue };
                     self.patience.reset();
                     self.kept.length += data.len() as u64;
-                    if self.kept.length > LONGEST {
+                    if self.kept.length > MAX_BODY_BYTES {
                         return self.breaks(Malformed::BodyTooLong);
                     }
                     return Poll::Ready(Some(Ok(self.piece(data))));
                 }
                 Poll::Ready(Some(Err(_))) => return self.breaks(Malformed::BodyBroken),
                 Poll::Ready(None) => {
-                    self.end.whole.notify_one();
+                    self.end.completed.notify_one();
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
@@ -265,14 +271,14 @@
 
     fn piece(&self, data: Bytes) -> Frame<Bytes> {
         if self.ended() {
-            self.end.whole.notify_one();
+            self.end.completed.notify_one();
         }
         Frame::data(data)
     }
 
     fn breaks(&self, why: Malformed) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        self.end.broken.set(Some(why));
-        Poll::Ready(Some(Err(io::Error::other("the client's body is not whole"))))
+        self.end.error.set(Some(why));
+        Poll::Ready(Some(Err(io::Error::other("the client's request body is incomplete or invalid"))))
     }
 }
 
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -1,10 +1,10 @@
-//! A request, decoded once from a client's message into a small typed value.
+//! Decodes and validates a client's message into a typed request.
 
-use crate::clients::body::{Budget, Payload};
+use crate::clients::body::{BufferBudget, Payload};
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
-use crate::clients::presence::Presence;
-use flintwell_core::interface::{Arrival, Key, Micros, RequestId};
+use crate::clients::client_socket::ClientSocket;
+use flintwell_core::interface::{IncomingRequest, Key, Micros, RequestId};
 use flintwell_settings::Network;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
@@ -12,38 +12,40 @@
 use hyper::{Method, Request, Uri};
 use std::rc::Rc;
 
-const ONCE: [&str; 5] = ["host", "x-request-id", "x-class", "x-deadline", "idempotency-key"]; // headers
-const MARGIN: Micros = 10_000; // us; the way back to the client, and the turn of our one core
-const LIMIT_MOST: f64 = 3_600.0; // s; a longer deadline is no client's
+const ONCE: [&str; 5] = ["host", "x-request-id", "x-class", "x-deadline", "idempotency-key"]; // headers that may occur once
+const MARGIN: Micros = 10_000; // covers the way back to the client and waiting for our single core
+const LIMIT_MOST: f64 = 3_600.0; // no client has a longer deadline
 
+/// A client's request with its validated headers.
 pub struct ClientRequest {
     pub id: RequestId,
     pub id_header: HeaderValue,
-    pub repeat_mark: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     pub host: Option<HeaderValue>,
     pub method: Method,
     pub path: Uri,
     pub body: Payload,
-    pub client: Presence,
+    pub client: ClientSocket,
     pub class: usize,
     tenant: usize,
     key: Option<Key>,
     work: Option<Micros>,
-    /// How long the client waits from when it sent the request.
+    /// How long the client waits for the response, from when it sent the request.
     waits: Micros,
 }
 
 impl ClientRequest {
+    /// Validates a message and receives its body.
     pub async fn decode(
         request: Request<Incoming>,
         framing: Framing,
         network: &Network,
-        budget: &Rc<Budget>,
-        client: Presence,
+        budget: &Rc<BufferBudget>,
+        client: ClientSocket,
     ) -> Result<Self, Malformed> {
         let (head, body) = request.into_parts();
-        // Danger: a length beside a transfer encoding hides another request in the body, and is taken out of
-        // the head before we see it.
+        // A message with both a length and a transfer encoding can hide another request in its body (request
+        // smuggling). The HTTP parser drops the length from the head, so only the raw bytes show it.
         if framing == Framing::Doubtful {
             return Err(Malformed::Doubtful);
         }
@@ -55,13 +57,13 @@
         head: Parts,
         body: Payload,
         network: &Network,
-        client: Presence,
+        client: ClientSocket,
     ) -> Result<Self, Malformed> {
         let Parts { method, uri: path, headers, .. } = head;
         if method != Method::GET && method != Method::PUT {
             return Err(Malformed::Method);
         }
-        // Danger: a node may go by the other one of two.
+        // Of a duplicated header, a node might use the other value than we do.
         if let Some(name) = ONCE.into_iter().find(|name| headers.get_all(*name).iter().nth(1).is_some()) {
             return Err(Malformed::Header(name));
         }
@@ -87,10 +89,10 @@
             class: named("x-class", &network.classes)?.ok_or(Malformed::Header("x-class"))?,
             tenant: named("x-tenant", &network.tenants)?.unwrap_or(0),
             key,
-            // A hint that is no number is worth none, and no reason to turn the request away.
+            // An invalid cost hint is ignored; it is no reason to reject the request.
             work: number("x-cost-hint").ok().flatten().map(|hint| hint.min(LIMIT_MOST * 1e6) as Micros),
             waits: (waits * 1e6) as Micros,
-            repeat_mark: headers.get("idempotency-key").cloned(),
+            idempotency_key: headers.get("idempotency-key").cloned(),
             host: headers.get(HOST).cloned(),
             method,
             path: path.into_parts().path_and_query.map_or(Uri::default(), Uri::from),
@@ -99,20 +101,21 @@
         })
     }
 
-    /// When its answer is due, if its client may have sent it at `sent`.
+    /// The deadline of the response to a request that the client may have sent at `sent`.
     pub fn deadline(&self, sent: Micros) -> Micros {
-        sent + self.body.takes().as_micros() as Micros + (self.waits - MARGIN).max(0)
+        sent + self.body.max_receive_time().as_micros() as Micros + (self.waits - MARGIN).max(0)
     }
 
-    pub fn arrival(&self, deadline: Micros) -> Arrival {
-        Arrival {
+    /// The request as the decision module gets it.
+    pub fn arrival(&self, deadline: Micros) -> IncomingRequest {
+        IncomingRequest {
             id: self.id.clone(),
             class: self.class,
             tenant: self.tenant,
             key: self.key.clone(),
             deadline,
-            work: self.work,
-            write: self.method == Method::PUT,
+            expected_work: self.work,
+            is_write: self.method == Method::PUT,
         }
     }
 }
--- a/crates/flintwell/src/management/api.rs
+++ b/crates/flintwell/src/management/api.rs
@@ -2,9 +2,9 @@
 
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
-use crate::fleet::overrides::Refused;
+use crate::fleet::overrides::OverrideError;
 use crate::fleet::registry::Registry;
-use crate::fleet::words::Words;
+use crate::fleet::peer_messaging::PeerMessaging;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::log_line;
@@ -45,7 +45,7 @@
     /// Present if the configuration has a `rollout` section.
     pub rollout: Option<Rc<Rollout>>,
     /// Messages between proxies; present if the configuration has a `words` section.
-    pub words: Option<Rc<Words>>,
+    pub words: Option<Rc<PeerMessaging>>,
 }
 
 #[derive(Deserialize)]
@@ -119,7 +119,7 @@
         return handle_rollout(request, rollout).await;
     }
     if let Some(words) = state.words.as_deref().filter(|_| request.uri().path() == FLEET_PATH) {
-        let text = serde_json::to_string(&words.fleet()).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
+        let text = serde_json::to_string(&words.status()).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
         return Ok((StatusCode::OK, text));
     }
     let expected = match request.uri().path() {
@@ -132,12 +132,12 @@
     }
     let (head, body) = request.into_parts();
     match head.uri.path() {
-        "/api/ready" => match state.lease.ready() && !state.shutdown.has_begun() {
+        "/api/ready" => match state.lease.is_ready() && !state.shutdown.has_begun() {
             true => Ok((StatusCode::OK, r#"{"ready":true}"#.into())),
             false => Ok((StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#.into())),
         },
         "/api/telemetry" => {
-            let figures = state.counts.telemetry(state.registry.known(), state.dispatcher.avoided());
+            let figures = state.counts.telemetry(state.registry.cache_count(), state.dispatcher.count_avoided_caches());
             let text = serde_json::to_string(&figures).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
             Ok((StatusCode::OK, text))
         }
@@ -146,7 +146,7 @@
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
         LIST_PATH => {
-            let text = serde_json::to_string(&state.list_status.figures());
+            let text = serde_json::to_string(&state.list_status.report());
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
         path => {
@@ -158,8 +158,8 @@
             let result = if exclude { state.registry.exclude(&who) } else { state.registry.include(&who) };
             match result {
                 Ok(()) => Ok((StatusCode::OK, format!(r#"{{"out":{exclude}}}"#))),
-                Err(Refused::Unknown) => Err(StatusCode::NOT_FOUND),
-                Err(Refused::NotRecorded) => Err(StatusCode::INSUFFICIENT_STORAGE),
+                Err(OverrideError::UnknownNode) => Err(StatusCode::NOT_FOUND),
+                Err(OverrideError::NotPersisted) => Err(StatusCode::INSUFFICIENT_STORAGE),
             }
         }
     }
--- a/crates/flintwell/src/management/fleet_status.rs
+++ b/crates/flintwell/src/management/fleet_status.rs
@@ -1,6 +1,6 @@
 //! `flintwell fleet status`: the fleet as one proxy sees it, as text or JSON.
 
-use crate::fleet::words::Fleet;
+use crate::fleet::peer_messaging::FleetStatus;
 use clap::Subcommand;
 use hyper::{Method, StatusCode};
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     let Command::Status { at, json } = command;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    let call = flintwell_call::call(*at, Method::GET, "/api/fleet", Default::default(), CALL_TIMEOUT);
+    let call = flintwell_call::send_request(*at, Method::GET, "/api/fleet", Default::default(), CALL_TIMEOUT);
     let (status, text) = runtime.block_on(call).map_err(|why| format!("{at}: {why}"))?;
     if status != StatusCode::OK {
         return Err(format!("{at}: messages between proxies are not configured there ({status})"));
@@ -36,13 +36,13 @@
         print!("{}", String::from_utf8_lossy(&text));
         return Ok(());
     }
-    let fleet: Fleet = serde_json::from_slice(&text).map_err(|e| format!("{at}: {e}"))?;
+    let fleet: FleetStatus = serde_json::from_slice(&text).map_err(|e| format!("{at}: {e}"))?;
     print!("{}", render(&fleet));
     Ok(())
 }
 
-fn render(fleet: &Fleet) -> String {
-    let Fleet { name, number, members, share, dropped, .. } = fleet;
+fn render(fleet: &FleetStatus) -> String {
+    let FleetStatus { name, number, members, share, dropped, .. } = fleet;
     let rate = share.rate.map_or("no limit known".into(), |rate| format!("{rate:.1} fetches a second"));
     let mut text = format!(
         "{name}, number {number}: {rate}, {} rate units, {} of them borrowed\n",
@@ -50,13 +50,13 @@
     );
     text += &format!(
         "fleet average per proxy and second: {:.1} origin fetches, {:.1} refused\n",
-        share.taken, share.refused
+        share.accepted, share.refused
     );
     for member in members {
         text += &format!("  {:5} {:22} {}\n", member.number, member.addr, member.state);
     }
     for node in &fleet.silent {
-        let who = if node.prober { "probed by this proxy" } else { "probed by other proxies" };
+        let who = if node.is_prober { "probed by this proxy" } else { "probed by other proxies" };
         text += &format!("  {} does not respond, nor to {} other proxies; {who}\n", node.node, node.witnesses);
     }
     let count = |what: &str, count: u64| if count > 0 { format!(" {what} {count}") } else { String::new() };
--- a/crates/flintwell/src/management/metrics.rs
+++ b/crates/flintwell/src/management/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of this process, as reported by the management API.
 
-use crate::nodes::permission::Violations;
+use crate::nodes::send_guard::Violations;
 use crate::process::counter::{Counter, increment};
 use flintwell_core::interface::Micros;
 use flintwell_rollout::wire::{self, encode_times, new_times};
--- a/crates/flintwell/src/management/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -67,7 +67,7 @@
         match endpoint {
             "status" => self.status_reply(),
             "settings" => serde_json::to_string(&self.member.borrow().in_force().settings).map_err(internal_error),
-            "nodes" => serde_json::to_string(&self.registry.listing()).map_err(internal_error),
+            "nodes" => serde_json::to_string(&self.registry.effective_list()).map_err(internal_error),
             "figures" => {
                 let epoch = self.member.borrow().in_force().epoch;
                 serde_json::to_string(&self.counts.rollout_figures(epoch, self.started_ms)).map_err(internal_error)
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -1,14 +1,14 @@
-//! One attempt: a request sent to one node over one connection, and how it ended.
+//! One attempt: a request sent to one node over one connection, and its outcome.
 
-use crate::clients::body::{Budget, LONGEST, Outgoing};
+use crate::clients::body::{BufferBudget, MAX_BODY_BYTES, UpstreamBody};
 use crate::clients::decode::ClientRequest;
-use crate::nodes::link::{Broken, Came, Cause, Link, Most, Progress};
-use crate::nodes::permission::{Permission, Sending};
+use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Link, Progress, ReceivedBody};
+use crate::nodes::send_guard::{PendingSend, SendGuard};
 use crate::nodes::pool::Pool;
-use crate::nodes::relay::{Content, Relay};
+use crate::nodes::response_body::{ResponseBody, StreamedBody};
 use crate::process::clock::to_duration;
 use crate::management::metrics::Metrics;
-use flintwell_core::interface::{Ending, Micros, NodeId};
+use flintwell_core::interface::{AttemptStatus, Micros, NodeId};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use hyper::header::{HOST, HeaderValue};
@@ -20,124 +20,129 @@
 use tokio::time::{sleep, timeout};
 use tower::Service;
 
-const ANSWER: Most = Most { collected: 65_536, long: LONGEST }; // bytes; spoilt ones can be tried elsewhere
-const TURNS: usize = 3; // of the runtime: the socket's, the connection's and our own
+// A response that fails while it is still buffered can be retried on another node.
+const RESPONSE_LIMITS: BodyLimits = BodyLimits { buffered: 65_536, total: MAX_BODY_BYTES };
+const FINAL_YIELDS: usize = 3; // turns of the runtime: for the socket, the connection's driver and this task
 
+/// A request for one node.
 pub struct Attempt {
     pub request: Rc<ClientRequest>,
     pub node: NodeId,
-    pub allow_for: Micros,
+    /// Time limit of the attempt.
+    pub timeout: Micros,
+    /// When the routing policy chose the node.
     pub chosen_at: Instant,
 }
 
 impl Attempt {
-    fn sending(&self) -> Sending {
-        Sending {
+    fn pending_send(&self) -> PendingSend {
+        PendingSend {
             node: self.node.clone(),
             chosen_at: self.chosen_at,
-            allow_for: self.allow_for,
+            timeout: self.timeout,
             client: self.request.client.clone(),
         }
     }
 }
 
-/// A node's whole answer.
-pub struct Answered {
-    pub ending: Ending,
-    /// The first answer on its connection.
-    pub first: bool,
-    pub body: Content,
+/// The response of a node.
+pub struct NodeResponse {
+    pub ending: AttemptStatus,
+    /// Whether it is the first response on its connection.
+    pub first_on_connection: bool,
+    pub body: ResponseBody,
 }
 
+/// A tower service that runs attempts.
 #[derive(Clone)]
-pub struct Attempts {
-    permission: Permission,
+pub struct AttemptService {
+    permission: SendGuard,
     counts: Rc<Metrics>,
-    /// For what is read ahead of long answers.
-    room: Rc<Budget>,
+    /// Memory for reading ahead of long responses.
+    read_ahead_budget: Rc<BufferBudget>,
 }
 
-impl Attempts {
-    pub fn new(permission: Permission, counts: Rc<Metrics>, room: Rc<Budget>) -> Self {
-        Attempts { permission, counts, room }
+impl AttemptService {
+    pub fn new(permission: SendGuard, counts: Rc<Metrics>, read_ahead_budget: Rc<BufferBudget>) -> Self {
+        AttemptService { permission, counts, read_ahead_budget }
     }
 }
 
-impl Service<Attempt> for Attempts {
-    type Response = Answered;
-    type Error = Broken;
-    type Future = LocalBoxFuture<'static, Result<Answered, Broken>>;
+impl Service<Attempt> for AttemptService {
+    type Response = NodeResponse;
+    type Error = ExchangeError;
+    type Future = LocalBoxFuture<'static, Result<NodeResponse, ExchangeError>>;
 
-    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Broken>> {
+    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), ExchangeError>> {
         Poll::Ready(Ok(()))
     }
 
     fn call(&mut self, attempt: Attempt) -> Self::Future {
-        let Attempts { permission, counts, room } = self.clone();
+        let AttemptService { permission, counts, read_ahead_budget } = self.clone();
         Box::pin(async move {
-            let progress = Progress::counted(&counts.cache_attempts);
-            let mut exchange = pin!(send(&permission, &attempt, &progress, &room));
-            if let Some(end) = attempt.request.body.passing() {
-                // Its time counts from its last byte.
+            let progress = Progress::with_count(&counts.cache_attempts);
+            let mut exchange = pin!(send(&permission, &attempt, &progress, &read_ahead_budget));
+            if let Some(end) = attempt.request.body.stream_status() {
+                // For a body that is streamed from the client, the time limit starts at its last byte.
                 tokio::select! {
                     ended = exchange.as_mut() => return ended,
-                    () = end.whole.notified() => {}
-                    () = sleep(attempt.request.body.takes()) => {}
+                    () = end.completed.notified() => {}
+                    () = sleep(attempt.request.body.max_receive_time()) => {}
                 }
             }
-            if let Ok(ended) = timeout(to_duration(attempt.allow_for), exchange.as_mut()).await {
+            if let Ok(ended) = timeout(to_duration(attempt.timeout), exchange.as_mut()).await {
                 return ended;
             }
-            // Danger: an answer that its node has begun, and may give for long, would be cut off.
-            if progress.hurry() {
+            // Danger: a response that the node has begun and may stream for a long time would be cut off.
+            if progress.release_held() {
                 return exchange.await;
             }
-            // Danger: after a stall of ours the time is up before the answer that has come is read. So the
-            // connection gets a turn, and its reader one.
-            for _ in 0..TURNS {
+            // Danger: after a stall of this process the time-out fires before a response that has already
+            // arrived is read. So the connection's driver and its reader each get a turn first.
+            for _ in 0..FINAL_YIELDS {
                 tokio::task::yield_now().await;
             }
-            // Past its time the exchange is dropped, and its connection closed with it.
-            exchange.now_or_never().unwrap_or_else(|| Err(progress.broken(Cause::TimedOut)))
+            // On a time-out the exchange is dropped, which closes its connection.
+            exchange.now_or_never().unwrap_or_else(|| Err(progress.error(FailureCause::TimedOut)))
         })
     }
 }
 
 async fn send(
-    permission: &Permission,
+    permission: &SendGuard,
     attempt: &Attempt,
     progress: &Progress,
-    room: &Rc<Budget>,
-) -> Result<Answered, Broken> {
+    read_ahead_budget: &Rc<BufferBudget>,
+) -> Result<NodeResponse, ExchangeError> {
     let pool = &permission.pool;
-    let mut link = open(pool, &attempt.node).await?;
-    // Whatever came between it and the choice: a dial, a full room, a standstill of ours.
-    let sending = attempt.sending();
-    permission.now(&sending)?;
-    let (permitted_at, checks) = (Instant::now(), permission.clone());
-    progress.checks(move || checks.check_sent(&sending, permitted_at));
-    let (idle, first) = (link.idle_since.elapsed(), link.unused());
-    let body = attempt.request.body.hand_out().ok_or(Broken::unwritten(Cause::Spent))?;
-    let reply = link.exchange(message(attempt, body), ANSWER, progress).await;
-    pool.used_after(idle, reply.as_ref().is_err_and(|broken| broken.ending() == Ending::Reset));
+    let mut link = acquire_connection(pool, &attempt.node).await?;
+    // Time has passed since the node was chosen: a dial, a wait for a permit, a stall of this process.
+    let pending = attempt.pending_send();
+    permission.check(&pending)?;
+    let (permitted_at, checker) = (Instant::now(), permission.clone());
+    progress.set_on_first_write(move || checker.check_sent(&pending, permitted_at));
+    let (idle, first_on_connection) = (link.idle_since.elapsed(), link.is_unused());
+    let body = attempt.request.body.upstream_body().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
+    let reply = link.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
+    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == AttemptStatus::Reset));
     let reply = reply?;
     let ending = ending(reply.status, &reply.headers);
     let body = match reply.body {
-        Came::Whole(body) => {
-            pool.give_back(&attempt.node, link);
+        ReceivedBody::Whole(body) => {
+            pool.release(&attempt.node, link);
             body.into()
         }
-        Came::Long(begun, rest, left) => {
+        ReceivedBody::Partial(begun, rest, left) => {
             let (node, pool) = (attempt.node.clone(), pool.clone());
-            Content::Long(Box::new(Relay::new(begun, rest, left, node, pool, link, room)))
+            ResponseBody::Streamed(Box::new(StreamedBody::new(begun, rest, left, node, pool, link, read_ahead_budget)))
         }
     };
-    Ok(Answered { ending, first, body })
+    Ok(NodeResponse { ending, first_on_connection, body })
 }
 
-/// An idle connection that still takes an exchange, or a new one.
-async fn open(pool: &Pool, node: &NodeId) -> Result<Link, Broken> {
-    while let Some(link) = pool.idle(node) {
+/// An idle connection that can take another exchange, or a new one.
+async fn acquire_connection(pool: &Pool, node: &NodeId) -> Result<Link, ExchangeError> {
+    while let Some(link) = pool.take_idle(node) {
         if let Some(link) = link.ready().await {
             return Ok(link);
         }
@@ -145,7 +150,7 @@
     pool.dial(node).await
 }
 
-fn message(attempt: &Attempt, body: Outgoing) -> Request<Outgoing> {
+fn message(attempt: &Attempt, body: UpstreamBody) -> Request<UpstreamBody> {
     let request = &attempt.request;
     let mut message = Request::new(body);
     *message.method_mut() = request.method.clone();
@@ -153,23 +158,23 @@
     let headers = message.headers_mut();
     headers.insert(HOST, request.host.clone().unwrap_or(HeaderValue::from_static("origin.svc")));
     headers.insert("x-request-id", request.id_header.clone());
-    if let Some(mark) = &request.repeat_mark {
+    if let Some(mark) = &request.idempotency_key {
         headers.insert("idempotency-key", mark.clone());
     }
-    let wait = format!("{:.6}", attempt.allow_for as f64 / 1e6);
-    if let Ok(wait) = HeaderValue::from_str(&wait) {
-        headers.insert("x-deadline", wait);
+    let deadline = format!("{:.6}", attempt.timeout as f64 / 1e6);
+    if let Ok(deadline) = HeaderValue::from_str(&deadline) {
+        headers.insert("x-deadline", deadline);
     }
     message
 }
 
-fn ending(status: StatusCode, headers: &HeaderMap) -> Ending {
+fn ending(status: StatusCode, headers: &HeaderMap) -> AttemptStatus {
     let not_run = headers.get("x-not-run").is_some_and(|value| value == "1");
     match status {
-        StatusCode::OK => Ending::Served,
-        StatusCode::NOT_FOUND => Ending::Miss,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Ending::Full,
-        status if status.is_server_error() => Ending::Error,
-        _ => Ending::Unknown,
+        StatusCode::OK => AttemptStatus::Served,
+        StatusCode::NOT_FOUND => AttemptStatus::Miss,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => AttemptStatus::Full,
+        status if status.is_server_error() => AttemptStatus::Error,
+        _ => AttemptStatus::Unknown,
     }
 }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -172,8 +172,8 @@
     if !peers.iter().any(|peer| *peer != advertise) {
         return Err("words: peers lists nobody but this proxy".into());
     }
-    if settings.index >= settings.fleet_size {
-        let (index, size) = (settings.index, settings.fleet_size);
+    if settings.proxy_index >= settings.fleet_size {
+        let (index, size) = (settings.proxy_index, settings.fleet_size);
         return Err(format!("words: index {index} must be less than fleet_size {size}"));
     }
     let key = match key_file {
@@ -206,7 +206,7 @@
         writeln!(
             f,
             "proxy {} of {}, {} descriptors",
-            self.settings.index, self.settings.fleet_size, self.sockets
+            self.settings.proxy_index, self.settings.fleet_size, self.sockets
         )?;
         let shadow = if self.shadow_settings.is_some() { "; shadow policy with the settings of watch_with" } else { "" };
         write!(f, "classes: {classes}; initial nodes: {}{shadow}", self.initial_nodes.len())
--- a/crates/flintwell/src/process/handover.rs
+++ b/crates/flintwell/src/process/handover.rs
@@ -3,9 +3,9 @@
 //! response has exactly one owner: the old process until the new one has acknowledged it. The new process writes
 //! nothing before that.
 
-use crate::clients::framing::Coding;
-use crate::nodes::carry::Carry;
-use crate::nodes::relay::Carried;
+use crate::clients::framing::BodyDecoder;
+use crate::nodes::response_transfer::ResponseTransfer;
+use crate::nodes::response_body::RequestGuard;
 use crate::log_line;
 use crate::management::metrics::{Metrics, RequestOutcome};
 use bytes::Bytes;
@@ -39,7 +39,7 @@
     /// Index of the request's class, if its outcome has not been counted yet.
     case: Option<usize>,
     /// Framing state of the data still to come from the node; `None` if the node has sent everything.
-    rest: Option<Coding>,
+    rest: Option<BodyDecoder>,
     /// Whether the client gets the response in chunked coding.
     chunked: bool,
     /// Whether the final chunk still has to be written.
@@ -103,7 +103,7 @@
     /// Offers a response to the successor; returns whether the successor owns it now. A successor that has not replied
     /// may have accepted the response all the same, and if both processes wrote, bytes would be sent twice. So this
     /// waits without a timeout until the successor replies or the connection ends.
-    async fn takes(&self, carry: &Carry, case: Option<usize>) -> bool {
+    async fn takes(&self, carry: &ResponseTransfer, case: Option<usize>) -> bool {
         let mut socket = loop {
             match timeout(ANSWERS, self.socket.lock()).await {
                 Ok(socket) => break socket,
@@ -126,11 +126,11 @@
     }
 }
 
-async fn offer(socket: &UnixSeqpacket, carry: &Carry, case: Option<usize>) -> io::Result<bool> {
-    let rest = carry.rest.as_ref().map(|rest| rest.1);
+async fn offer(socket: &UnixSeqpacket, carry: &ResponseTransfer, case: Option<usize>) -> io::Result<bool> {
+    let rest = carry.upstream.as_ref().map(|rest| rest.1);
     let unwritten = carry.unwritten.len();
-    let kept = carry.kept.as_ref().map_or(0, |kept| kept.1);
-    let Carry { chunked, open, left, .. } = *carry;
+    let kept = carry.buffered.as_ref().map_or(0, |kept| kept.1);
+    let ResponseTransfer { chunked, is_end_pending: open, max_remaining_bytes: left, .. } = *carry;
     let note = Note { case, rest, chunked, open, left, unwritten, kept };
     let mut head = serde_json::to_vec(&note)?;
     head.push(b'\n');
@@ -138,8 +138,8 @@
         return Ok(false);
     }
     let mut descriptors = vec![carry.client.as_fd()];
-    descriptors.extend(carry.rest.iter().map(|rest| rest.0.as_fd()));
-    descriptors.extend(carry.kept.iter().map(|kept| kept.0.as_fd()));
+    descriptors.extend(carry.upstream.iter().map(|rest| rest.0.as_fd()));
+    descriptors.extend(carry.buffered.iter().map(|kept| kept.0.as_fd()));
     let mut ancillary = [0; ANCILLARY];
     let mut ancillary = AncillaryMessageWriter::new(&mut ancillary);
     ancillary.add_fds(descriptors.iter()).map_err(|_| io::Error::other("descriptors exceed the ancillary buffer"))?;
@@ -155,12 +155,12 @@
 }
 
 /// Hands a response over to the successor. If the successor does not accept it, this process relays the rest itself.
-pub async fn hand_over(successor: &Successor, carry: Carry, carried: Option<Carried>) {
-    if successor.takes(&carry, carried.as_ref().map(|carried| carried.case)).await {
+pub async fn hand_over(successor: &Successor, carry: ResponseTransfer, carried: Option<RequestGuard>) {
+    if successor.takes(&carry, carried.as_ref().map(|carried| carried.class_index)).await {
         return;
     }
-    let whole = carry.pass_on().await;
-    carried.into_iter().for_each(|carried| carried.ended(whole));
+    let whole = carry.run().await;
+    carried.into_iter().for_each(|carried| carried.record_end(whole));
 }
 
 /// Receiving side of the handover in the successor.
@@ -262,7 +262,7 @@
         let (rest, left) = (node.zip(note.rest), note.left);
         let kept = file.map(|file| (file, note.kept));
         let (chunked, open) = (note.chunked, note.open);
-        let carry = Carry { client, unwritten, kept, rest, chunked, open, left };
+        let carry = ResponseTransfer { client, unwritten, buffered: kept, upstream: rest, chunked, is_end_pending: open, max_remaining_bytes: left };
         Ok(Taken { carry, case: note.case, permits })
     }
 
@@ -270,7 +270,7 @@
         let counts = self.counts.clone();
         spawn_local(async move {
             let _in_hand = case.map(|_| counts.start_request());
-            let whole = carry.pass_on().await;
+            let whole = carry.run().await;
             case.into_iter().for_each(|case| counts.record_outcome(case, RequestOutcome::of_relay(whole)));
             drop(permits);
         });
@@ -279,7 +279,7 @@
 
 /// A response received from the predecessor.
 struct Taken {
-    carry: Carry,
+    carry: ResponseTransfer,
     case: Option<usize>,
     permits: Vec<OwnedSemaphorePermit>,
 }
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -1,17 +1,17 @@
 //! Builds the components of the proxy and runs them on one thread.
 
 use crate::clients::accept;
-use crate::clients::body::Budget;
-use crate::clients::presence::Presence;
-use crate::fleet::calls::Calls;
-use crate::fleet::discovery::Discovery;
-use crate::fleet::kept_list::{KeptList, Left};
+use crate::clients::body::BufferBudget;
+use crate::clients::client_socket::ClientSocket;
+use crate::fleet::discovery_calls::DiscoveryCalls;
+use crate::fleet::discovery::DiscoveryClient;
+use crate::fleet::list_store::{ListStore, StoredList};
 use crate::fleet::lease::ListLease;
-use crate::fleet::list_status::{ListStatus, Source};
+use crate::fleet::list_status::{ListStatus, ListSource};
 use crate::fleet::registry::Registry;
-use crate::fleet::words::Words;
-use crate::nodes::attempt::Attempts;
-use crate::nodes::permission::Permission;
+use crate::fleet::peer_messaging::PeerMessaging;
+use crate::nodes::attempt::AttemptService;
+use crate::nodes::send_guard::SendGuard;
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, to_duration};
 use crate::process::config::{Config, MIN_SOCKETS};
@@ -23,13 +23,13 @@
 use crate::process::store::Store;
 use crate::process::succession::Succession;
 use crate::requests::dispatcher::Dispatcher;
-use crate::requests::front::Front;
-use crate::requests::watch::Watch;
+use crate::requests::service::ClientService;
+use crate::requests::shadow::ShadowPolicy;
 use crate::log_line;
 use crate::management::metrics::Metrics;
 use crate::management::api::{self, ApiState};
 use crate::management::rollout::Rollout;
-use flintwell_list_watch::{Figures, Lease, Watch as ListWatch};
+use flintwell_list_watch::{WatchConfig, Lease, Watch as ListWatch};
 use flintwell_rollout::member::Member;
 use flintwell_settings::{decode, decode_network};
 use flintwell_state::Disk;
@@ -135,29 +135,29 @@
     let counts = Metrics::new(&config.network.classes, changes.is_some());
     let pool = Pool::new(connections, config.network.dial_within, config.network.idle_most);
     let network = Reloadable::new(config.network);
-    let place = (config.settings.index, config.settings.fleet_size);
+    let place = (config.settings.proxy_index, config.settings.fleet_size);
     let pushed = !config.settings.list_on_request;
     let (index, fleet, grace) = (place.0, place.1, network.get().drain_grace);
-    let figures = Figures { pushed, fleet, index, grace };
+    let figures = WatchConfig { pushed, fleet_size: fleet, index, drain_grace: grace };
     let origin_kind = config.settings.origin_kind;
     let (clock, seed) = (Clock::start(), config.seed);
-    let watch = config.shadow_settings.map(|other| Rc::new(Watch::new(clock.now(), other, seed)));
+    let watch = config.shadow_settings.map(|other| Rc::new(ShadowPolicy::new(clock.now(), other, seed)));
     let dispatcher = Rc::new(Dispatcher::new(clock, config.settings, seed, pool.clone(), watch.clone()));
     if let Some(watch) = watch {
-        spawn_local(restart_on_panic("shadow policy", async move || watch.tell().await));
+        spawn_local(restart_on_panic("shadow policy", async move || watch.log_counts().await));
     }
     let succession = Succession::open(store.clone(), dispatcher.clock.now());
     let succession = Rc::new(succession.map_err(|e| format!("directory for temporary files: {e}"))?);
-    let kept = KeptList::new(store.clone());
-    let (source, begins_with, age) = match kept.left() {
-        Some(Left { listing, age }) => (Source::Folder, listing, age),
-        None => (Source::Configuration, config.initial_nodes, None),
+    let kept = ListStore::new(store.clone());
+    let (source, begins_with, age) = match kept.load() {
+        Some(StoredList { listing, age }) => (ListSource::Folder, listing, age),
+        None => (ListSource::Configuration, config.initial_nodes, None),
     };
     let now = clock.now();
     let list_watch = ListWatch::new(
         now,
         figures,
-        age.map_or(Lease::unconfirmed(), |age| Lease::kept(now, now - age)),
+        age.map_or(Lease::unconfirmed(), |age| Lease::restored(now, now - age)),
         seed,
     );
     let lease = ListLease::new(clock, list_watch.lease(), counts.lapses.clone());
@@ -171,33 +171,33 @@
         lease.clone(),
     );
     let (moves, discovery_at) = watch::channel(config.discovery);
-    let list_status = ListStatus::start(lease.clone(), now, source, &begins_with);
-    let mut discovery = Discovery::new(
+    let list_status = ListStatus::new(lease.clone(), now, source, &begins_with);
+    let mut discovery = DiscoveryClient::new(
         discovery_at,
         registry.clone(),
         lease.clone(),
         list_status.clone(),
         list_watch,
-        Calls::new(clock),
+        DiscoveryCalls::new(clock),
     );
-    discovery.start(&begins_with);
+    discovery.load_initial(&begins_with);
     let watched = dispatcher.clone();
-    spawn_local(restart_on_panic("discovery", async move || discovery.watch(&watched).await));
+    spawn_local(restart_on_panic("discovery", async move || discovery.run(&watched).await));
     let leased = registry.clone();
-    spawn_local(restart_on_panic("list lease", async move || leased.keep_lease().await));
+    spawn_local(restart_on_panic("list lease", async move || leased.follow_lease().await));
     let reloading = async move || reload::on_signal(&mut hangup, &path, &moves).await;
     spawn_local(restart_on_panic("reload", reloading));
     let timed = dispatcher.clone();
-    spawn_local(restart_on_panic("timers", async move || timed.keep_time().await));
+    spawn_local(restart_on_panic("timers", async move || timed.run_timers().await));
     let beating = dispatcher.clone();
-    spawn_local(restart_on_panic("stall detector", async move || beating.pulse.run().await));
+    spawn_local(restart_on_panic("stall detector", async move || beating.stall_detector.run().await));
     let followed = registry.clone();
-    spawn_local(restart_on_panic("registry", async move || followed.follow().await));
+    spawn_local(restart_on_panic("registry", async move || followed.sync_store().await));
     let swept = pool.clone();
-    spawn_local(restart_on_panic("pool sweep", async move || swept.sweep().await));
+    spawn_local(restart_on_panic("pool sweep", async move || swept.run_idle_sweeper().await));
     let (stop, shutdown) = shutdown::channel();
     let room = Arc::new(Semaphore::new(connections));
-    let rooms = [(room.clone(), connections), (pool.room(), connections)];
+    let rooms = [(room.clone(), connections), (pool.connection_permits(), connections)];
     let (sharing, stopping) = (succession.clone(), shutdown.clone());
     spawn_local(restart_on_panic("connection limits", async move || sharing.share_limits(&rooms, &stopping).await));
     let rollout = changes.map(|(disk, member)| {
@@ -208,8 +208,8 @@
             (Ok(settings), Ok(network)) => {
                 put_counts.add_classes(&network.classes);
                 put_network.set(network);
-                put_dispatcher.change(settings);
-                put_registry.retell();
+                put_dispatcher.apply_settings(settings);
+                put_registry.republish();
             }
             // Not expected: settings are validated when they are staged.
             (Err(error), _) | (_, Err(error)) => log_line!("settings not applied: {error}"),
@@ -231,10 +231,10 @@
     }
     let words = config.peer_messaging.take().map(|peer_messaging| {
         let (dispatcher, counts) = (dispatcher.clone(), counts.clone());
-        Rc::new(Words::new(peer_messaging, config.name.clone(), place, seed, dispatcher, counts))
+        Rc::new(PeerMessaging::new(peer_messaging, config.name.clone(), place, seed, dispatcher, counts))
     });
     if let Some(words) = words.clone() {
-        spawn_local(restart_on_panic("peer messaging", async move || words.speak().await));
+        spawn_local(restart_on_panic("peer messaging", async move || words.run().await));
     }
     if let (Some(words), shutdown) = (words.clone(), shutdown.clone()) {
         spawn_local(async move {
@@ -254,24 +254,24 @@
         // Failing to bind this socket must not keep the process from serving; only handover is unavailable then.
         match UnixSeqpacketListener::bind(&path) {
             Ok(mut listener) => {
-                let takeover = Inheritance { rooms: [room.clone(), pool.room()], counts: counts.clone() };
+                let takeover = Inheritance { rooms: [room.clone(), pool.connection_permits()], counts: counts.clone() };
                 spawn_local(restart_on_panic("handover", async move || takeover.take_over(&mut listener).await));
             }
             Err(error) => log_line!("cannot take over responses from a predecessor: {error}"),
         }
     }
-    let permission = Permission { pool, lease: lease.clone(), violations: counts.violations.clone() };
-    let attempts = Attempts::new(permission, counts.clone(), Budget::new(config.read_ahead_bytes));
-    let budget = Budget::new(config.request_body_bytes);
+    let permission = SendGuard { pool, lease: lease.clone(), violations: counts.violations.clone() };
+    let attempts = AttemptService::new(permission, counts.clone(), BufferBudget::new(config.read_ahead_bytes));
+    let budget = BufferBudget::new(config.request_body_bytes);
     let longest_now = network.clone();
     let front =
-        Front { dispatcher, attempts, counts, network, budget, lease, shutdown, client: Presence::default() };
+        ClientService { dispatcher, attempts, counts, network, budget, lease, shutdown, client: ClientSocket::default() };
     let at = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
     succession.mark_serving().map_err(|e| format!("directory for temporary files: {e}"))?;
     log_line!("{} serves on {at}", config.name);
     let client_room = room.clone();
     let accepting =
-        spawn_local(restart_on_panic("accept", async move || accept::accept(&listener, &client_room, &front).await));
+        spawn_local(restart_on_panic("accept", async move || accept::accept_connections(&listener, &client_room, &front).await));
     let max_request_time = || to_duration(longest_now.get().longest);
     let has_successor = || inherits && succession.has_successor();
     let successor = async || handover::successor(succession.successor_socket().as_deref()).await;
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -1,41 +1,43 @@
-//! The life of one request, from top to bottom; the module chooses at each point of choice.
+//! Serves one request from start to end; the decision module makes each decision.
 
 use crate::clients::answer::Answer;
 use crate::clients::decode::ClientRequest;
 use crate::fleet::lease::ListLease;
-use crate::nodes::attempt::{Attempt, Attempts};
-use crate::nodes::link::Cause;
-use crate::nodes::relay::Content;
+use crate::nodes::attempt::{Attempt, AttemptService};
+use crate::nodes::connection::FailureCause;
+use crate::nodes::response_body::ResponseBody;
 use crate::process::clock::to_duration;
 use crate::process::counter::increment;
 use crate::requests::dispatcher::{Dispatcher, RequestHandle, Step};
 use crate::management::metrics::Metrics;
-use flintwell_core::interface::{Ending, Micros};
+use flintwell_core::interface::{AttemptStatus, Micros};
 use std::rc::Rc;
 use std::time::Instant;
 use tower::ServiceExt;
 
-const LIST_WAIT_PARTS: Micros = 3; // a new process waits for its list for one of so many parts of what a request has left
-const LIST_WAIT_MOST: Micros = 1_000_000; // us; the longest
+const LIST_WAIT_PARTS: Micros = 3; // a new process waits for its list for a third of the time that a request has left
+const LIST_WAIT_MOST: Micros = 1_000_000;
 
+/// Serves a request and counts its outcome.
 pub async fn serve(
     request: ClientRequest,
     dispatcher: &Rc<Dispatcher>,
     lease: &ListLease,
-    attempts: &Attempts,
+    attempts: &AttemptService,
     counts: &Rc<Metrics>,
 ) -> Answer {
     let (in_hand, case) = (counts.start_request(), request.class);
     let Some(mut handle) = dispatcher.handle(request.id.clone()) else { return Answer::InHand };
-    // Danger: what waits while the process stands still is read late; counted from then on, it would look quick.
-    let began = dispatcher.pulse.queued_since();
+    // A request that arrives while the process is stalled is read late. Measured from the read, its response time would
+    // look too short and its deadline would be too late.
+    let began = dispatcher.stall_detector.queued_since();
     let wait = (request.deadline(began) - dispatcher.clock.now()) / LIST_WAIT_PARTS;
-    lease.first_in_force(to_duration(wait.min(LIST_WAIT_MOST))).await;
+    lease.wait_until_first_valid(to_duration(wait.min(LIST_WAIT_MOST))).await;
     let mut answer = decide(request, began, &mut handle, dispatcher, attempts, counts).await;
     counts.record_latency(dispatcher.clock.now() - began);
     answer.end().inspect(|&end| counts.record_outcome(case, end));
-    if let Answer::Served(Content::Long(relay)) = &mut answer {
-        relay.carries(handle, in_hand, counts.clone(), case);
+    if let Answer::Served(ResponseBody::Streamed(relay)) = &mut answer {
+        relay.attach_request(handle, in_hand, counts.clone(), case);
     }
     answer
 }
@@ -45,7 +47,7 @@
     began: Micros,
     handle: &mut RequestHandle,
     dispatcher: &Rc<Dispatcher>,
-    attempts: &Attempts,
+    attempts: &AttemptService,
     counts: &Metrics,
 ) -> Answer {
     let request = Rc::new(request);
@@ -55,39 +57,39 @@
         match handle.next(deadline).await {
             Some(Step::Attempt { node, allow_for }) => {
                 handle.sends(&node);
-                dispatcher.settles().await;
-                // Danger: a request that was read together with its client's end, or whose client left while it was held,
-                // would be sent on for nobody; the reader tells of that end only later.
-                if request.client.left() {
+                dispatcher.catch_up_after_stall().await;
+                // The client may have closed its connection right after the request, or while the request was held.
+                // The HTTP server reports that only later, and the attempt would be made for nobody.
+                if request.client.has_disconnected() {
                     return Answer::Left;
                 }
                 let sent_at = dispatcher.clock.now();
                 let fetch = dispatcher.is_origin(&node);
                 let chosen_at = Instant::now();
-                let attempt = Attempt { request: request.clone(), node, allow_for, chosen_at };
+                let attempt = Attempt { request: request.clone(), node, timeout: allow_for, chosen_at };
                 let ended = attempts.clone().oneshot(attempt).await;
                 let wait = dispatcher.clock.now() - sent_at;
-                // What the origin refused has cost it something, too.
+                // A request that the origin refused has cost it work, too.
                 let reached = ended.as_ref().err().is_none_or(|broken| !broken.ending().never_ran());
                 if fetch && reached {
                     increment(&counts.origin_attempts);
                 }
                 match ended {
                     Ok(answered) => {
-                        if fetch && answered.ending == Ending::Full {
+                        if fetch && answered.ending == AttemptStatus::Full {
                             increment(&counts.origin_refusals);
                         }
-                        handle.ended(answered.ending, wait, answered.first);
-                        if answered.ending == Ending::Served {
+                        handle.ended(answered.ending, wait, answered.first_on_connection);
+                        if answered.ending == AttemptStatus::Served {
                             return Answer::Served(answered.body);
                         }
                     }
                     Err(broken) => {
-                        // A body that is not kept had this one attempt.
-                        if let Some(why) = request.body.passing().and_then(|end| end.broken.take()) {
+                        // A streamed body allows this one attempt only.
+                        if let Some(why) = request.body.stream_status().and_then(|end| end.error.take()) {
                             return Answer::Malformed(why);
                         }
-                        if broken.cause == Cause::Left {
+                        if broken.cause == FailureCause::ClientDisconnected {
                             return Answer::Left;
                         }
                         handle.ended(broken.ending(), wait, false);
@@ -95,8 +97,8 @@
                 }
             }
             Some(Step::Refuse { stay_away }) => return Answer::Refused { stay_away },
-            // Danger: a request nobody answers by its deadline is lost; whatever the module does, it is
-            // failed then, which promises nothing.
+            // A request without a response by its deadline is lost. So it fails then, whatever the module does; a
+            // failure makes no promise about the effect.
             Some(Step::Fail) | None => return Answer::Failed,
         }
     }
