--- a/crates/flintwell/src/main.rs
+++ b/crates/flintwell/src/main.rs
@@ -2,10 +2,10 @@
 
 mod clients;
 mod fleet;
+mod management;
 mod nodes;
 mod process;
 mod requests;
-mod management;
 
 use clap::{Parser, Subcommand};
 use process::{config, serve};
--- a/crates/flintwell/src/management/api.rs
+++ b/crates/flintwell/src/management/api.rs
@@ -3,13 +3,13 @@
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
 use crate::fleet::overrides::OverrideError;
-use crate::fleet::registry::Registry;
 use crate::fleet::peer_messaging::PeerMessaging;
-use crate::process::shutdown::Shutdown;
-use crate::requests::dispatcher::Dispatcher;
+use crate::fleet::registry::Registry;
 use crate::log_line;
 use crate::management::metrics::Metrics;
 use crate::management::rollout::Rollout;
+use crate::process::shutdown::Shutdown;
+use crate::requests::dispatcher::Dispatcher;
 use bytes::Bytes;
 use flintwell_rollout::wire::MESSAGE_MOST;
 use http_body_util::{BodyExt, Full, Limited};
@@ -36,7 +36,7 @@
 
 /// State that the API reads and changes.
 pub struct ApiState {
-    pub counts: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     pub dispatcher: Rc<Dispatcher>,
     pub registry: Rc<Registry>,
     pub list_status: Rc<ListStatus>,
@@ -45,7 +45,7 @@
     /// Present if the configuration has a `rollout` section.
     pub rollout: Option<Rc<Rollout>>,
     /// Messages between proxies; present if the configuration has a `words` section.
-    pub words: Option<Rc<PeerMessaging>>,
+    pub peer_messaging: Option<Rc<PeerMessaging>>,
 }
 
 #[derive(Deserialize)]
@@ -58,7 +58,7 @@
 
 const FLEET_PATH: &str = "/api/fleet"; // state of the other proxies
 const VIOLATIONS_PATH: &str = "/api/violations"; // counters of conditions that should not occur
-const LIST_PATH: &str = "/api/list"; // version and age of the server list, and the basis of its lease
+const LIST_PATH: &str = "/api/list"; // version and age of the node list, and the basis of its lease
 const ROLLOUT_PREFIX: &str = "/api/rollout/"; // prefix of the calls that change settings
 
 /// Accepts and serves connections until the process ends. At the connection limit the oldest connection is closed, so
@@ -115,11 +115,16 @@
 }
 
 async fn handle(request: Request<Incoming>, state: &ApiState) -> Result<Reply, StatusCode> {
-    if let Some(rollout) = state.rollout.as_deref().filter(|_| request.uri().path().starts_with(ROLLOUT_PREFIX)) {
+    if let Some(rollout) =
+        state.rollout.as_deref().filter(|_| request.uri().path().starts_with(ROLLOUT_PREFIX))
+    {
         return handle_rollout(request, rollout).await;
     }
-    if let Some(words) = state.words.as_deref().filter(|_| request.uri().path() == FLEET_PATH) {
-        let text = serde_json::to_string(&words.status()).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
+    if let Some(peer_messaging) =
+        state.peer_messaging.as_deref().filter(|_| request.uri().path() == FLEET_PATH)
+    {
+        let text =
+            serde_json::to_string(&peer_messaging.status()).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
         return Ok((StatusCode::OK, text));
     }
     let expected = match request.uri().path() {
@@ -137,12 +142,14 @@
             false => Ok((StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#.into())),
         },
         "/api/telemetry" => {
-            let figures = state.counts.telemetry(state.registry.cache_count(), state.dispatcher.count_avoided_caches());
+            let figures = state
+                .metrics
+                .telemetry(state.registry.cache_count(), state.dispatcher.count_avoided_caches());
             let text = serde_json::to_string(&figures).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
             Ok((StatusCode::OK, text))
         }
         VIOLATIONS_PATH => {
-            let text = serde_json::to_string(&state.counts.violations_report());
+            let text = serde_json::to_string(&state.metrics.violations_report());
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
         LIST_PATH => {
@@ -150,7 +157,8 @@
             Ok((StatusCode::OK, text.map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?))
         }
         path => {
-            let text = Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(|_| StatusCode::BAD_REQUEST)?;
+            let text =
+                Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(|_| StatusCode::BAD_REQUEST)?;
             let decoded = serde_json::from_slice::<NodeRequest>(&text.to_bytes());
             let who = decoded.ok().map(|request| request.who).filter(|who| !who.is_empty());
             let who = who.ok_or(StatusCode::BAD_REQUEST)?;
--- a/crates/flintwell/src/management/fleet_status.rs
+++ b/crates/flintwell/src/management/fleet_status.rs
@@ -57,7 +57,8 @@
     }
     for node in &fleet.silent {
         let who = if node.is_prober { "probed by this proxy" } else { "probed by other proxies" };
-        text += &format!("  {} does not respond, nor to {} other proxies; {who}\n", node.node, node.witnesses);
+        text +=
+            &format!("  {} does not respond, nor to {} other proxies; {who}\n", node.node, node.witnesses);
     }
     let count = |what: &str, count: u64| if count > 0 { format!(" {what} {count}") } else { String::new() };
     let causes = [
--- a/crates/flintwell/src/management/metrics.rs
+++ b/crates/flintwell/src/management/metrics.rs
@@ -47,8 +47,8 @@
     pub origin_refusals: Counter,
     /// Requests sent although a rule forbade it.
     pub violations: Violations,
-    /// How often the lease on the server list lapsed.
-    pub lapses: Counter,
+    /// How often the lease on the node list lapsed.
+    pub list_lapses: Counter,
 }
 
 /// Counts a request as in flight until dropped.
@@ -76,7 +76,7 @@
 /// is fixed by the operators.
 #[derive(Serialize)]
 pub struct ViolationsReport {
-    /// How often the lease on the server list lapsed.
+    /// How often the lease on the node list lapsed.
     list_lapses: u64,
     /// Requests sent although a rule forbade it, by rule.
     violations: BTreeMap<&'static str, u64>,
@@ -92,7 +92,7 @@
             origin_attempts: Counter::default(),
             origin_refusals: Counter::default(),
             violations: Violations::default(),
-            lapses: Counter::default(),
+            list_lapses: Counter::default(),
         };
         metrics.add_classes(classes);
         Rc::new(metrics)
@@ -101,7 +101,8 @@
     /// Adds the classes beyond those already present; existing classes keep their index.
     pub fn add_classes(&self, classes: &[String]) {
         let mut known = self.classes.borrow_mut();
-        let more: Vec<_> = classes.iter().skip(known.len()).map(|class| (class.clone(), Rc::default())).collect();
+        let more: Vec<_> =
+            classes.iter().skip(known.len()).map(|class| (class.clone(), Rc::default())).collect();
         known.extend(more);
     }
 
@@ -148,7 +149,7 @@
 
     /// Body of `/api/violations`.
     pub fn violations_report(&self) -> ViolationsReport {
-        ViolationsReport { list_lapses: self.lapses.get(), violations: self.violations.by_name() }
+        ViolationsReport { list_lapses: self.list_lapses.get(), violations: self.violations.by_name() }
     }
 
     /// Metrics that a rollout compares between proxies.
@@ -167,7 +168,10 @@
             fetches: self.origin_attempts.get(),
             refused: self.origin_refusals.get(),
             memory_kb: memory_kb().unwrap_or(0),
-            times: self.latencies.as_ref().map_or_else(String::new, |latencies| encode_times(&latencies.borrow())),
+            times: self
+                .latencies
+                .as_ref()
+                .map_or_else(String::new, |latencies| encode_times(&latencies.borrow())),
         }
     }
 }
--- a/crates/flintwell/src/management/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -2,9 +2,9 @@
 //! reverts settings that are not confirmed in time.
 
 use crate::fleet::registry::Registry;
-use crate::process::clock::Clock;
 use crate::log_line;
 use crate::management::metrics::Metrics;
+use crate::process::clock::Clock;
 use flintwell_rollout::member::{Member, Refusal};
 use flintwell_rollout::wire::{Named, Stage, Status};
 use flintwell_settings::check_change;
@@ -27,7 +27,7 @@
     pub started_ms: u64,
     pub member: RefCell<Member>,
     pub disk: Disk,
-    pub counts: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     pub changed: Notify,
     /// Applies settings to all components at once.
     pub apply: Box<dyn Fn(&Value)>,
@@ -63,14 +63,18 @@
 
     /// Serves a GET request; `endpoint` is the path below `/api/rollout/`.
     pub fn get(&self, endpoint: &str) -> Reply {
-        let internal_error = |error: serde_json::Error| (StatusCode::INTERNAL_SERVER_ERROR, error.to_string());
+        let internal_error =
+            |error: serde_json::Error| (StatusCode::INTERNAL_SERVER_ERROR, error.to_string());
         match endpoint {
             "status" => self.status_reply(),
-            "settings" => serde_json::to_string(&self.member.borrow().in_force().settings).map_err(internal_error),
+            "settings" => {
+                serde_json::to_string(&self.member.borrow().in_force().settings).map_err(internal_error)
+            }
             "nodes" => serde_json::to_string(&self.registry.effective_list()).map_err(internal_error),
             "figures" => {
                 let epoch = self.member.borrow().in_force().epoch;
-                serde_json::to_string(&self.counts.rollout_figures(epoch, self.started_ms)).map_err(internal_error)
+                serde_json::to_string(&self.metrics.rollout_figures(epoch, self.started_ms))
+                    .map_err(internal_error)
             }
             _ => Err((StatusCode::NOT_FOUND, "unknown path".into())),
         }
--- a/crates/flintwell/src/process/clock.rs
+++ b/crates/flintwell/src/process/clock.rs
@@ -24,7 +24,7 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), started_at: since.as_micros() as Micros }
     }
-    /// Unix time that never goes backwards. It is comparable with the node start times in the server list.
+    /// Unix time that never goes backwards. It is comparable with the node start times in the node list.
     pub fn now(&self) -> Micros {
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -136,7 +136,8 @@
             return Err("rollout: needs the management API, but mgmt is not set".into());
         }
     }
-    let peer_messaging = file.words.map(|section| peer_messaging(section, &settings, &file.settings)).transpose()?;
+    let peer_messaging =
+        file.words.map(|section| peer_messaging(section, &settings, &file.settings)).transpose()?;
     let shadow_settings = file.watch_with.map(|other| {
         let both = laid_over(file.settings.clone(), other);
         check(&both).and_then(|()| decode(&both)).map_err(|e| format!("watch_with: {e}"))
@@ -160,7 +161,11 @@
     })
 }
 
-fn peer_messaging(section: PeerMessagingSection, settings: &Settings, settings_json: &Value) -> Result<PeerMessagingConfig, String> {
+fn peer_messaging(
+    section: PeerMessagingSection,
+    settings: &Settings,
+    settings_json: &Value,
+) -> Result<PeerMessagingConfig, String> {
     let PeerMessagingSection { cluster, listen, advertise, peers, key_file } = section;
     let advertise = advertise.unwrap_or(listen);
     if settings_json["limits"]["peer_messages"] == Value::Bool(false) {
@@ -180,7 +185,10 @@
         Some(file) => {
             let key = std::fs::read(&file).map_err(|e| format!("words: key_file {}: {e}", file.display()))?;
             if key.len() < MIN_KEY_BYTES {
-                return Err(format!("words: key_file {} has fewer than {MIN_KEY_BYTES} bytes", file.display()));
+                return Err(format!(
+                    "words: key_file {} has fewer than {MIN_KEY_BYTES} bytes",
+                    file.display()
+                ));
             }
             key
         }
@@ -208,7 +216,11 @@
             "proxy {} of {}, {} descriptors",
             self.settings.proxy_index, self.settings.fleet_size, self.sockets
         )?;
-        let shadow = if self.shadow_settings.is_some() { "; shadow policy with the settings of watch_with" } else { "" };
+        let shadow = if self.shadow_settings.is_some() {
+            "; shadow policy with the settings of watch_with"
+        } else {
+            ""
+        };
         write!(f, "classes: {classes}; initial nodes: {}{shadow}", self.initial_nodes.len())
     }
 }
--- a/crates/flintwell/src/process/handover.rs
+++ b/crates/flintwell/src/process/handover.rs
@@ -4,10 +4,10 @@
 //! nothing before that.
 
 use crate::clients::framing::BodyDecoder;
-use crate::nodes::response_transfer::ResponseTransfer;
-use crate::nodes::response_body::RequestGuard;
 use crate::log_line;
 use crate::management::metrics::{Metrics, RequestOutcome};
+use crate::nodes::response_body::RequestGuard;
+use crate::nodes::response_transfer::ResponseTransfer;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -29,52 +29,62 @@
 const HELLO: &[u8] = b"flintwell hand-over 1"; // ends in the protocol version
 const TAKEN: &[u8] = b"taken";
 const REFUSED: &[u8] = b"refused";
-const ANSWERS: Duration = Duration::from_millis(500); // ample for a process that is not stalled
-const MOST: usize = 196_608; // less than the default send buffer of a socket (212,992)
-const ANCILLARY: usize = 128; // room for more descriptors than are ever sent, so that excess ones are detected
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500); // ample for a process that is not stalled
+const MAX_MESSAGE_BYTES: usize = 196_608; // less than the default send buffer of a socket (212,992)
+const ANCILLARY_BYTES: usize = 128; // room for more descriptors than are ever sent, so that excess ones are detected
 
 /// Header of a handover message: one line of JSON, followed by the bytes not yet written to the client.
 #[derive(Serialize, Deserialize)]
-struct Note {
+struct Header {
     /// Index of the request's class, if its outcome has not been counted yet.
-    case: Option<usize>,
+    #[serde(rename = "case")]
+    class_index: Option<usize>,
     /// Framing state of the data still to come from the node; `None` if the node has sent everything.
-    rest: Option<BodyDecoder>,
+    #[serde(rename = "rest")]
+    decoder: Option<BodyDecoder>,
     /// Whether the client gets the response in chunked coding.
     chunked: bool,
     /// Whether the final chunk still has to be written.
-    open: bool,
+    #[serde(rename = "open")]
+    is_end_pending: bool,
     /// Maximum number of bytes still accepted from the node.
-    left: u64,
+    #[serde(rename = "left")]
+    max_remaining_bytes: u64,
     /// Number of bytes that follow the header.
-    unwritten: usize,
+    #[serde(rename = "unwritten")]
+    unwritten_bytes: usize,
     /// Length of the file with data that comes after those bytes; 0 if there is no file.
-    kept: u64,
+    #[serde(rename = "kept")]
+    buffered_bytes: u64,
 }
 
 /// Connection of the old process to its successor.
 pub struct Successor {
     socket: Mutex<Option<UnixSeqpacket>>,
     /// Time of the last reply or error.
-    heard_at: Cell<Instant>,
-    folder: PathBuf,
+    last_reply_at: Cell<Instant>,
+    directory: PathBuf,
 }
 
 /// Connects to the successor that listens at this path; logs one line if that fails.
-pub async fn successor(path: Option<&Path>) -> Option<Successor> {
-    let folder = path.and_then(Path::parent).map(Path::to_owned);
-    let meets = async {
-        let folder = folder.ok_or(io::ErrorKind::NotFound)?;
+pub async fn connect(path: Option<&Path>) -> Option<Successor> {
+    let directory = path.and_then(Path::parent).map(Path::to_owned);
+    let connecting = async {
+        let directory = directory.ok_or(io::ErrorKind::NotFound)?;
         let socket = UnixSeqpacket::connect(path.ok_or(io::ErrorKind::NotFound)?).await?;
         socket.send(HELLO).await?;
         let mut hello = [0; HELLO.len() + 1];
-        let said = socket.recv(&mut hello).await?.bytes_read();
-        if &hello[..said] != HELLO {
+        let length = socket.recv(&mut hello).await?.bytes_read();
+        if &hello[..length] != HELLO {
             return Err(io::Error::other("it speaks another version of the protocol"));
         }
-        Ok(Successor { socket: Mutex::new(Some(socket)), heard_at: Cell::new(Instant::now()), folder })
+        Ok(Successor {
+            socket: Mutex::new(Some(socket)),
+            last_reply_at: Cell::new(Instant::now()),
+            directory,
+        })
     };
-    match timeout(ANSWERS, meets).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
+    match timeout(REPLY_TIMEOUT, connecting).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(successor) => Some(successor),
         Err(error) => {
             log_line!("the successor takes over no long responses: {error}");
@@ -91,7 +101,7 @@
         for piece in pieces {
             let file = match &mut file {
                 Some(file) => file,
-                None => file.insert(tempfile::tempfile_in(&self.folder)?),
+                None => file.insert(tempfile::tempfile_in(&self.directory)?),
             };
             file.write_all(&piece)?;
             length += piece.len() as u64;
@@ -103,20 +113,20 @@
     /// Offers a response to the successor; returns whether the successor owns it now. A successor that has not replied
     /// may have accepted the response all the same, and if both processes wrote, bytes would be sent twice. So this
     /// waits without a timeout until the successor replies or the connection ends.
-    async fn takes(&self, carry: &ResponseTransfer, case: Option<usize>) -> bool {
+    async fn offer(&self, transfer: &ResponseTransfer, class_index: Option<usize>) -> bool {
         let mut socket = loop {
-            match timeout(ANSWERS, self.socket.lock()).await {
+            match timeout(REPLY_TIMEOUT, self.socket.lock()).await {
                 Ok(socket) => break socket,
                 // Responses queued behind one without a reply stay in this process.
-                Err(_) if self.heard_at.get().elapsed() > ANSWERS => return false,
+                Err(_) if self.last_reply_at.get().elapsed() > REPLY_TIMEOUT => return false,
                 Err(_) => {}
             }
         };
-        let Some(open) = socket.as_ref() else { return false };
-        let offered = offer(open, carry, case).await;
-        self.heard_at.set(Instant::now());
-        match offered {
-            Ok(taken) => taken,
+        let Some(connection) = socket.as_ref() else { return false };
+        let result = send_offer(connection, transfer, class_index).await;
+        self.last_reply_at.set(Instant::now());
+        match result {
+            Ok(accepted) => accepted,
             Err(error) => {
                 log_line!("handover of a response failed: {error}");
                 *socket = None;
@@ -126,28 +136,42 @@
     }
 }
 
-async fn offer(socket: &UnixSeqpacket, carry: &ResponseTransfer, case: Option<usize>) -> io::Result<bool> {
-    let rest = carry.upstream.as_ref().map(|rest| rest.1);
-    let unwritten = carry.unwritten.len();
-    let kept = carry.buffered.as_ref().map_or(0, |kept| kept.1);
-    let ResponseTransfer { chunked, is_end_pending: open, max_remaining_bytes: left, .. } = *carry;
-    let note = Note { case, rest, chunked, open, left, unwritten, kept };
-    let mut head = serde_json::to_vec(&note)?;
+async fn send_offer(
+    socket: &UnixSeqpacket,
+    transfer: &ResponseTransfer,
+    class_index: Option<usize>,
+) -> io::Result<bool> {
+    let decoder = transfer.upstream.as_ref().map(|upstream| upstream.1);
+    let unwritten_bytes = transfer.unwritten.len();
+    let buffered_bytes = transfer.buffered.as_ref().map_or(0, |buffered| buffered.1);
+    let ResponseTransfer { chunked, is_end_pending, max_remaining_bytes, .. } = *transfer;
+    let header = Header {
+        class_index,
+        decoder,
+        chunked,
+        is_end_pending,
+        max_remaining_bytes,
+        unwritten_bytes,
+        buffered_bytes,
+    };
+    let mut head = serde_json::to_vec(&header)?;
     head.push(b'\n');
-    if head.len() + unwritten > MOST {
+    if head.len() + unwritten_bytes > MAX_MESSAGE_BYTES {
         return Ok(false);
     }
-    let mut descriptors = vec![carry.client.as_fd()];
-    descriptors.extend(carry.upstream.iter().map(|rest| rest.0.as_fd()));
-    descriptors.extend(carry.buffered.iter().map(|kept| kept.0.as_fd()));
-    let mut ancillary = [0; ANCILLARY];
+    let mut descriptors = vec![transfer.client.as_fd()];
+    descriptors.extend(transfer.upstream.iter().map(|upstream| upstream.0.as_fd()));
+    descriptors.extend(transfer.buffered.iter().map(|buffered| buffered.0.as_fd()));
+    let mut ancillary = [0; ANCILLARY_BYTES];
     let mut ancillary = AncillaryMessageWriter::new(&mut ancillary);
-    ancillary.add_fds(descriptors.iter()).map_err(|_| io::Error::other("descriptors exceed the ancillary buffer"))?;
-    let parts = [IoSlice::new(&head), IoSlice::new(&carry.unwritten)];
+    ancillary
+        .add_fds(descriptors.iter())
+        .map_err(|_| io::Error::other("descriptors exceed the ancillary buffer"))?;
+    let parts = [IoSlice::new(&head), IoSlice::new(&transfer.unwritten)];
     socket.send_vectored_with_ancillary(&parts, &mut ancillary).await?;
-    let mut word = [0; 16];
-    let said = socket.recv(&mut word).await?.bytes_read();
-    match &word[..said] {
+    let mut reply = [0; 16];
+    let length = socket.recv(&mut reply).await?.bytes_read();
+    match &reply[..length] {
         TAKEN => Ok(true),
         b"" => Err(io::ErrorKind::UnexpectedEof.into()),
         _ => Ok(false),
@@ -155,54 +179,54 @@
 }
 
 /// Hands a response over to the successor. If the successor does not accept it, this process relays the rest itself.
-pub async fn hand_over(successor: &Successor, carry: ResponseTransfer, carried: Option<RequestGuard>) {
-    if successor.takes(&carry, carried.as_ref().map(|carried| carried.class_index)).await {
+pub async fn hand_over(successor: &Successor, transfer: ResponseTransfer, request: Option<RequestGuard>) {
+    if successor.offer(&transfer, request.as_ref().map(|request| request.class_index)).await {
         return;
     }
-    let whole = carry.run().await;
-    carried.into_iter().for_each(|carried| carried.record_end(whole));
+    let completed = transfer.run().await;
+    request.into_iter().for_each(|request| request.record_end(completed));
 }
 
 /// Receiving side of the handover in the successor.
-pub struct Inheritance {
+pub struct HandoverReceiver {
     /// Connection limits for clients and for nodes.
-    pub rooms: [Arc<Semaphore>; 2],
-    pub counts: Rc<Metrics>,
+    pub limits: [Arc<Semaphore>; 2],
+    pub metrics: Rc<Metrics>,
 }
 
-impl Inheritance {
+impl HandoverReceiver {
     /// Accepts predecessors and their responses; runs until the process ends.
-    pub async fn take_over(&self, listener: &mut UnixSeqpacketListener) {
+    pub async fn run(&self, listener: &mut UnixSeqpacketListener) {
         loop {
             match listener.accept().await {
                 // One predecessor at a time; others wait in the listen queue.
-                Ok(forerunner) => {
-                    if let Err(error) = self.hear(&forerunner).await {
+                Ok(predecessor) => {
+                    if let Err(error) = self.receive(&predecessor).await {
                         log_line!("handover interrupted: {error}");
                     }
                 }
                 Err(error) => {
                     log_line!("handover: accept failed: {error}");
-                    tokio::time::sleep(ANSWERS).await;
+                    tokio::time::sleep(REPLY_TIMEOUT).await;
                 }
             }
         }
     }
 
-    async fn hear(&self, forerunner: &UnixSeqpacket) -> io::Result<()> {
+    async fn receive(&self, predecessor: &UnixSeqpacket) -> io::Result<()> {
         let mut hello = [0; HELLO.len() + 1];
-        let said = timeout(ANSWERS, forerunner.recv(&mut hello)).await;
-        let said = said.map_err(|_| io::ErrorKind::TimedOut)??.bytes_read();
+        let received = timeout(REPLY_TIMEOUT, predecessor.recv(&mut hello)).await;
+        let length = received.map_err(|_| io::ErrorKind::TimedOut)??.bytes_read();
         // A predecessor with another protocol version learns ours from this and keeps its responses.
-        forerunner.send(HELLO).await?;
-        if &hello[..said] != HELLO {
+        predecessor.send(HELLO).await?;
+        if &hello[..length] != HELLO {
             return Err(io::Error::other("the predecessor speaks another version of the protocol"));
         }
-        let mut message = vec![0; MOST];
+        let mut message = vec![0; MAX_MESSAGE_BYTES];
         loop {
-            let mut ancillary = [0; ANCILLARY];
-            let (info, descriptors) = forerunner.recv_with_ancillary(&mut message, &mut ancillary).await?;
-            let cut = info.truncated() || info.ancillary_truncated();
+            let mut ancillary = [0; ANCILLARY_BYTES];
+            let (info, descriptors) = predecessor.recv_with_ancillary(&mut message, &mut ancillary).await?;
+            let is_truncated = info.truncated() || info.ancillary_truncated();
             let mut sockets = Vec::new();
             for part in descriptors.into_messages() {
                 if let OwnedAncillaryMessage::FileDescriptors(descriptors) = part {
@@ -212,9 +236,12 @@
             if info.bytes_read() == 0 && sockets.is_empty() {
                 return Ok(());
             }
-            let taken =
-                if cut { Err("message too long") } else { self.read(&message[..info.bytes_read()], sockets) };
-            let word = match &taken {
+            let accepted = if is_truncated {
+                Err("message or descriptors truncated")
+            } else {
+                self.decode(&message[..info.bytes_read()], sockets)
+            };
+            let reply = match &accepted {
                 Ok(_) => TAKEN,
                 Err(why) => {
                     log_line!("a response was not taken over: {why}");
@@ -222,27 +249,28 @@
                 }
             };
             // If the predecessor is killed before it reads the reply, the response is still ours.
-            let heard = forerunner.send(word).await;
-            if let Ok(taken) = taken {
-                self.goes_on(taken);
+            let sent = predecessor.send(reply).await;
+            if let Ok(response) = accepted {
+                self.resume(response);
             }
-            heard?;
+            sent?;
         }
     }
 
     /// Decodes a message, checks its descriptors and reserves room for its connections.
-    fn read(&self, message: &[u8], mut sockets: Vec<OwnedFd>) -> Result<Taken, &'static str> {
+    fn decode(&self, message: &[u8], mut sockets: Vec<OwnedFd>) -> Result<AcceptedResponse, &'static str> {
         let end = message.iter().position(|byte| *byte == b'\n').ok_or("header has no end")?;
-        let note: Note = serde_json::from_slice(&message[..end]).map_err(|_| "header is invalid")?;
+        let header: Header = serde_json::from_slice(&message[..end]).map_err(|_| "header is invalid")?;
         let unwritten = message[end + 1..].to_vec();
-        let descriptors = 1 + usize::from(note.rest.is_some()) + usize::from(note.kept > 0);
-        if unwritten.len() != note.unwritten || sockets.len() != descriptors {
+        let descriptors = 1 + usize::from(header.decoder.is_some()) + usize::from(header.buffered_bytes > 0);
+        if unwritten.len() != header.unwritten_bytes || sockets.len() != descriptors {
             return Err("bytes or descriptors are missing or in excess");
         }
-        let file = sockets.pop_if(|_| note.kept > 0).map(File::from);
-        let as_told =
-            |file: &File| file.metadata().is_ok_and(|data| data.is_file() && data.len() == note.kept);
-        if !file.iter().all(as_told) {
+        let file = sockets.pop_if(|_| header.buffered_bytes > 0).map(File::from);
+        let has_announced_length = |file: &File| {
+            file.metadata().is_ok_and(|data| data.is_file() && data.len() == header.buffered_bytes)
+        };
+        if !file.iter().all(has_announced_length) {
             return Err("buffered data is not a file of the announced length");
         }
         let mut sockets = sockets.into_iter().map(|socket| {
@@ -256,30 +284,38 @@
         });
         let client = sockets.next().ok_or("client socket is missing")??;
         let node = sockets.next().transpose()?;
-        let rooms = self.rooms.iter().take(1 + usize::from(node.is_some()));
-        let permits = rooms.map(|room| room.clone().try_acquire_owned().map_err(|_| "connection limit reached"));
+        let limits = self.limits.iter().take(1 + usize::from(node.is_some()));
+        let permits =
+            limits.map(|limit| limit.clone().try_acquire_owned().map_err(|_| "connection limit reached"));
         let permits = permits.collect::<Result<Vec<_>, _>>()?;
-        let (rest, left) = (node.zip(note.rest), note.left);
-        let kept = file.map(|file| (file, note.kept));
-        let (chunked, open) = (note.chunked, note.open);
-        let carry = ResponseTransfer { client, unwritten, buffered: kept, upstream: rest, chunked, is_end_pending: open, max_remaining_bytes: left };
-        Ok(Taken { carry, case: note.case, permits })
+        let transfer = ResponseTransfer {
+            client,
+            unwritten,
+            buffered: file.map(|file| (file, header.buffered_bytes)),
+            upstream: node.zip(header.decoder),
+            chunked: header.chunked,
+            is_end_pending: header.is_end_pending,
+            max_remaining_bytes: header.max_remaining_bytes,
+        };
+        Ok(AcceptedResponse { transfer, class_index: header.class_index, permits })
     }
 
-    fn goes_on(&self, Taken { carry, case, permits }: Taken) {
-        let counts = self.counts.clone();
+    fn resume(&self, AcceptedResponse { transfer, class_index, permits }: AcceptedResponse) {
+        let metrics = self.metrics.clone();
         spawn_local(async move {
-            let _in_hand = case.map(|_| counts.start_request());
-            let whole = carry.run().await;
-            case.into_iter().for_each(|case| counts.record_outcome(case, RequestOutcome::of_relay(whole)));
+            let _in_flight = class_index.map(|_| metrics.start_request());
+            let completed = transfer.run().await;
+            class_index
+                .into_iter()
+                .for_each(|index| metrics.record_outcome(index, RequestOutcome::of_relay(completed)));
             drop(permits);
         });
     }
 }
 
 /// A response received from the predecessor.
-struct Taken {
-    carry: ResponseTransfer,
-    case: Option<usize>,
+struct AcceptedResponse {
+    transfer: ResponseTransfer,
+    class_index: Option<usize>,
     permits: Vec<OwnedSemaphorePermit>,
 }
--- a/crates/flintwell/src/process/reload.rs
+++ b/crates/flintwell/src/process/reload.rs
@@ -1,8 +1,8 @@
 //! Reloads the configuration file on SIGHUP and applies the discovery address, the only value that may change while
 //! serving.
 
-use crate::process::config;
 use crate::log_line;
+use crate::process::config;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-const RETRY_INTERVAL: Duration = Duration::from_millis(200); // well within the lease on the server list
+const RETRY_INTERVAL: Duration = Duration::from_millis(200); // well within the lease on the node list
 
 /// Reloads the file at each signal. In-flight requests, connections and learned state are kept.
 pub async fn on_signal(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -3,33 +3,33 @@
 use crate::clients::accept;
 use crate::clients::body::BufferBudget;
 use crate::clients::client_socket::ClientSocket;
-use crate::fleet::discovery_calls::DiscoveryCalls;
 use crate::fleet::discovery::DiscoveryClient;
-use crate::fleet::list_store::{ListStore, StoredList};
+use crate::fleet::discovery_calls::DiscoveryCalls;
 use crate::fleet::lease::ListLease;
-use crate::fleet::list_status::{ListStatus, ListSource};
-use crate::fleet::registry::Registry;
+use crate::fleet::list_status::{ListSource, ListStatus};
+use crate::fleet::list_store::{ListStore, StoredList};
 use crate::fleet::peer_messaging::PeerMessaging;
+use crate::fleet::registry::Registry;
+use crate::log_line;
+use crate::management::api::{self, ApiState};
+use crate::management::metrics::Metrics;
+use crate::management::rollout::Rollout;
 use crate::nodes::attempt::AttemptService;
-use crate::nodes::send_guard::SendGuard;
 use crate::nodes::pool::Pool;
+use crate::nodes::send_guard::SendGuard;
 use crate::process::clock::{Clock, to_duration};
 use crate::process::config::{Config, MIN_SOCKETS};
-use crate::process::handover::{self, Inheritance};
-use crate::process::socket_activation;
-use crate::process::reloadable::Reloadable;
+use crate::process::handover::{self, HandoverReceiver};
 use crate::process::reload;
+use crate::process::reloadable::Reloadable;
 use crate::process::shutdown;
+use crate::process::socket_activation;
 use crate::process::store::Store;
 use crate::process::succession::Succession;
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::service::ClientService;
 use crate::requests::shadow::ShadowPolicy;
-use crate::log_line;
-use crate::management::metrics::Metrics;
-use crate::management::api::{self, ApiState};
-use crate::management::rollout::Rollout;
-use flintwell_list_watch::{WatchConfig, Lease, Watch as ListWatch};
+use flintwell_list_watch::{Lease, Watch as ListWatch, WatchConfig};
 use flintwell_rollout::member::Member;
 use flintwell_settings::{decode, decode_network};
 use flintwell_state::Disk;
@@ -54,10 +54,10 @@
 const RESERVED_DESCRIPTORS: usize = 32; // runtime, signals, log, listener and discovery, with some reserve
 
 /// Runs a background task to its end and restarts it after a panic. A task that ended with a panic would otherwise be
-/// missing for the rest of the process's life without any sign but its effects: a stale server list, a closed listener.
-async fn restart_on_panic(part: &str, mut work: impl AsyncFnMut()) {
-    while AssertUnwindSafe(work()).catch_unwind().await.is_err() {
-        log_line!("task {part} panicked; restarting it");
+/// missing for the rest of the process's life without any sign but its effects: a stale node list, a closed listener.
+async fn restart_on_panic(name: &str, mut task: impl AsyncFnMut()) {
+    while AssertUnwindSafe(task()).catch_unwind().await.is_err() {
+        log_line!("task {name} panicked; restarting it");
         sleep(RESTART_DELAY).await;
     }
 }
@@ -67,9 +67,9 @@
 /// block the only runtime thread, for up to a second on a busy machine, and in a fleet whose proxies start together at
 /// the same number of connections in all of them.
 fn grow_descriptor_table(sockets: usize) {
-    let most = (sockets as u64).min(MAX_TABLE_SIZE);
+    let size = (sockets as u64).min(MAX_TABLE_SIZE);
     // If this fails, the table grows on demand.
-    let _ = fcntl_dupfd_cloexec(std::io::stderr(), most as i32 - 1);
+    let _ = fcntl_dupfd_cloexec(std::io::stderr(), size as i32 - 1);
 }
 
 /// Serves requests until SIGTERM or SIGINT.
@@ -98,7 +98,7 @@
     // A request holds one client connection and at most one node connection, so each side gets half.
     let connections = (config.sockets - RESERVED_DESCRIPTORS) / 2;
     let inherited = socket_activation::inherited_listener()?;
-    let inherits = inherited.is_some();
+    let is_inherited = inherited.is_some();
     let listener = match inherited {
         Some(listener) => listener,
         None => accept::listen(config.listen).await.map_err(|e| format!("listen {}: {e}", config.listen))?,
@@ -106,24 +106,26 @@
     if std::env::var_os(SUPERVISED_ENV).is_some() {
         // If the supervisor is killed, this process must not survive it: it would keep the listening socket occupied
         // when the next supervisor starts.
-        let ends = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::TERM));
-        ends.map_err(|e| format!("signals: {e}"))?;
+        let result = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::TERM));
+        result.map_err(|e| format!("signals: {e}"))?;
     }
     let management = match config.management {
-        Some(addr) => Some(accept::listen(addr).await.map_err(|e| format!("management address {addr}: {e}"))?),
+        Some(addr) => {
+            Some(accept::listen(addr).await.map_err(|e| format!("management address {addr}: {e}"))?)
+        }
         None => None,
     };
-    let temporary = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from);
+    let temporary = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty()).map(PathBuf::from);
     let store = Store::open(temporary.as_deref(), &config.name);
     let store = store.map_err(|e| format!("directory for temporary files: {e}"))?;
-    let changes = match &config.rollout {
+    let rollout_state = match &config.rollout {
         Some(rollout) => {
             let disk = Disk::open(&rollout.state)?;
-            let left = disk.read().unwrap_or_else(|why| {
+            let record = disk.read().unwrap_or_else(|why| {
                 log_line!("{why}");
                 None
             });
-            let member = Member::start(&rollout.fleet, left, &config.settings_json);
+            let member = Member::start(&rollout.fleet, record, &config.settings_json);
             // The settings confirmed last take precedence over the file.
             let in_force = &member.in_force().settings;
             (config.settings, config.network) = (decode(in_force)?, decode_network(in_force)?);
@@ -132,84 +134,88 @@
         }
         None => None,
     };
-    let counts = Metrics::new(&config.network.classes, changes.is_some());
+    let metrics = Metrics::new(&config.network.classes, rollout_state.is_some());
     let pool = Pool::new(connections, config.network.dial_within, config.network.idle_most);
     let network = Reloadable::new(config.network);
-    let place = (config.settings.proxy_index, config.settings.fleet_size);
-    let pushed = !config.settings.list_on_request;
-    let (index, fleet, grace) = (place.0, place.1, network.get().drain_grace);
-    let figures = WatchConfig { pushed, fleet_size: fleet, index, drain_grace: grace };
+    let (index, fleet_size) = (config.settings.proxy_index, config.settings.fleet_size);
+    let (pushed, drain_grace) = (!config.settings.list_on_request, network.get().drain_grace);
+    let watch_config = WatchConfig { pushed, fleet_size, index, drain_grace };
     let origin_kind = config.settings.origin_kind;
     let (clock, seed) = (Clock::start(), config.seed);
-    let watch = config.shadow_settings.map(|other| Rc::new(ShadowPolicy::new(clock.now(), other, seed)));
-    let dispatcher = Rc::new(Dispatcher::new(clock, config.settings, seed, pool.clone(), watch.clone()));
-    if let Some(watch) = watch {
-        spawn_local(restart_on_panic("shadow policy", async move || watch.log_counts().await));
+    let shadow =
+        config.shadow_settings.map(|settings| Rc::new(ShadowPolicy::new(clock.now(), settings, seed)));
+    let dispatcher = Rc::new(Dispatcher::new(clock, config.settings, seed, pool.clone(), shadow.clone()));
+    if let Some(shadow) = shadow {
+        spawn_local(restart_on_panic("shadow policy", async move || shadow.log_counts().await));
     }
     let succession = Succession::open(store.clone(), dispatcher.clock.now());
     let succession = Rc::new(succession.map_err(|e| format!("directory for temporary files: {e}"))?);
-    let kept = ListStore::new(store.clone());
-    let (source, begins_with, age) = match kept.load() {
+    let list_store = ListStore::new(store.clone());
+    let (source, initial_list, age) = match list_store.load() {
         Some(StoredList { listing, age }) => (ListSource::Folder, listing, age),
         None => (ListSource::Configuration, config.initial_nodes, None),
     };
     let now = clock.now();
     let list_watch = ListWatch::new(
         now,
-        figures,
+        watch_config,
         age.map_or(Lease::unconfirmed(), |age| Lease::restored(now, now - age)),
         seed,
     );
-    let lease = ListLease::new(clock, list_watch.lease(), counts.lapses.clone());
+    let lease = ListLease::new(clock, list_watch.lease(), metrics.list_lapses.clone());
     let registry = Registry::new(
         network.clone(),
         origin_kind,
         pool.clone(),
         dispatcher.clone(),
         store,
-        kept,
+        list_store,
         lease.clone(),
     );
-    let (moves, discovery_at) = watch::channel(config.discovery);
-    let list_status = ListStatus::new(lease.clone(), now, source, &begins_with);
+    let (discovery_sender, discovery_addr) = watch::channel(config.discovery);
+    let list_status = ListStatus::new(lease.clone(), now, source, &initial_list);
     let mut discovery = DiscoveryClient::new(
-        discovery_at,
+        discovery_addr,
         registry.clone(),
         lease.clone(),
         list_status.clone(),
         list_watch,
         DiscoveryCalls::new(clock),
     );
-    discovery.load_initial(&begins_with);
-    let watched = dispatcher.clone();
-    spawn_local(restart_on_panic("discovery", async move || discovery.run(&watched).await));
-    let leased = registry.clone();
-    spawn_local(restart_on_panic("list lease", async move || leased.follow_lease().await));
-    let reloading = async move || reload::on_signal(&mut hangup, &path, &moves).await;
+    discovery.load_initial(&initial_list);
+    let discovery_dispatcher = dispatcher.clone();
+    spawn_local(restart_on_panic("discovery", async move || discovery.run(&discovery_dispatcher).await));
+    let lease_registry = registry.clone();
+    spawn_local(restart_on_panic("list lease", async move || lease_registry.follow_lease().await));
+    let reloading = async move || reload::on_signal(&mut hangup, &path, &discovery_sender).await;
     spawn_local(restart_on_panic("reload", reloading));
-    let timed = dispatcher.clone();
-    spawn_local(restart_on_panic("timers", async move || timed.run_timers().await));
-    let beating = dispatcher.clone();
-    spawn_local(restart_on_panic("stall detector", async move || beating.stall_detector.run().await));
-    let followed = registry.clone();
-    spawn_local(restart_on_panic("registry", async move || followed.sync_store().await));
-    let swept = pool.clone();
-    spawn_local(restart_on_panic("pool sweep", async move || swept.run_idle_sweeper().await));
-    let (stop, shutdown) = shutdown::channel();
-    let room = Arc::new(Semaphore::new(connections));
-    let rooms = [(room.clone(), connections), (pool.connection_permits(), connections)];
-    let (sharing, stopping) = (succession.clone(), shutdown.clone());
-    spawn_local(restart_on_panic("connection limits", async move || sharing.share_limits(&rooms, &stopping).await));
-    let rollout = changes.map(|(disk, member)| {
-        let (put_dispatcher, put_network) = (dispatcher.clone(), network.clone());
-        let (put_counts, put_registry) = (counts.clone(), registry.clone());
-        let put = move |settings: &serde_json::Value| match (decode(settings), decode_network(settings)) {
+    let timer_dispatcher = dispatcher.clone();
+    spawn_local(restart_on_panic("timers", async move || timer_dispatcher.run_timers().await));
+    let stall_dispatcher = dispatcher.clone();
+    spawn_local(restart_on_panic("stall detector", async move || {
+        stall_dispatcher.stall_detector.run().await
+    }));
+    let synced_registry = registry.clone();
+    spawn_local(restart_on_panic("registry", async move || synced_registry.sync_store().await));
+    let swept_pool = pool.clone();
+    spawn_local(restart_on_panic("pool sweep", async move || swept_pool.run_idle_sweeper().await));
+    let (controller, shutdown) = shutdown::channel();
+    let client_permits = Arc::new(Semaphore::new(connections));
+    let limits = [(client_permits.clone(), connections), (pool.connection_permits(), connections)];
+    let (limit_succession, limit_shutdown) = (succession.clone(), shutdown.clone());
+    spawn_local(restart_on_panic("connection limits", async move || {
+        limit_succession.share_limits(&limits, &limit_shutdown).await
+    }));
+    let rollout = rollout_state.map(|(disk, member)| {
+        let (apply_dispatcher, apply_network) = (dispatcher.clone(), network.clone());
+        let (apply_metrics, apply_registry) = (metrics.clone(), registry.clone());
+        let apply = move |settings: &serde_json::Value| match (decode(settings), decode_network(settings)) {
             // No await in between: no other task sees the components with different settings.
             (Ok(settings), Ok(network)) => {
-                put_counts.add_classes(&network.classes);
-                put_network.set(network);
-                put_dispatcher.apply_settings(settings);
-                put_registry.republish();
+                apply_metrics.add_classes(&network.classes);
+                apply_network.set(network);
+                apply_dispatcher.apply_settings(settings);
+                apply_registry.republish();
             }
             // Not expected: settings are validated when they are staged.
             (Err(error), _) | (_, Err(error)) => log_line!("settings not applied: {error}"),
@@ -220,64 +226,93 @@
             started_ms: (dispatcher.clock.now() / 1_000).max(0) as u64,
             member: RefCell::new(member),
             disk,
-            counts: counts.clone(),
+            metrics: metrics.clone(),
             changed: Notify::new(),
-            apply: Box::new(put),
+            apply: Box::new(apply),
             registry: registry.clone(),
         })
     });
     if let Some(rollout) = rollout.clone() {
         spawn_local(restart_on_panic("rollout", async move || rollout.run().await));
     }
-    let words = config.peer_messaging.take().map(|peer_messaging| {
-        let (dispatcher, counts) = (dispatcher.clone(), counts.clone());
-        Rc::new(PeerMessaging::new(peer_messaging, config.name.clone(), place, seed, dispatcher, counts))
+    let peer_messaging = config.peer_messaging.take().map(|messaging| {
+        let (dispatcher, metrics) = (dispatcher.clone(), metrics.clone());
+        Rc::new(PeerMessaging::new(
+            messaging,
+            config.name.clone(),
+            (index, fleet_size),
+            seed,
+            dispatcher,
+            metrics,
+        ))
     });
-    if let Some(words) = words.clone() {
-        spawn_local(restart_on_panic("peer messaging", async move || words.run().await));
+    if let Some(peer_messaging) = peer_messaging.clone() {
+        spawn_local(restart_on_panic("peer messaging", async move || peer_messaging.run().await));
     }
-    if let (Some(words), shutdown) = (words.clone(), shutdown.clone()) {
+    if let (Some(peer_messaging), shutdown) = (peer_messaging.clone(), shutdown.clone()) {
         spawn_local(async move {
             shutdown.listener_closed().await;
-            words.leave();
+            peer_messaging.leave();
         });
     }
     if let Some(listener) = management {
-        let (counts, dispatcher) = (counts.clone(), dispatcher.clone());
+        let (metrics, dispatcher) = (metrics.clone(), dispatcher.clone());
         let (lease, shutdown) = (lease.clone(), shutdown.clone());
-        let office =
-            Rc::new(ApiState { counts, dispatcher, registry, list_status, lease, shutdown, rollout, words });
-        let answering = async move || api::serve(&listener, &office).await;
-        spawn_local(restart_on_panic("management API", answering));
+        let state = Rc::new(ApiState {
+            metrics,
+            dispatcher,
+            registry,
+            list_status,
+            lease,
+            shutdown,
+            rollout,
+            peer_messaging,
+        });
+        let serving = async move || api::serve(&listener, &state).await;
+        spawn_local(restart_on_panic("management API", serving));
     }
-    if inherits && let Some(path) = succession.handover_socket() {
+    if is_inherited && let Some(path) = succession.handover_socket() {
         // Failing to bind this socket must not keep the process from serving; only handover is unavailable then.
         match UnixSeqpacketListener::bind(&path) {
             Ok(mut listener) => {
-                let takeover = Inheritance { rooms: [room.clone(), pool.connection_permits()], counts: counts.clone() };
-                spawn_local(restart_on_panic("handover", async move || takeover.take_over(&mut listener).await));
+                let receiver = HandoverReceiver {
+                    limits: [client_permits.clone(), pool.connection_permits()],
+                    metrics: metrics.clone(),
+                };
+                spawn_local(restart_on_panic("handover", async move || receiver.run(&mut listener).await));
             }
             Err(error) => log_line!("cannot take over responses from a predecessor: {error}"),
         }
     }
-    let permission = SendGuard { pool, lease: lease.clone(), violations: counts.violations.clone() };
-    let attempts = AttemptService::new(permission, counts.clone(), BufferBudget::new(config.read_ahead_bytes));
-    let budget = BufferBudget::new(config.request_body_bytes);
-    let longest_now = network.clone();
-    let front =
-        ClientService { dispatcher, attempts, counts, network, budget, lease, shutdown, client: ClientSocket::default() };
-    let at = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
+    let send_guard = SendGuard { pool, lease: lease.clone(), violations: metrics.violations.clone() };
+    let attempts =
+        AttemptService::new(send_guard, metrics.clone(), BufferBudget::new(config.read_ahead_bytes));
+    let body_budget = BufferBudget::new(config.request_body_bytes);
+    let current_network = network.clone();
+    let service = ClientService {
+        dispatcher,
+        attempts,
+        counts: metrics,
+        network,
+        budget: body_budget,
+        lease,
+        shutdown,
+        client: ClientSocket::default(),
+    };
+    let local_addr = listener.local_addr().map_err(|e| format!("listen {}: {e}", config.listen))?;
     succession.mark_serving().map_err(|e| format!("directory for temporary files: {e}"))?;
-    log_line!("{} serves on {at}", config.name);
-    let client_room = room.clone();
-    let accepting =
-        spawn_local(restart_on_panic("accept", async move || accept::accept_connections(&listener, &client_room, &front).await));
-    let max_request_time = || to_duration(longest_now.get().longest);
-    let has_successor = || inherits && succession.has_successor();
-    let successor = async || handover::successor(succession.successor_socket().as_deref()).await;
-    let stopped =
-        stop.run(accepting, room, connections as u32, max_request_time, has_successor, successor).await;
-    stopped.map_err(|e| format!("signals: {e}"))
+    log_line!("{} serves on {local_addr}", config.name);
+    let accept_permits = client_permits.clone();
+    let accepting = spawn_local(restart_on_panic("accept", async move || {
+        accept::accept_connections(&listener, &accept_permits, &service).await
+    }));
+    let max_request_time = || to_duration(current_network.get().longest);
+    let has_successor = || is_inherited && succession.has_successor();
+    let successor = async || handover::connect(succession.successor_socket().as_deref()).await;
+    let result = controller
+        .run(accepting, client_permits, connections as u32, max_request_time, has_successor, successor)
+        .await;
+    result.map_err(|e| format!("signals: {e}"))
 }
 
 #[cfg(test)]
--- a/crates/flintwell/src/process/shutdown.rs
+++ b/crates/flintwell/src/process/shutdown.rs
@@ -3,8 +3,8 @@
 //! again on a new connection. Then the listener is closed, and the remaining requests are completed. With a successor
 //! on the same listening socket, the listener and idle connections are closed at once.
 
-use crate::process::handover::Successor;
 use crate::log_line;
+use crate::process::handover::Successor;
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -62,7 +62,8 @@
     /// idle ones are already being closed, stay open until the last phase.
     pub fn idle_closed(&self) -> impl Future<Output = ()> + use<> {
         let closing_idle = *self.phases.borrow() >= Phase::IdleClosed;
-        let (shutdown, phase) = (self.clone(), if closing_idle { Phase::AllClosed } else { Phase::IdleClosed });
+        let (shutdown, phase) =
+            (self.clone(), if closing_idle { Phase::AllClosed } else { Phase::IdleClosed });
         async move { shutdown.wait_for_phase(phase).await }
     }
     /// Waits for shutdown and returns the successor that takes over streamed responses; never completes without one.
@@ -120,14 +121,19 @@
             successor().await.map(|successor| self.successor.set(Rc::new(successor)));
             self.has_successor.set(true);
         }
-        log_line!("shutting down{}", if self.has_successor.get() { "; a successor serves the socket" } else { "" });
+        log_line!(
+            "shutting down{}",
+            if self.has_successor.get() { "; a successor serves the socket" } else { "" }
+        );
         self.phases.send_replace(Phase::Draining);
         // With a successor no connections are accepted from here on, since a long response to a later request would be
         // cut off by SIGKILL; the successor accepts them instead.
         let accept_grace = if self.has_successor.get() { Duration::ZERO } else { ACCEPT_GRACE };
-        for (wait, phase) in
-            [(accept_grace, Phase::IdleClosed), (RECONNECT_GRACE, Phase::ListenerClosed), (LATE_CONNECTION_GRACE, Phase::AllClosed)]
-        {
+        for (wait, phase) in [
+            (accept_grace, Phase::IdleClosed),
+            (RECONNECT_GRACE, Phase::ListenerClosed),
+            (LATE_CONNECTION_GRACE, Phase::AllClosed),
+        ] {
             sleep(wait).await;
             self.phases.send_replace(phase);
         }
--- a/crates/flintwell/src/process/socket_activation.rs
+++ b/crates/flintwell/src/process/socket_activation.rs
@@ -9,7 +9,9 @@
 
 /// Returns the listening socket named by `EDGE_LISTEN_FD`, or `None` if the variable is unset or empty.
 pub fn inherited_listener() -> Result<Option<TcpListener>, String> {
-    let Some(value) = std::env::var(LISTEN_FD_ENV).ok().filter(|value| !value.is_empty()) else { return Ok(None) };
+    let Some(value) = std::env::var(LISTEN_FD_ENV).ok().filter(|value| !value.is_empty()) else {
+        return Ok(None);
+    };
     let invalid = |why: &str| format!("{LISTEN_FD_ENV} is {value}: {why}");
     let number = value.parse::<usize>().ok().and_then(|number| number.checked_sub(FIRST_FD));
     let number = number.ok_or_else(|| invalid("expected a descriptor number of at least 3"))?;
--- a/crates/flintwell/src/process/succession.rs
+++ b/crates/flintwell/src/process/succession.rs
@@ -1,9 +1,9 @@
 //! Tracks the running processes of this proxy. Each process keeps a locked file while it runs, and writes to it once it
 //! serves requests.
 
+use crate::log_line;
 use crate::process::shutdown::Shutdown;
 use crate::process::store::Store;
-use crate::log_line;
 use std::fs::{File, TryLockError};
 use std::io::{self, Read, Seek, Write};
 use std::path::PathBuf;
@@ -75,7 +75,8 @@
 
     /// Path of this process's handover socket. Removes sockets left behind by killed processes.
     pub fn handover_socket(&self) -> Option<PathBuf> {
-        let running: Vec<String> = self.siblings().map(|(file, _)| format!("{HANDOVER_PREFIX}{file}")).collect();
+        let running: Vec<String> =
+            self.siblings().map(|(file, _)| format!("{HANDOVER_PREFIX}{file}")).collect();
         let stale = self.store.list_files(HANDOVER_PREFIX).into_iter().filter(|name| !running.contains(name));
         stale.for_each(|name| self.store.remove(&name));
         self.store.path(&format!("{HANDOVER_PREFIX}{}", self.file))
@@ -110,14 +111,23 @@
         while self.lock.is_some() && !shutdown.has_begun() {
             if is_sharing != self.has_sibling() {
                 is_sharing = !is_sharing;
-                log_line!("{}", if is_sharing { "another process of this proxy runs: connection limits halved" } else { "no other process runs: connection limits restored" });
+                log_line!(
+                    "{}",
+                    if is_sharing {
+                        "another process of this proxy runs: connection limits halved"
+                    } else {
+                        "no other process runs: connection limits restored"
+                    }
+                );
                 reserved.clear();
             }
             if is_sharing {
                 for (semaphore, total) in limits {
                     let half = total / MAX_PROCESSES;
-                    let of_semaphore = |permit: &&OwnedSemaphorePermit| Arc::ptr_eq(permit.semaphore(), semaphore);
-                    let held: usize = reserved.iter().filter(of_semaphore).map(OwnedSemaphorePermit::num_permits).sum();
+                    let of_semaphore =
+                        |permit: &&OwnedSemaphorePermit| Arc::ptr_eq(permit.semaphore(), semaphore);
+                    let held: usize =
+                        reserved.iter().filter(of_semaphore).map(OwnedSemaphorePermit::num_permits).sum();
                     let more = (half - held.min(half)).min(semaphore.available_permits());
                     let more = u32::try_from(more).unwrap_or(0);
                     reserved.extend(semaphore.clone().try_acquire_many_owned(more).ok().filter(|_| more > 0));
