--- a/crates/flintwell/src/management/metrics.rs
+++ b/crates/flintwell/src/management/metrics.rs
@@ -20,8 +20,8 @@
 
 impl RequestOutcome {
     /// Outcome of a streamed response that was relayed completely or broken off.
-    pub fn of_relay(whole: bool) -> Self {
-        if whole { RequestOutcome::Served } else { RequestOutcome::Failed }
+    pub fn of_relay(completed: bool) -> Self {
+        if completed { RequestOutcome::Served } else { RequestOutcome::Failed }
     }
 }
 
@@ -120,10 +120,10 @@
     }
 
     /// Counts the outcome of a request, by the index of its class.
-    pub fn record_outcome(&self, class: usize, end: RequestOutcome) {
+    pub fn record_outcome(&self, class: usize, outcome: RequestOutcome) {
         let classes = self.classes.borrow();
         let Some((_, outcomes)) = classes.get(class) else { return };
-        increment(match end {
+        increment(match outcome {
             RequestOutcome::Served => &outcomes.served,
             RequestOutcome::Refused => &outcomes.refused,
             RequestOutcome::Failed => &outcomes.failed,
--- a/crates/flintwell/src/management/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -28,6 +28,7 @@
     pub member: RefCell<Member>,
     pub disk: Disk,
     pub metrics: Rc<Metrics>,
+    /// Wakes `run` when the next deadline may have changed.
     pub changed: Notify,
     /// Applies settings to all components at once.
     pub apply: Box<dyn Fn(&Value)>,
@@ -41,8 +42,8 @@
     (StatusCode::CONFLICT, refusal.to_string())
 }
 
-fn decode<T: DeserializeOwned>(text: &[u8]) -> Result<T, (StatusCode, String)> {
-    serde_json::from_slice(text).map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))
+fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, (StatusCode, String)> {
+    serde_json::from_slice(body).map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))
 }
 
 impl Rollout {
@@ -81,23 +82,23 @@
     }
 
     /// Handles a message from the rollout's conductor (POST); the response is the resulting status.
-    pub fn post(&self, endpoint: &str, text: &[u8]) -> Reply {
+    pub fn post(&self, endpoint: &str, body: &[u8]) -> Reply {
         let now = self.now();
         let (step, applies) = match endpoint {
             "stage" => {
-                let stage: Stage = decode(text)?;
+                let stage: Stage = decode(body)?;
                 (Some(self.member.borrow().stage(&stage, check_change).map_err(conflict)?), false)
             }
-            "apply" => (self.member.borrow().apply(now, &decode::<Named>(text)?).map_err(conflict)?, true),
-            "confirm" => (self.member.borrow().confirm(&decode::<Named>(text)?).map_err(conflict)?, false),
+            "apply" => (self.member.borrow().apply(now, &decode::<Named>(body)?).map_err(conflict)?, true),
+            "confirm" => (self.member.borrow().confirm(&decode::<Named>(body)?).map_err(conflict)?, false),
             "renew" => {
-                self.member.borrow_mut().renew(now, &decode::<Named>(text)?).map_err(conflict)?;
+                self.member.borrow_mut().renew(now, &decode::<Named>(body)?).map_err(conflict)?;
                 self.changed.notify_one();
                 (None, false)
             }
             "revert" => {
                 let before = self.member.borrow().in_force().epoch;
-                let reverted = self.member.borrow_mut().revert(&decode::<Named>(text)?);
+                let reverted = self.member.borrow_mut().revert(&decode::<Named>(body)?);
                 reverted.map_err(conflict)?;
                 if self.member.borrow().in_force().epoch != before {
                     self.apply_reverted(before);
@@ -107,8 +108,8 @@
             _ => return Err((StatusCode::NOT_FOUND, "unknown path".into())),
         };
         if let Some(step) = step {
-            // Recorded before they are applied: without a record, a restart would let unconfirmed settings stay in force
-            // beyond their time.
+            // Recorded before they are applied: unconfirmed settings without a record would stay in force beyond their
+            // time after a restart.
             if let Err(error) = self.disk.write(&step.record) {
                 log_line!("rollout state not written to disk: {error}");
                 let why = format!("change could not be recorded; nothing has changed: {error}");
