--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -6,7 +6,7 @@
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
 use crate::fleet::registry::Registry;
-use crate::nodes::connection::{ExchangeError, FailureCause, Link, Stage};
+use crate::nodes::connection::{ExchangeError, FailureCause, Connection, Stage};
 use crate::requests::dispatcher::Dispatcher;
 use crate::say;
 use flintwell_core::interface::{ListKind, Micros};
@@ -26,7 +26,7 @@
     /// A connection is being established.
     Connecting,
     /// A connection is open; the call is due at its time slot among those of the fleet.
-    Connected(Link, Micros),
+    Connected(Connection, Micros),
     /// The call is in flight, with its deadline.
     Calling(CallNumber, Micros),
 }
@@ -52,7 +52,7 @@
     /// When the current call was sent.
     called_at: Micros,
     /// The connection of the last response, for reuse.
-    link: Option<Link>,
+    connection: Option<Connection>,
     consecutive_failures: u64,
 }
 
@@ -74,7 +74,7 @@
             calls,
             version: None,
             called_at: 0,
-            link: None,
+            connection: None,
             consecutive_failures: 0,
         }
     }
@@ -89,7 +89,7 @@
         let mut addr_changes = self.addr.clone();
         // When this loop is restarted after a panic, earlier calls are discarded.
         self.calls.abort_all();
-        self.link = None;
+        self.connection = None;
         let mut phase = Phase::Pausing(self.watch.first(dispatcher.clock.now()));
         loop {
             phase = match self.next_event(dispatcher, &mut addr_changes, &phase).await {
@@ -133,7 +133,7 @@
         // Danger: a version number of one discovery service may mean nothing to another, so changes since
         // that version would be wrong; the whole list is requested.
         self.version = None;
-        self.link = None;
+        self.connection = None;
         self.calls.abort_all();
         self.watch.moved();
         self.pause_until_slot(dispatcher)
@@ -146,26 +146,26 @@
             Phase::Pausing(_) => {
                 self.watch.connects(now);
                 let addr = *self.addr.borrow();
-                self.calls.connect(addr, self.link.take());
+                self.calls.connect(addr, self.connection.take());
                 Phase::Connecting
             }
             // Has no timer: it ends with the result of the connection.
             Phase::Connecting => Phase::Connecting,
-            Phase::Connected(link, _) => self.call(dispatcher, link),
+            Phase::Connected(connection, _) => self.call(dispatcher, connection),
             Phase::Calling(..) => {
-                let broken = ExchangeError { stage: Stage::Written, cause: FailureCause::TimedOut };
-                self.on_failure(dispatcher, &CallError::timed_out(broken))
+                let error = ExchangeError { stage: Stage::Written, cause: FailureCause::TimedOut };
+                self.on_failure(dispatcher, &CallError::timed_out(error))
             }
         }
     }
 
     fn on_completion(&mut self, dispatcher: &Dispatcher, phase: Phase, completion: Completion) -> Phase {
         match (phase, completion) {
-            (Phase::Connecting, Completion::Connected(Ok(link))) => {
+            (Phase::Connecting, Completion::Connected(Ok(connection))) => {
                 let now = dispatcher.clock.now();
                 match self.watch.connected(now) {
-                    at if at > now => Phase::Connected(link, at),
-                    _ => self.call(dispatcher, link),
+                    at if at > now => Phase::Connected(connection, at),
+                    _ => self.call(dispatcher, connection),
                 }
             }
             (Phase::Connecting, Completion::Connected(Err(error))) => self.on_failure(dispatcher, &error),
@@ -182,13 +182,13 @@
         }
     }
 
-    fn call(&mut self, dispatcher: &Dispatcher, link: Link) -> Phase {
+    fn call(&mut self, dispatcher: &Dispatcher, connection: Connection) -> Phase {
         let now = dispatcher.clock.now();
         self.watch.grants(self.registry.drain_grace());
         let call = self.watch.call(now, self.version.is_none());
         self.called_at = now;
         self.status.on_call(now);
-        Phase::Calling(self.calls.call(link, self.version, call.wait), now + call.within)
+        Phase::Calling(self.calls.call(connection, self.version, call.wait), now + call.within)
     }
 
     fn on_answer(
@@ -199,7 +199,7 @@
         answer: Answer,
     ) -> Phase {
         let current = matches!(phase, Phase::Calling(current, _) if current == number);
-        let Answer { listing, link, first_byte_at } = answer;
+        let Answer { listing, connection, first_byte_at } = answer;
         if self.version.is_some_and(|version| listing.version < version) {
             // A call that was in flight for long may return an older list than one answered meanwhile.
             if !current {
@@ -230,7 +230,7 @@
         }
         self.status.on_answer(now, listing.version);
         self.publish_lease();
-        self.link = Some(link);
+        self.connection = Some(connection);
         let kind = if listing.full { ListKind::Whole } else { ListKind::Changes };
         self.publish(&listing, kind);
         // Danger: a discovery that answers long polls at once would be called in a busy loop.
@@ -245,9 +245,9 @@
         // Logs only failures 1, 2, 4, 8, ... of an outage.
         if self.consecutive_failures.is_power_of_two() {
             let took = (now - self.called_at) as f64 / 1e6;
-            let CallError { failure, broken } = error;
+            let CallError { failure, error } = error;
             say!(
-                "discovery: {broken} ({failure:?}) after {took:.3} s; {} consecutive failed calls",
+                "discovery: {error} ({failure:?}) after {took:.3} s; {} consecutive failed calls",
                 self.consecutive_failures
             );
         }
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -3,7 +3,7 @@
 //! waste the work of that call for nothing.
 
 use crate::clients::body::Outgoing;
-use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Link, Progress, ReceivedBody};
+use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Connection, Progress, ReceivedBody};
 use crate::process::clock::Clock;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::Failure;
@@ -31,34 +31,34 @@
 #[derive(Debug)]
 pub struct CallError {
     pub failure: Failure,
-    pub broken: ExchangeError,
+    pub error: ExchangeError,
 }
 
 impl CallError {
-    fn from_exchange(broken: ExchangeError) -> Self {
-        let failure = match &broken.cause {
+    fn from_exchange(error: ExchangeError) -> Self {
+        let failure = match &error.cause {
             FailureCause::LocalFault(_) | FailureCause::NoDescriptor => Failure::Local,
             FailureCause::Unreachable(_) => Failure::Unreachable,
             _ => Failure::Broken,
         };
-        CallError { failure, broken }
+        CallError { failure, error }
     }
 
     /// No response came in time.
-    pub fn timed_out(broken: ExchangeError) -> Self {
-        CallError { failure: Failure::Silent, broken }
+    pub fn timed_out(error: ExchangeError) -> Self {
+        CallError { failure: Failure::Silent, error }
     }
 
     /// The response was not acceptable.
     pub fn invalid_response(why: String) -> Self {
-        CallError { failure: Failure::Broken, broken: ExchangeError::before_write(FailureCause::InvalidResponse(why)) }
+        CallError { failure: Failure::Broken, error: ExchangeError::before_write(FailureCause::InvalidResponse(why)) }
     }
 }
 
 /// A response with the connection on which it was received.
 pub struct Answer {
     pub listing: Listing,
-    pub link: Link,
+    pub connection: Connection,
     /// When its first byte was read.
     pub first_byte_at: Micros,
 }
@@ -66,7 +66,7 @@
 /// The completion of a task.
 pub enum Completion {
     /// A connection was established, or could not be.
-    Connected(Result<Link, CallError>),
+    Connected(Result<Connection, CallError>),
     /// A call has ended.
     Called(CallNumber, Result<Answer, CallError>),
 }
@@ -85,15 +85,15 @@
     }
 
     /// Starts to establish a connection to `addr`: `previous`, if it can still take a call, or a new one.
-    pub fn connect(&mut self, addr: SocketAddr, previous: Option<Link>) {
+    pub fn connect(&mut self, addr: SocketAddr, previous: Option<Connection>) {
         self.tasks.spawn_local(async move {
             // Danger: a connection that is neither ready nor closed would block all further calls.
             let ready = match previous {
-                Some(link) => timeout(READY_TIMEOUT, link.ready()).await.ok().flatten(),
+                Some(connection) => timeout(READY_TIMEOUT, connection.ready()).await.ok().flatten(),
                 None => None,
             };
             let connected = match ready {
-                Some(link) => Ok(link),
+                Some(connection) => Ok(connection),
                 None => dial(addr).await,
             };
             Completion::Connected(connected.map_err(CallError::from_exchange))
@@ -103,7 +103,7 @@
     /// Starts a call on this connection. With `since`, discovery sends what is newer than that version and
     /// may hold the call for up to `wait`; without it, discovery sends the whole list. At the limit of open
     /// calls the oldest is aborted.
-    pub fn call(&mut self, mut link: Link, since: Option<u64>, wait: Micros) -> CallNumber {
+    pub fn call(&mut self, mut connection: Connection, since: Option<u64>, wait: Micros) -> CallNumber {
         if self.open.len() >= MAX_OPEN_CALLS
             && let Some((_, oldest)) = self.open.pop_front()
         {
@@ -112,9 +112,9 @@
         let (number, clock) = (self.next_number, self.clock);
         self.next_number += 1;
         let task = self.tasks.spawn_local(async move {
-            let listing = exchange(&mut link, since, wait).await;
-            let first_byte_at = link.first_byte_at().map_or(clock.now(), |instant| clock.at(instant));
-            Completion::Called(number, listing.map(|listing| Answer { listing, link, first_byte_at }))
+            let listing = exchange(&mut connection, since, wait).await;
+            let first_byte_at = connection.first_byte_at().map_or(clock.now(), |instant| clock.at(instant));
+            Completion::Called(number, listing.map(|listing| Answer { listing, connection, first_byte_at }))
         });
         self.open.push_back((number, task));
         number
@@ -156,11 +156,11 @@
 /// Opens a new connection. Danger: a slow connection, or one whose SYN was lost, would make discovery count
 /// as unreachable, and its last list would be used for longer than allowed; so further connections are tried
 /// in parallel before that is reported.
-async fn dial(addr: SocketAddr) -> Result<Link, ExchangeError> {
+async fn dial(addr: SocketAddr) -> Result<Connection, ExchangeError> {
     let dials = (0..MAX_PARALLEL_DIALS).map(|n| {
         Box::pin(async move {
             sleep(PARALLEL_DIAL_DELAY * n).await;
-            Link::dial(addr, None).await
+            Connection::dial(addr, None).await
         })
     });
     let first = async { select_all(dials).await.0 };
@@ -171,17 +171,17 @@
     timeout(DIAL_TIMEOUT, first).await.unwrap_or_else(unreachable)
 }
 
-async fn exchange(link: &mut Link, since: Option<u64>, wait: Micros) -> Result<Listing, CallError> {
+async fn exchange(connection: &mut Connection, since: Option<u64>, wait: Micros) -> Result<Listing, CallError> {
     let progress = Progress::default();
     let invalid =
-        |why| CallError { failure: Failure::Broken, broken: progress.error(FailureCause::InvalidResponse(why)) };
+        |why| CallError { failure: Failure::Broken, error: progress.error(FailureCause::InvalidResponse(why)) };
     let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
     let path = format!("/registry/instances{query}");
     let mut request = Request::new(Outgoing::Empty);
     *request.uri_mut() = path.parse().map_err(|_| invalid(path))?;
     request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
     let limits = BodyLimits { buffered: MAX_LIST_BYTES, total: MAX_LIST_BYTES };
-    let reply = link.exchange(request, limits, &progress).await.map_err(CallError::from_exchange)?;
+    let reply = connection.exchange(request, limits, &progress).await.map_err(CallError::from_exchange)?;
     match reply.status {
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
--- a/crates/flintwell/src/fleet/list_status.rs
+++ b/crates/flintwell/src/fleet/list_status.rs
@@ -32,7 +32,7 @@
 
 /// The response to `GET /api/list`; durations in seconds.
 #[derive(Serialize)]
-pub struct ListFigures {
+pub struct ListReport {
     version: u64,
     /// Where the list at process start came from.
     source: ListSource,
@@ -96,9 +96,9 @@
     }
 
     /// The current status.
-    pub fn report(&self) -> ListFigures {
+    pub fn report(&self) -> ListReport {
         let since_start = |at: Micros| seconds(at - self.started_at);
-        ListFigures {
+        ListReport {
             version: self.version.get(),
             source: self.source,
             in_force: self.lease.is_valid(),
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::body::{Budget, LONGEST, Outgoing};
 use crate::clients::decode::ClientRequest;
-use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Link, Progress, ReceivedBody};
+use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Connection, Progress, ReceivedBody};
 use crate::nodes::send_guard::{PendingSend, SendGuard};
 use crate::nodes::pool::Pool;
 use crate::nodes::response_body::{ResponseBody, StreamedBody};
@@ -56,15 +56,15 @@
 /// A tower service that runs attempts.
 #[derive(Clone)]
 pub struct AttemptService {
-    permission: SendGuard,
+    guard: SendGuard,
     counts: Rc<Counts>,
     /// Memory for reading ahead of long responses.
     read_ahead_budget: Rc<Budget>,
 }
 
 impl AttemptService {
-    pub fn new(permission: SendGuard, counts: Rc<Counts>, read_ahead_budget: Rc<Budget>) -> Self {
-        AttemptService { permission, counts, read_ahead_budget }
+    pub fn new(guard: SendGuard, counts: Rc<Counts>, read_ahead_budget: Rc<Budget>) -> Self {
+        AttemptService { guard, counts, read_ahead_budget }
     }
 }
 
@@ -78,10 +78,10 @@
     }
 
     fn call(&mut self, attempt: Attempt) -> Self::Future {
-        let AttemptService { permission, counts, read_ahead_budget } = self.clone();
+        let AttemptService { guard, counts, read_ahead_budget } = self.clone();
         Box::pin(async move {
             let progress = Progress::with_count(&counts.attempts);
-            let mut exchange = pin!(send(&permission, &attempt, &progress, &read_ahead_budget));
+            let mut exchange = pin!(send(&guard, &attempt, &progress, &read_ahead_budget));
             if let Some(end) = attempt.request.body.passing() {
                 // For a body that is streamed from the client, the time limit starts at its last byte.
                 tokio::select! {
@@ -109,42 +109,42 @@
 }
 
 async fn send(
-    permission: &SendGuard,
+    guard: &SendGuard,
     attempt: &Attempt,
     progress: &Progress,
     read_ahead_budget: &Rc<Budget>,
 ) -> Result<NodeResponse, ExchangeError> {
-    let pool = &permission.pool;
-    let mut link = acquire_connection(pool, &attempt.node).await?;
+    let pool = &guard.pool;
+    let mut connection = acquire_connection(pool, &attempt.node).await?;
     // Time has passed since the node was chosen: a dial, a wait for a permit, a stall of this process.
     let pending = attempt.pending_send();
-    permission.check(&pending)?;
-    let (permitted_at, checker) = (Instant::now(), permission.clone());
-    progress.set_on_first_write(move || checker.check_sent(&pending, permitted_at));
-    let (idle, first_on_connection) = (link.idle_since.elapsed(), link.is_unused());
+    guard.check(&pending)?;
+    let (permitted_at, sent_guard) = (Instant::now(), guard.clone());
+    progress.set_on_first_write(move || sent_guard.check_sent(&pending, permitted_at));
+    let (idle, first_on_connection) = (connection.idle_since.elapsed(), connection.is_unused());
     let body = attempt.request.body.hand_out().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
-    let reply = link.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
+    let reply = connection.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
     pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == Ending::Reset));
     let reply = reply?;
     let ending = ending(reply.status, &reply.headers);
     let body = match reply.body {
         ReceivedBody::Whole(body) => {
-            pool.release(&attempt.node, link);
+            pool.release(&attempt.node, connection);
             body.into()
         }
         ReceivedBody::Partial(begun, rest, left) => {
             let (node, pool) = (attempt.node.clone(), pool.clone());
-            ResponseBody::Streamed(Box::new(StreamedBody::new(begun, rest, left, node, pool, link, read_ahead_budget)))
+            ResponseBody::Streamed(Box::new(StreamedBody::new(begun, rest, left, node, pool, connection, read_ahead_budget)))
         }
     };
     Ok(NodeResponse { ending, first_on_connection, body })
 }
 
 /// An idle connection that can take another exchange, or a new one.
-async fn acquire_connection(pool: &Pool, node: &NodeId) -> Result<Link, ExchangeError> {
-    while let Some(link) = pool.take_idle(node) {
-        if let Some(link) = link.ready().await {
-            return Ok(link);
+async fn acquire_connection(pool: &Pool, node: &NodeId) -> Result<Connection, ExchangeError> {
+    while let Some(connection) = pool.take_idle(node) {
+        if let Some(connection) = connection.ready().await {
+            return Ok(connection);
         }
     }
     pool.dial(node).await
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -290,7 +290,7 @@
 }
 
 /// An open connection; dropping it closes it.
-pub struct Link {
+pub struct Connection {
     sender: SendRequest<TrackedBody>,
     /// Owned by the driver task. Danger: a strong reference would keep the descriptor of a closed connection
     /// open after its permit was returned, so that the process holds more descriptors than permits.
@@ -302,7 +302,7 @@
     pub idle_since: Instant,
 }
 
-impl Link {
+impl Connection {
     /// Opens a connection; `permit` is returned when its socket is closed.
     pub async fn dial(addr: SocketAddr, permit: Option<OwnedSemaphorePermit>) -> Result<Self, ExchangeError> {
         let closed = |error: &dyn fmt::Display| ExchangeError::before_write(FailureCause::Closed(error.to_string()));
@@ -329,7 +329,7 @@
             let _ = connection.await;
             drop(permit);
         });
-        Ok(Link {
+        Ok(Connection {
             sender,
             stream: weak_stream,
             bytes_written,
@@ -493,7 +493,7 @@
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -1,6 +1,6 @@
 //! Connection pool: the address of each node, its idle connections, and the limit on open connections.
 
-use crate::nodes::connection::{ExchangeError, FailureCause, Link};
+use crate::nodes::connection::{ExchangeError, FailureCause, Connection};
 use crate::process::clock::span;
 use flintwell_core::interface::{Micros, NodeId};
 use std::cell::{Cell, RefCell};
@@ -34,7 +34,7 @@
     started_ms: f64,
     ready: bool,
     /// In order of last use, the most recent at the end.
-    idle: Vec<Link>,
+    idle: Vec<Connection>,
 }
 
 /// Connections to all listed nodes.
@@ -94,19 +94,19 @@
     }
 
     /// Takes an idle connection out of the pool, the most recently used first.
-    pub fn take_idle(&self, node: &NodeId) -> Option<Link> {
+    pub fn take_idle(&self, node: &NodeId) -> Option<Connection> {
         let mut nodes = self.nodes.borrow_mut();
         let entry = nodes.get_mut(node)?;
-        while let Some(link) = entry.idle.pop() {
-            if self.is_reusable(&link) {
-                return Some(link);
+        while let Some(connection) = entry.idle.pop() {
+            if self.is_reusable(&connection) {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn is_reusable(&self, link: &Link) -> bool {
-        !link.is_closed() && link.idle_since.elapsed() < self.idle_limit.get()
+    fn is_reusable(&self, connection: &Connection) -> bool {
+        !connection.is_closed() && connection.idle_since.elapsed() < self.idle_limit.get()
     }
 
     /// Adapts the idle limit to the result of an exchange on a connection that had been idle. Danger: nodes
@@ -123,7 +123,7 @@
     }
 
     /// Opens a new connection to a node that is listed as ready.
-    pub async fn dial(&self, node: &NodeId) -> Result<Link, ExchangeError> {
+    pub async fn dial(&self, node: &NodeId) -> Result<Connection, ExchangeError> {
         let addr = self.ready_addr(node)?;
         if self.permits.available_permits() == 0 {
             self.close_longest_idle();
@@ -132,11 +132,11 @@
         // unreachable.
         let permit = timeout(PERMIT_TIMEOUT, self.permits.clone().acquire_owned());
         let permit = permit.await.map_err(|_| ExchangeError::before_write(FailureCause::NoDescriptor))?.ok();
-        let dialled = timeout(self.dial_timeout, Link::dial(addr, permit));
-        let link = dialled.await.unwrap_or(Err(ExchangeError::before_write(FailureCause::TimedOut)))?;
+        let dialled = timeout(self.dial_timeout, Connection::dial(addr, permit));
+        let connection = dialled.await.unwrap_or(Err(ExchangeError::before_write(FailureCause::TimedOut)))?;
         // Danger: a node that began to drain while the connection was being established would receive a
         // request after its drain grace period.
-        if self.ready_addr(node)? == addr { Ok(link) } else { Err(ExchangeError::before_write(FailureCause::Unlisted)) }
+        if self.ready_addr(node)? == addr { Ok(connection) } else { Err(ExchangeError::before_write(FailureCause::Unlisted)) }
     }
 
     /// The address of a node, provided that it is listed as ready.
@@ -147,9 +147,9 @@
     }
 
     /// Returns a connection to the pool after its exchange.
-    pub fn release(&self, node: &NodeId, link: Link) {
+    pub fn release(&self, node: &NodeId, connection: Connection) {
         if let Some(entry) = self.nodes.borrow_mut().get_mut(node) {
-            entry.idle.push(link);
+            entry.idle.push(connection);
         }
     }
 
@@ -174,12 +174,12 @@
     /// Keeps one connection up to the idle limit and the others only for a short time. Danger: connections
     /// that a hundred proxies opened for a burst and keep idle fill a node's connection table, and a proxy
     /// that has no open connection is refused although the node is idle.
-    fn close_expired(&self, idle: &mut Vec<Link>) {
+    fn close_expired(&self, idle: &mut Vec<Connection>) {
         let spares = idle.len().saturating_sub(1);
         let expired =
-            idle.iter().take(spares).filter(|link| link.idle_since.elapsed() >= SPARE_IDLE_TIMEOUT).count();
+            idle.iter().take(spares).filter(|connection| connection.idle_since.elapsed() >= SPARE_IDLE_TIMEOUT).count();
         idle.drain(..expired);
-        idle.retain(|link| self.is_reusable(link));
+        idle.retain(|connection| self.is_reusable(connection));
     }
 }
 
--- a/crates/flintwell/src/nodes/pool/tests.rs
+++ b/crates/flintwell/src/nodes/pool/tests.rs
@@ -7,13 +7,13 @@
     let work = async {
         let (pool, node) = (Pool::new(8, 1_000_000, 10_000_000), NodeId::from("n"));
         pool.upsert(&node, addr, 0.0, true);
-        let mut links = Vec::new();
+        let mut connections = Vec::new();
         let mut ends = Vec::new();
         for _ in 0..4 {
-            links.push(pool.dial(&node).await.expect("a connection"));
+            connections.push(pool.dial(&node).await.expect("a connection"));
             ends.push(listener.accept().await.expect("accepted"));
         }
-        links.into_iter().for_each(|link| pool.release(&node, link));
+        connections.into_iter().for_each(|connection| pool.release(&node, connection));
         let open = || pool.nodes.borrow()[&node].idle.len();
         let before = open();
         let _ = timeout(SPARE_IDLE_TIMEOUT + MAX_SWEEP_INTERVAL * 2, pool.run_idle_sweeper()).await;
--- a/crates/flintwell/src/nodes/response_body.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -1,8 +1,8 @@
 //! Response bodies on their way from a node to the client: buffered whole, or streamed as they are received.
 
 use crate::clients::body::{Budget, Kept};
-use crate::nodes::response_transfer::Rest;
-use crate::nodes::connection::Link;
+use crate::nodes::response_transfer::Upstream;
+use crate::nodes::connection::Connection;
 use crate::nodes::pool::Pool;
 use crate::process::clock::{PEER_STALL, Patience};
 use crate::requests::dispatcher::RequestHandle;
@@ -37,19 +37,19 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
             ResponseBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            ResponseBody::Streamed(relay) => relay.stream.poll(cx).map_ok(Frame::data),
+            ResponseBody::Streamed(body) => body.stream.poll(cx).map_ok(Frame::data),
         }
     }
     fn is_end_stream(&self) -> bool {
         match self {
             ResponseBody::Buffered(body) => body.is_end_stream(),
-            ResponseBody::Streamed(relay) => relay.stream.is_ended(),
+            ResponseBody::Streamed(body) => body.stream.is_ended(),
         }
     }
     fn size_hint(&self) -> SizeHint {
         match self {
             ResponseBody::Buffered(body) => body.size_hint(),
-            ResponseBody::Streamed(relay) => relay.stream.size_hint(),
+            ResponseBody::Streamed(body) => body.stream.size_hint(),
         }
     }
 }
@@ -104,7 +104,7 @@
     stall_timer: Patience,
     node: NodeId,
     pool: Rc<Pool>,
-    link: Option<Link>,
+    connection: Option<Connection>,
 }
 
 impl Source {
@@ -134,13 +134,13 @@
         }
     }
     fn fail(&mut self, why: &'static str) {
-        (self.failure, self.incoming, self.link) = (Some(why), None, None);
+        (self.failure, self.incoming, self.connection) = (Some(why), None, None);
     }
     fn finish(&mut self) {
         self.incoming = None;
         // A halted connection can't be reused.
-        if let Some(link) = self.link.take().filter(|link| !link.is_halted()) {
-            self.pool.release(&self.node, link);
+        if let Some(connection) = self.connection.take().filter(|connection| !connection.is_halted()) {
+            self.pool.release(&self.node, connection);
         }
     }
 }
@@ -212,12 +212,12 @@
     /// Stops reading from the node and passing on, if the rest can be handed over; returns whether it can.
     pub fn halt(&self) -> bool {
         let source = self.source.borrow();
-        let can_hand_over = match &source.link {
-            Some(link) => link.body_progress().is_some(),
+        let can_hand_over = match &source.connection {
+            Some(connection) => connection.body_progress().is_some(),
             None => source.failure.is_none(),
         };
         if can_hand_over {
-            source.link.iter().for_each(Link::halt);
+            source.connection.iter().for_each(Connection::halt);
         }
         self.is_halted.set(can_hand_over);
         can_hand_over
@@ -226,17 +226,17 @@
     /// Whether everything read from the node's connection has passed through the HTTP parser.
     pub fn is_drained(&self) -> bool {
         let source = self.source.borrow();
-        let progress = source.link.as_ref().and_then(Link::body_progress);
+        let progress = source.connection.as_ref().and_then(Connection::body_progress);
         source.incoming.is_none()
             || progress.is_some_and(|(body, coding)| body == source.bytes_received && !coding.ended())
     }
 
     /// Takes the node's socket with the framing of the rest, and the maximum number of remaining bytes. The
     /// caller owns the connection from then on. None if the response failed.
-    pub fn take_upstream(&self) -> Option<(Option<Rest>, u64)> {
+    pub fn take_upstream(&self) -> Option<(Option<Upstream>, u64)> {
         let mut source = self.source.borrow_mut();
-        let link = source.link.take();
-        let rest = link.and_then(|link| Some((link.socket()?, link.body_progress()?.1)));
+        let connection = source.connection.take();
+        let rest = connection.and_then(|connection| Some((connection.socket()?, connection.body_progress()?.1)));
         (source.failure.is_none() && rest.is_some() == source.incoming.take().is_some())
             .then_some((rest, source.max_remaining))
     }
@@ -281,7 +281,7 @@
         max_remaining: u64,
         node: NodeId,
         pool: Rc<Pool>,
-        link: Link,
+        connection: Connection,
         budget: &Rc<Budget>,
     ) -> Self {
         let has_known_length = incoming.size_hint().exact().is_some();
@@ -296,7 +296,7 @@
             stall_timer: Patience::new(PEER_STALL),
             node,
             pool,
-            link: Some(link),
+            connection: Some(connection),
         };
         let stream = ResponseStream {
             has_known_length,
@@ -322,7 +322,7 @@
         let (stream, whole) = (&self.stream, self.stream.is_ended());
         stream.is_complete.set(whole);
         let mut source = stream.source.borrow_mut();
-        (source.incoming, source.link, source.next) = (None, None, Bytes::new());
+        (source.incoming, source.connection, source.next) = (None, None, Bytes::new());
         while source.buffered.pop().is_some() {}
         if let Some(request) = stream.request.take().filter(|_| whole || stream.is_truncated.get()) {
             request.record_end(whole);
--- a/crates/flintwell/src/nodes/response_transfer.rs
+++ b/crates/flintwell/src/nodes/response_transfer.rs
@@ -15,7 +15,7 @@
 const CHUNK_BYTES: usize = 32_768; // read at once; several dozen such responses share the process's memory
 
 /// The socket to a node, and the framing of the bytes that it still sends.
-pub type Rest = (Rc<TcpStream>, Coding);
+pub type Upstream = (Rc<TcpStream>, Coding);
 
 /// A long response that was interrupted between two bytes.
 pub struct ResponseTransfer {
@@ -26,7 +26,7 @@
     /// The unframed bytes that follow, in a file, and their number.
     pub buffered: Option<(File, u64)>,
     /// The source of the remaining bytes; none if all were received.
-    pub upstream: Option<Rest>,
+    pub upstream: Option<Upstream>,
     /// Whether the client receives it in chunked encoding.
     pub chunked: bool,
     /// Whether the final chunk is not among the unwritten bytes and has yet to be sent.
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -37,14 +37,14 @@
     /// After the attempt's time limit or the window in which it had to be sent.
     pub stale: Count,
     /// For a client that had disconnected.
-    pub left: Count,
+    pub client_disconnected: Count,
 }
 
 impl Violations {
     /// The counters by their outer names.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
-        let Violations { unlisted, lapsed, stale, left } = self;
-        let named = [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", left)];
+        let Violations { unlisted, lapsed, stale, client_disconnected } = self;
+        let named = [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", client_disconnected)];
         named.into_iter().map(|(name, count)| (name, count.get())).collect()
     }
 
@@ -52,7 +52,7 @@
         match cause {
             FailureCause::Lapsed => one_more(&self.lapsed),
             FailureCause::Stale => one_more(&self.stale),
-            FailureCause::ClientDisconnected => one_more(&self.left),
+            FailureCause::ClientDisconnected => one_more(&self.client_disconnected),
             _ => one_more(&self.unlisted),
         }
     }
