--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -198,11 +198,11 @@
         number: CallNumber,
         answer: Answer,
     ) -> Phase {
-        let current = matches!(phase, Phase::Calling(current, _) if current == number);
+        let is_current = matches!(phase, Phase::Calling(current, _) if current == number);
         let Answer { listing, connection, first_byte_at } = answer;
         if self.version.is_some_and(|version| listing.version < version) {
             // A call that was in flight for long may return an older list than one answered meanwhile.
-            if !current {
+            if !is_current {
                 return phase;
             }
             // Danger: a lagging replica of discovery lists nodes as ready that were already announced as
@@ -220,7 +220,7 @@
         // Danger: a response that waited in the socket buffer during a stall of this process would confirm
         // the list as of when it was read, not as of when it was sent.
         let as_of = first_byte_at.min(dispatcher.pulse.waited_from());
-        if current {
+        if is_current {
             self.watch.answered(as_of);
         } else {
             // The send time of a late call is not kept; so only the arrival of the response confirms the
@@ -235,7 +235,7 @@
         self.publish(&listing, kind);
         // Danger: a discovery that answers long polls at once would be called in a busy loop.
         let too_soon =
-            current && listing.is_empty() && now - self.called_at < MIN_EMPTY_RESPONSE_INTERVAL_US;
+            is_current && listing.is_empty() && now - self.called_at < MIN_EMPTY_RESPONSE_INTERVAL_US;
         Phase::Pausing(if too_soon { now + MIN_EMPTY_RESPONSE_INTERVAL_US } else { now })
     }
 
--- a/crates/flintwell/src/fleet/peer_messaging.rs
+++ b/crates/flintwell/src/fleet/peer_messaging.rs
@@ -71,8 +71,8 @@
         // A datagram that does not fit into the send buffer is lost, like one lost on the network.
         let _ = self.socket.try_send_to(datagram, to);
     }
-    fn hears(&mut self, from: &Id, word: &[u8]) {
-        self.received.push((from.clone(), word.to_vec()));
+    fn hears(&mut self, from: &Id, message: &[u8]) {
+        self.received.push((from.clone(), message.to_vec()));
     }
 }
 
@@ -86,7 +86,7 @@
         counts: Rc<Counts>,
     ) -> Self {
         let clock = dispatcher.clock;
-        let now = ms(clock.now());
+        let now = to_millis(clock.now());
         let id = Id { number, addr: config.advertise, life: now };
         let settings =
             Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet, seed };
@@ -166,7 +166,7 @@
     }
 
     fn now(&self) -> u64 {
-        ms(self.clock.now())
+        to_millis(self.clock.now())
     }
 
     /// Announces this proxy's demand and its probes, and applies the hints of others.
@@ -187,11 +187,11 @@
             };
             self.dispatcher.tried_by_others(&silent[node], time);
         }
-        let probed = probed.into_iter().map(|(to, word)| (to, word.encode()));
-        let shared = share.round(now, counted, &numbers).into_iter().map(|(to, word)| (to, word.encode()));
-        for (to, word) in shared.chain(probed) {
+        let probed = probed.into_iter().map(|(to, message)| (to, message.encode()));
+        let shared = share.round(now, counted, &numbers).into_iter().map(|(to, message)| (to, message.encode()));
+        for (to, message) in shared.chain(probed) {
             if let Some(to) = others.iter().find(|other| other.number == to) {
-                member.tells(to, &word, wire);
+                member.tells(to, &message, wire);
             }
         }
     }
@@ -199,14 +199,14 @@
     /// Processes received messages, and answers those about shared limits.
     fn handle_received(&self, now: u64, wire: &mut PeerWire) {
         for (from, bytes) in std::mem::take(&mut wire.received) {
-            if let Some(word) = probes::Word::decode(&bytes) {
-                self.probes.borrow_mut().hears(now, from.number, &word);
+            if let Some(message) = probes::Word::decode(&bytes) {
+                self.probes.borrow_mut().hears(now, from.number, &message);
                 continue;
             }
-            let answer =
-                Word::decode(&bytes).and_then(|word| self.share.borrow_mut().hears(now, from.number, word));
-            if let Some(word) = answer {
-                self.member.borrow_mut().tells(&from, &word.encode(), wire);
+            let reply = Word::decode(&bytes)
+                .and_then(|message| self.share.borrow_mut().hears(now, from.number, message));
+            if let Some(message) = reply {
+                self.member.borrow_mut().tells(&from, &message.encode(), wire);
             }
         }
     }
@@ -240,6 +240,6 @@
     }
 }
 
-fn ms(at: Micros) -> u64 {
+fn to_millis(at: Micros) -> u64 {
     (at / 1_000).max(0) as u64
 }
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const SYNC_INTERVAL: Duration = Duration::from_millis(100); // of overrides that another process may store
+const SYNC_INTERVAL: Duration = Duration::from_millis(100); // for overrides stored by another process
 
 /// The current node list, and the overrides that apply to it.
 pub struct Registry {
@@ -82,7 +82,7 @@
                 }
             }
         }
-        self.learn_starts(listing, kind);
+        self.record_starts(listing, kind);
         if kind != ListKind::Kept {
             self.list_store.mark_changed(listing.version);
         }
@@ -97,14 +97,14 @@
         self.publish(&listing.servers, kind);
     }
 
-    fn learn_starts(&self, listing: &Listing, kind: ListKind) {
+    fn record_starts(&self, listing: &Listing, kind: ListKind) {
         // The list at process start has no earlier list: its confirmation precedes its publication.
         let since = if kind == ListKind::Kept { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
         for line in &listing.servers {
             starts.learn(&line.id, (line.started_ms * 1e3) as Micros, since, now);
         }
-        starts.forget(|server| self.lines.borrow().contains_key(server));
+        starts.forget(|node| self.lines.borrow().contains_key(node));
         self.confirmed_at.set(self.lease.confirmed_at());
     }
 
@@ -144,8 +144,8 @@
             // Danger: one address that can't be parsed would block the publication of all other nodes.
             match line.addr.parse() {
                 Ok(addr) if entry.standing != Standing::Gone => {
-                    let ready = entry.standing == Standing::Ready;
-                    self.pool.upsert(&entry.node, addr, line.started_ms, ready);
+                    let is_ready = entry.standing == Standing::Ready;
+                    self.pool.upsert(&entry.node, addr, line.started_ms, is_ready);
                 }
                 Ok(_) => self.pool.remove(&entry.node),
                 Err(error) => {
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -85,13 +85,13 @@
             if let Some(end) = attempt.request.body.passing() {
                 // For a body that is streamed from the client, the time limit starts at its last byte.
                 tokio::select! {
-                    ended = exchange.as_mut() => return ended,
+                    result = exchange.as_mut() => return result,
                     () = end.whole.notified() => {}
                     () = sleep(attempt.request.body.takes()) => {}
                 }
             }
-            if let Ok(ended) = timeout(span(attempt.timeout), exchange.as_mut()).await {
-                return ended;
+            if let Ok(result) = timeout(span(attempt.timeout), exchange.as_mut()).await {
+                return result;
             }
             // Danger: a response that the node has begun and may stream for a long time would be cut off.
             if progress.release_held() {
@@ -132,9 +132,9 @@
             pool.release(&attempt.node, connection);
             body.into()
         }
-        ReceivedBody::Partial(begun, rest, left) => {
+        ReceivedBody::Partial(first_bytes, incoming, max_remaining) => {
             let (node, pool) = (attempt.node.clone(), pool.clone());
-            ResponseBody::Streamed(Box::new(StreamedBody::new(begun, rest, left, node, pool, connection, read_ahead_budget)))
+            ResponseBody::Streamed(Box::new(StreamedBody::new(first_bytes, incoming, max_remaining, node, pool, connection, read_ahead_budget)))
         }
     };
     Ok(NodeResponse { ending, first_on_connection, body })
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -144,7 +144,7 @@
     stream: SharedStream,
     bytes_written: Rc<Cell<u64>>,
     message: Rc<OutgoingMessage>,
-    answers: Rc<RefCell<Answers>>,
+    scanner: Rc<RefCell<Answers>>,
 }
 
 /// Write progress of the request of the current exchange.
@@ -191,26 +191,26 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.answers.borrow().halted {
+        if self.scanner.borrow().halted {
             return Poll::Pending;
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.answers.borrow_mut().read(&buf.filled()[before..]);
+        self.scanner.borrow_mut().read(&buf.filled()[before..]);
         read
     }
 }
 
 impl AsyncWrite for MeteredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
-        if let Poll::Ready(Ok(bytes)) = wrote {
+        let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
+        if let Poll::Ready(Ok(bytes)) = polled {
             self.bytes_written.set(self.bytes_written.get() + bytes as u64);
             if let Some(on_first_write) = self.message.on_first_write.take() {
                 on_first_write();
             }
         }
-        wrote
+        polled
     }
     /// Called by hyper once everything that was queued so far is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -297,7 +297,7 @@
     stream: Weak<TcpStream>,
     bytes_written: Rc<Cell<u64>>,
     message: Rc<OutgoingMessage>,
-    answers: Rc<RefCell<Answers>>,
+    scanner: Rc<RefCell<Answers>>,
     driver: AbortHandle,
     pub idle_since: Instant,
 }
@@ -312,12 +312,12 @@
         let (stream, bytes_written) = (Rc::new(stream), Rc::new(Cell::new(0)));
         let weak_stream = Rc::downgrade(&stream);
         let message = Rc::<OutgoingMessage>::default();
-        let answers = Rc::<RefCell<Answers>>::default();
+        let scanner = Rc::<RefCell<Answers>>::default();
         let metered = MeteredStream {
             stream: SharedStream(stream),
             bytes_written: bytes_written.clone(),
             message: message.clone(),
-            answers: answers.clone(),
+            scanner: scanner.clone(),
         };
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_READ_BUFFER_BYTES)
@@ -334,7 +334,7 @@
             stream: weak_stream,
             bytes_written,
             message,
-            answers,
+            scanner,
             driver: driver.abort_handle(),
             idle_since: Instant::now(),
         })
@@ -361,23 +361,23 @@
 
     /// Stops reading from the connection.
     pub fn halt(&self) {
-        self.answers.borrow_mut().halted = true;
+        self.scanner.borrow_mut().halted = true;
     }
 
     /// Whether reading was stopped.
     pub fn is_halted(&self) -> bool {
-        self.answers.borrow().halted
+        self.scanner.borrow().halted
     }
 
     /// The number of bytes read of the response's body and the framing of the rest, if that is known.
     pub fn body_progress(&self) -> Option<(u64, Coding)> {
-        let answers = self.answers.borrow();
-        answers.coding.map(|coding| (answers.body, coding))
+        let scanner = self.scanner.borrow();
+        scanner.coding.map(|coding| (scanner.body, coding))
     }
 
     /// When the first byte of the most recent response was read.
     pub fn first_byte_at(&self) -> Option<Instant> {
-        self.answers.borrow().begun_at
+        self.scanner.borrow().begun_at
     }
 
     /// The socket, for a process that takes over the rest of the response.
@@ -394,7 +394,7 @@
         progress: &Progress,
     ) -> Result<Reply, ExchangeError> {
         progress.baseline.set(Some((self.bytes_written.clone(), self.bytes_written.get())));
-        self.answers.replace(Answers::default());
+        self.scanner.replace(Answers::default());
         self.message.is_body_done.set(false);
         self.message.is_written.set(false);
         let is_long = request.body().size_hint().exact().is_none_or(|length| length > MAX_SHORT_BODY_BYTES);
--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -29,19 +29,21 @@
 // For connections beyond the first to a node; long enough for the next requests of a burst.
 const SPARE_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-struct NodeEntry {
+/// A listed node with its idle connections.
+struct PooledNode {
     addr: SocketAddr,
     started_ms: f64,
-    ready: bool,
+    is_ready: bool,
     /// In order of last use, the most recent at the end.
     idle: Vec<Connection>,
 }
 
 /// Connections to all listed nodes.
 pub struct Pool {
-    nodes: RefCell<HashMap<NodeId, NodeEntry>>,
+    nodes: RefCell<HashMap<NodeId, PooledNode>>,
     permits: Arc<Semaphore>,
     pub dial_timeout: Duration,
+    /// The nodes' keep-alive time less a margin.
     max_idle: Duration,
     /// How long a connection may stay idle before reuse, adapted to the resets that are seen.
     idle_limit: Cell<Duration>,
@@ -66,14 +68,14 @@
 
     /// Adds or updates a node. If its address or start time changed, the node has closed our idle
     /// connections.
-    pub fn upsert(&self, node: &NodeId, addr: SocketAddr, started_ms: f64, ready: bool) {
+    pub fn upsert(&self, node: &NodeId, addr: SocketAddr, started_ms: f64, is_ready: bool) {
         let mut nodes = self.nodes.borrow_mut();
         let entry =
-            nodes.entry(node.clone()).or_insert(NodeEntry { addr, started_ms, ready, idle: Vec::new() });
+            nodes.entry(node.clone()).or_insert(PooledNode { addr, started_ms, is_ready, idle: Vec::new() });
         if (entry.addr, entry.started_ms) != (addr, started_ms) {
             entry.idle.clear();
         }
-        (entry.addr, entry.started_ms, entry.ready) = (addr, started_ms, ready);
+        (entry.addr, entry.started_ms, entry.is_ready) = (addr, started_ms, is_ready);
     }
 
     /// Removes a node and closes its idle connections.
@@ -111,9 +113,9 @@
 
     /// Adapts the idle limit to the result of an exchange on a connection that had been idle. Danger: nodes
     /// or middleboxes that drop idle connections sooner than configured reset every request written to one.
-    pub fn record_reuse(&self, idle: Duration, reset: bool) {
+    pub fn record_reuse(&self, idle: Duration, was_reset: bool) {
         let (evidence, limit) = (idle * IDLE_EVIDENCE_FACTOR, self.idle_limit.get());
-        let limit = match reset {
+        let limit = match was_reset {
             _ if idle < MIN_IDLE_LIMIT => return,
             true => limit.min(evidence).mul_f64(IDLE_LIMIT_DECREASE).max(MIN_IDLE_LIMIT),
             false if evidence > limit => limit.mul_f64(IDLE_LIMIT_INCREASE).min(self.max_idle),
@@ -142,11 +144,11 @@
     /// The address of a node, provided that it is listed as ready.
     pub fn ready_addr(&self, node: &NodeId) -> Result<SocketAddr, ExchangeError> {
         let nodes = self.nodes.borrow();
-        let ready = nodes.get(node).filter(|entry| entry.ready);
+        let ready = nodes.get(node).filter(|entry| entry.is_ready);
         ready.map(|entry| entry.addr).ok_or(ExchangeError::before_write(FailureCause::Unlisted))
     }
 
-    /// Returns a connection to the pool after its exchange.
+    /// Returns a connection to the pool after its exchange; drops it if the node was removed.
     pub fn release(&self, node: &NodeId, connection: Connection) {
         if let Some(entry) = self.nodes.borrow_mut().get_mut(node) {
             entry.idle.push(connection);
--- a/crates/flintwell/src/nodes/response_body.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -20,7 +20,7 @@
 /// The body of a response to a client.
 pub enum ResponseBody {
     Buffered(Full<Bytes>),
-    /// Forwarded as it is received.
+    /// Passed on to the client as it is received.
     Streamed(Box<StreamedBody>),
 }
 
@@ -60,13 +60,13 @@
     /// Index of the request class.
     pub class_index: usize,
     _handle: RequestHandle,
-    _in_hand: InHand,
+    _in_flight: InHand,
 }
 
 impl RequestGuard {
-    /// Counts the outcome of the request: whether the response was sent whole.
-    pub fn record_end(self, whole: bool) {
-        self.counts.ended(self.class_index, End::passed_on(whole));
+    /// Counts the outcome of the request.
+    pub fn record_end(self, is_complete: bool) {
+        self.counts.ended(self.class_index, End::passed_on(is_complete));
     }
 }
 
@@ -276,7 +276,7 @@
 
 impl StreamedBody {
     pub fn new(
-        begun: Bytes,
+        first_bytes: Bytes,
         incoming: Incoming,
         max_remaining: u64,
         node: NodeId,
@@ -286,10 +286,10 @@
     ) -> Self {
         let has_known_length = incoming.size_hint().exact().is_some();
         let source = Source {
-            bytes_received: begun.len() as u64,
+            bytes_received: first_bytes.len() as u64,
             buffered: Kept::new(budget.clone()),
             budget: budget.clone(),
-            next: begun,
+            next: first_bytes,
             incoming: Some(incoming),
             failure: None,
             max_remaining,
@@ -311,21 +311,21 @@
     }
 
     /// Keeps the request open until the body ends.
-    pub fn attach_request(&self, handle: RequestHandle, in_hand: InHand, counts: Rc<Counts>, class_index: usize) {
-        self.stream.request.replace(Some(RequestGuard { counts, class_index, _handle: handle, _in_hand: in_hand }));
+    pub fn attach_request(&self, handle: RequestHandle, in_flight: InHand, counts: Rc<Counts>, class_index: usize) {
+        self.stream.request.replace(Some(RequestGuard { counts, class_index, _handle: handle, _in_flight: in_flight }));
     }
 }
 
 impl Drop for StreamedBody {
-    /// Counts the outcome, unless the client disconnected before the response was sent whole or failed.
+    /// Counts the outcome, unless the client disconnected before the response was complete or failed.
     fn drop(&mut self) {
-        let (stream, whole) = (&self.stream, self.stream.is_ended());
-        stream.is_complete.set(whole);
+        let (stream, is_complete) = (&self.stream, self.stream.is_ended());
+        stream.is_complete.set(is_complete);
         let mut source = stream.source.borrow_mut();
         (source.incoming, source.connection, source.next) = (None, None, Bytes::new());
         while source.buffered.pop().is_some() {}
-        if let Some(request) = stream.request.take().filter(|_| whole || stream.is_truncated.get()) {
-            request.record_end(whole);
+        if let Some(request) = stream.request.take().filter(|_| is_complete || stream.is_truncated.get()) {
+            request.record_end(is_complete);
         }
     }
 }
--- a/crates/flintwell/src/nodes/response_transfer.rs
+++ b/crates/flintwell/src/nodes/response_transfer.rs
@@ -36,13 +36,13 @@
 }
 
 impl ResponseTransfer {
-    /// Forwards the remainder to the client; returns whether the response was completed.
+    /// Forwards the remainder to the client; returns whether the response is complete.
     pub async fn run(mut self) -> bool {
-        let whole = self.forward().await.is_ok();
+        let is_complete = self.forward().await.is_ok();
         // Danger: a client could take a truncated response for a complete one; so after a failure its framing
         // is left without an end. An error here means that the client has disconnected.
         let _ = SockRef::from(&*self.client).shutdown(Shutdown::Write);
-        whole
+        is_complete
     }
 
     async fn forward(&mut self) -> io::Result<()> {
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -69,8 +69,8 @@
 impl SendGuard {
     /// Returns an error with the reason if the request may not be sent now.
     pub fn check(&self, pending: &PendingSend) -> Result<(), ExchangeError> {
-        // Danger: a list that could not be renewed may miss that nodes have left, and a change counts as
-        // known to us from the moment at which the lease ends.
+        // Danger: a list that could not be renewed may still contain nodes that have left; once its lease has
+        // lapsed, such changes count as known to this proxy.
         if !self.lease.is_valid() {
             return Err(ExchangeError::before_write(FailureCause::Lapsed));
         }
@@ -79,8 +79,8 @@
         self.pool.ready_addr(&pending.node)?;
         // Danger: the window for a repeat, or the request's time limit, may have passed; the policy reserved
         // no more than the time of a dial for either.
-        let since = pending.chosen_at.elapsed();
-        if since >= span(pending.timeout) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
+        let age = pending.chosen_at.elapsed();
+        if age >= span(pending.timeout) || age > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
             return Err(ExchangeError::before_write(FailureCause::Stale));
         }
         // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
--- a/crates/flintwell/src/nodes/stream.rs
+++ b/crates/flintwell/src/nodes/stream.rs
@@ -35,7 +35,7 @@
             ready!(self.0.poll_write_ready(cx))?;
             match self.0.try_write(buf) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                wrote => return Poll::Ready(wrote),
+                written => return Poll::Ready(written),
             }
         }
     }
