--- a/crates/flintwell/src/clients/presence.rs
+++ b/crates/flintwell/src/clients/client_socket.rs
@@ -1,4 +1,4 @@
-//! Whether the client of a request is still there.
+//! Detects that the client of a request has disconnected.
 
 use futures_util::FutureExt;
 use socket2::SockRef;
@@ -8,18 +8,21 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
+/// The socket of a request's client; without one the client counts as connected.
 #[derive(Clone, Default)]
-pub struct Presence(Option<Rc<TcpStream>>);
+pub struct ClientSocket(Option<Rc<TcpStream>>);
 
-impl Presence {
+impl ClientSocket {
     pub fn on(stream: Rc<TcpStream>) -> Self {
-        Presence(Some(stream))
+        ClientSocket(Some(stream))
     }
 
-    /// It has closed its connection, or its side of it; asked directly before an attempt. Danger: the server's reader
-    /// notices that only after a request has begun, and not at all while bytes of the next one wait in its buffer; and to
-    /// look at those bytes hides the end behind them, which the runtime tells apart.
-    pub fn left(&self) -> bool {
+    /// Whether the client has closed its connection, or its sending side; checked directly before an attempt.
+    ///
+    /// The HTTP server notices a close only after a request has begun, and not at all while bytes of the next request
+    /// are unread, so requests would be sent on for nobody. Peeking at unread bytes does not show the end of the stream
+    /// after them either; the runtime's readiness does, so it is checked first.
+    pub fn has_disconnected(&self) -> bool {
         let Some(stream) = &self.0 else { return false };
         let ready = stream.ready(Interest::READABLE).now_or_never();
         if ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed())) {
@@ -28,7 +31,7 @@
         loop {
             match SockRef::from(&**stream).peek(&mut [MaybeUninit::uninit()]) {
                 Ok(bytes) => return bytes == 0,
-                // A signal came between: nothing is said of the client.
+                // Interrupted by a signal: tells nothing of the client, so peek again.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
             }
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -8,8 +8,8 @@
 use crate::fleet::registry::Registry;
 use crate::nodes::connection::{ExchangeError, FailureCause, Connection, Stage};
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
-use flintwell_core::interface::{ListKind, Micros};
+use crate::log_line;
+use flintwell_core::interface::{ListUpdateKind, Micros};
 use flintwell_list_watch::Watch;
 use flintwell_settings::listing::Listing;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
 
     /// Publishes the list that is known at startup.
     pub fn load_initial(&mut self, known: &Listing) {
-        self.publish(known, ListKind::Kept);
+        self.publish(known, ListUpdateKind::Restored);
     }
 
     /// Calls discovery in an endless loop, at the times given by `flintwell-list-watch`.
@@ -90,7 +90,7 @@
         // When this loop is restarted after a panic, earlier calls are discarded.
         self.calls.abort_all();
         self.connection = None;
-        let mut phase = Phase::Pausing(self.watch.first(dispatcher.clock.now()));
+        let mut phase = Phase::Pausing(self.watch.first_call_at(dispatcher.clock.now()));
         loop {
             phase = match self.next_event(dispatcher, &mut addr_changes, &phase).await {
                 // Danger: a call that waits at the old address would delay changes that only the new one has.
@@ -102,7 +102,7 @@
     }
 
     fn pause_until_slot(&self, dispatcher: &Dispatcher) -> Phase {
-        Phase::Pausing(self.watch.slot(dispatcher.clock.now()))
+        Phase::Pausing(self.watch.next_slot(dispatcher.clock.now()))
     }
 
     async fn next_event(
@@ -114,7 +114,7 @@
         let timer = async {
             match phase {
                 Phase::Pausing(at) | Phase::Connected(_, at) | Phase::Calling(_, at) => {
-                    sleep_until(dispatcher.clock.instant(*at)).await;
+                    sleep_until(dispatcher.clock.instant_at(*at)).await;
                 }
                 Phase::Connecting => std::future::pending().await,
             }
@@ -135,7 +135,7 @@
         self.version = None;
         self.connection = None;
         self.calls.abort_all();
-        self.watch.moved();
+        self.watch.on_address_change();
         self.pause_until_slot(dispatcher)
     }
 
@@ -144,7 +144,7 @@
         let now = dispatcher.clock.now();
         match phase {
             Phase::Pausing(_) => {
-                self.watch.connects(now);
+                self.watch.on_connecting(now);
                 let addr = *self.addr.borrow();
                 self.calls.connect(addr, self.connection.take());
                 Phase::Connecting
@@ -163,7 +163,7 @@
         match (phase, completion) {
             (Phase::Connecting, Completion::Connected(Ok(connection))) => {
                 let now = dispatcher.clock.now();
-                match self.watch.connected(now) {
+                match self.watch.on_connected(now) {
                     at if at > now => Phase::Connected(connection, at),
                     _ => self.call(dispatcher, connection),
                 }
@@ -184,11 +184,11 @@
 
     fn call(&mut self, dispatcher: &Dispatcher, connection: Connection) -> Phase {
         let now = dispatcher.clock.now();
-        self.watch.grants(self.registry.drain_grace());
-        let call = self.watch.call(now, self.version.is_none());
+        self.watch.set_drain_grace(self.registry.drain_grace());
+        let call = self.watch.begin_call(now, self.version.is_none());
         self.called_at = now;
         self.status.on_call(now);
-        Phase::Calling(self.calls.call(connection, self.version, call.wait), now + call.within)
+        Phase::Calling(self.calls.call(connection, self.version, call.wait), now + call.timeout)
     }
 
     fn on_answer(
@@ -213,25 +213,25 @@
             return self.on_failure(dispatcher, &CallError::invalid_response(why));
         }
         if self.consecutive_failures > 1 {
-            say!("discovery: available again after {} failed calls", self.consecutive_failures);
+            log_line!("discovery: available again after {} failed calls", self.consecutive_failures);
         }
         self.consecutive_failures = 0;
         let now = dispatcher.clock.now();
         // Danger: a response that waited in the socket buffer during a stall of this process would confirm
         // the list as of when it was read, not as of when it was sent.
-        let as_of = first_byte_at.min(dispatcher.pulse.waited_from());
+        let as_of = first_byte_at.min(dispatcher.stall_detector.queued_since());
         if is_current {
-            self.watch.answered(as_of);
+            self.watch.on_answer(as_of);
         } else {
             // The send time of a late call is not kept; so only the arrival of the response confirms the
             // list.
             self.calls.abort_all();
-            self.watch.answered_late(as_of);
+            self.watch.on_late_answer(as_of);
         }
         self.status.on_answer(now, listing.version);
         self.publish_lease();
         self.connection = Some(connection);
-        let kind = if listing.full { ListKind::Whole } else { ListKind::Changes };
+        let kind = if listing.full { ListUpdateKind::Snapshot } else { ListUpdateKind::Delta };
         self.publish(&listing, kind);
         // Danger: a discovery that answers long polls at once would be called in a busy loop.
         let too_soon =
@@ -246,12 +246,12 @@
         if self.consecutive_failures.is_power_of_two() {
             let took = (now - self.called_at) as f64 / 1e6;
             let CallError { failure, error } = error;
-            say!(
+            log_line!(
                 "discovery: {error} ({failure:?}) after {took:.3} s; {} consecutive failed calls",
                 self.consecutive_failures
             );
         }
-        let at = self.watch.failed(now, error.failure);
+        let at = self.watch.on_failure(now, error.failure);
         self.publish_lease();
         Phase::Pausing(at)
     }
@@ -262,7 +262,7 @@
         self.status.on_lease_change(lease);
     }
 
-    fn publish(&mut self, listing: &Listing, kind: ListKind) {
+    fn publish(&mut self, listing: &Listing, kind: ListUpdateKind) {
         self.version = Some(listing.version);
         self.registry.update(listing, kind);
     }
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -2,7 +2,7 @@
 //! that has timed out stays open, because its response may still arrive: leaving discovery's queue would
 //! waste the work of that call for nothing.
 
-use crate::clients::body::Outgoing;
+use crate::clients::body::UpstreamBody;
 use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Connection, Progress, ReceivedBody};
 use crate::process::clock::Clock;
 use flintwell_core::interface::Micros;
@@ -113,7 +113,7 @@
         self.next_number += 1;
         let task = self.tasks.spawn_local(async move {
             let listing = exchange(&mut connection, since, wait).await;
-            let first_byte_at = connection.first_byte_at().map_or(clock.now(), |instant| clock.at(instant));
+            let first_byte_at = connection.first_byte_at().map_or(clock.now(), |instant| clock.micros_at(instant));
             Completion::Called(number, listing.map(|listing| Answer { listing, connection, first_byte_at }))
         });
         self.open.push_back((number, task));
@@ -177,7 +177,7 @@
         |why| CallError { failure: Failure::Broken, error: progress.error(FailureCause::InvalidResponse(why)) };
     let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
     let path = format!("/registry/instances{query}");
-    let mut request = Request::new(Outgoing::Empty);
+    let mut request = Request::new(UpstreamBody::Empty);
     *request.uri_mut() = path.parse().map_err(|_| invalid(path))?;
     request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
     let limits = BodyLimits { buffered: MAX_LIST_BYTES, total: MAX_LIST_BYTES };
--- a/crates/flintwell/src/fleet/peer_messaging.rs
+++ b/crates/flintwell/src/fleet/peer_messaging.rs
@@ -3,15 +3,15 @@
 //! `flintwell-shared-probes` and the routing policy.
 
 use crate::process::clock::Clock;
-use crate::process::config::Words as Config;
+use crate::process::config::PeerMessagingConfig as Config;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
-use crate::staff::counts::Counts;
+use crate::log_line;
+use crate::management::metrics::Metrics;
 use flintwell_core::interface::Micros;
-use flintwell_membership::member::{self, Id, Member, Settings, Wire};
-use flintwell_membership::seal::Dropped;
-use flintwell_shared_limits::share::{self, Counted, ROUND, Share, Word};
-use flintwell_shared_probes::{self as probes, Hint, Probes};
+use flintwell_membership::member::{self, MemberId, Member, Settings, Transport};
+use flintwell_membership::datagram::DropCounts;
+use flintwell_shared_limits::limit::{self, FetchCounts, ROUND_MS, SharedLimit, LimitMessage};
+use flintwell_shared_probes::{self as probes, ProbeHint, ProbeCoordinator};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -33,12 +33,12 @@
     pub name: String,
     pub number: u32,
     /// The other proxies that are known.
-    pub members: Vec<member::Standing>,
-    pub share: share::Standing,
+    pub members: Vec<member::MemberStatus>,
+    pub share: limit::LimitStatus,
     /// Caches that do not answer this proxy, and which proxy probes each.
     #[serde(default)]
-    pub silent: Vec<probes::Standing>,
-    pub dropped: Dropped,
+    pub silent: Vec<probes::ProbeStatus>,
+    pub dropped: DropCounts,
     /// Members that were declared gone since this process started.
     pub taken_as_gone: u64,
     pub datagrams_sent: u64,
@@ -51,10 +51,10 @@
     addr: SocketAddr,
     clock: Clock,
     member: RefCell<Member>,
-    share: RefCell<Share>,
-    probes: RefCell<Probes>,
+    share: RefCell<SharedLimit>,
+    probes: RefCell<ProbeCoordinator>,
     dispatcher: Rc<Dispatcher>,
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     next_round_ms: Cell<u64>,
     stop: Notify,
@@ -63,15 +63,15 @@
 /// Sends on the socket, and collects received messages until they are handled.
 struct PeerWire<'a> {
     socket: &'a UdpSocket,
-    received: Vec<(Id, Vec<u8>)>,
+    received: Vec<(MemberId, Vec<u8>)>,
 }
 
-impl Wire for PeerWire<'_> {
-    fn sends(&mut self, to: SocketAddr, datagram: &[u8]) {
+impl Transport for PeerWire<'_> {
+    fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
         // A datagram that does not fit into the send buffer is lost, like one lost on the network.
         let _ = self.socket.try_send_to(datagram, to);
     }
-    fn hears(&mut self, from: &Id, message: &[u8]) {
+    fn deliver(&mut self, from: &MemberId, message: &[u8]) {
         self.received.push((from.clone(), message.to_vec()));
     }
 }
@@ -83,22 +83,22 @@
         (number, fleet): (u32, u32),
         seed: u64,
         dispatcher: Rc<Dispatcher>,
-        counts: Rc<Counts>,
+        counts: Rc<Metrics>,
     ) -> Self {
         let clock = dispatcher.clock;
         let now = to_millis(clock.now());
-        let id = Id { number, addr: config.advertise, life: now };
+        let id = MemberId { number, addr: config.advertise, generation: now };
         let settings =
-            Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet, seed };
-        let mut share = Share::start(now, now, fleet, seed);
+            Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet_size: fleet, rng_seed: seed };
+        let mut share = SharedLimit::new(now, now, fleet, seed);
         PeerMessaging {
             name,
             addr: config.listen,
             clock,
-            member: RefCell::new(Member::start(now, settings)),
-            next_round_ms: Cell::new(now + share.first_round()),
+            member: RefCell::new(Member::new(now, settings)),
+            next_round_ms: Cell::new(now + share.first_round_delay_ms()),
             share: RefCell::new(share),
-            probes: RefCell::new(Probes::new(number, seed)),
+            probes: RefCell::new(ProbeCoordinator::new(number, seed)),
             dispatcher,
             counts,
             socket: RefCell::default(),
@@ -112,13 +112,13 @@
         let mut buffer = [0; RECV_BUFFER_BYTES];
         let mut next_tick_ms = 0;
         loop {
-            let due = self.member.borrow().due().min(self.next_round_ms.get()).max(next_tick_ms);
-            let at = self.clock.instant(due as Micros * 1_000);
+            let due = self.member.borrow().next_tick_at().min(self.next_round_ms.get()).max(next_tick_ms);
+            let at = self.clock.instant_at(due as Micros * 1_000);
             let mut wire = PeerWire { socket: &socket, received: Vec::new() };
             tokio::select! {
                 received = socket.recv_from(&mut buffer) => {
                     if let Ok((bytes, _)) = received {
-                        self.member.borrow_mut().receives(self.now(), &buffer[..bytes], &mut wire);
+                        self.member.borrow_mut().handle_datagram(self.now(), &buffer[..bytes], &mut wire);
                     }
                 }
                 () = sleep_until(at) => {}
@@ -132,7 +132,7 @@
                 self.member.borrow_mut().tick(now, &mut wire);
             }
             if now >= self.next_round_ms.get() {
-                self.next_round_ms.set(now + ROUND);
+                self.next_round_ms.set(now + ROUND_MS);
                 self.run_round(now, &mut wire);
             }
             self.handle_received(now, &mut wire);
@@ -157,7 +157,7 @@
                     if !std::mem::replace(&mut is_logged, true) {
                         let in_use = error.kind() == io::ErrorKind::AddrInUse;
                         let why = if in_use { "in use by another process".into() } else { error.to_string() };
-                        say!("cannot bind {} for messages between proxies, will retry: {why}", self.addr);
+                        log_line!("cannot bind {} for messages between proxies, will retry: {why}", self.addr);
                     }
                 }
             }
@@ -172,26 +172,27 @@
     /// Announces this proxy's demand and its probes, and applies the hints of others.
     fn run_round(&self, now: u64, wire: &mut PeerWire) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
-        let wanted = self.dispatcher.granted(share.rate(now));
-        let (fetches, refused) = (self.counts.fetches.get(), self.counts.refused.get());
-        let counted = Counted { wanted, taken: fetches.saturating_sub(refused), refused };
-        let others = member.others();
-        let numbers: Vec<u32> = others.iter().map(|other| other.number).collect();
-        let silent = self.dispatcher.silent();
+        let demanded = self.dispatcher.set_origin_fetch_rate(share.rate(now));
+        let (attempts, refused) = (self.counts.origin_attempts.get(), self.counts.origin_refusals.get());
+        let counts = FetchCounts { demanded, accepted: attempts.saturating_sub(refused), refused };
+        let peers = member.peers();
+        let numbers: Vec<u32> = peers.iter().map(|peer| peer.number).collect();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
-        let (hints, probed) = self.probes.borrow_mut().round(now, &names, &numbers);
+        let (hints, probed) = self.probes.borrow_mut().run_round(now, &names, &numbers);
         for (node, hint) in hints {
             let time = match hint {
-                Hint::Leave(ms) => ms as Micros * 1_000,
-                Hint::Try => 0,
+                ProbeHint::SkipFor(ms) => ms as Micros * 1_000,
+                ProbeHint::ProbeNow => 0,
             };
-            self.dispatcher.tried_by_others(&silent[node], time);
+            self.dispatcher.defer_probe(&silent[node], time);
         }
         let probed = probed.into_iter().map(|(to, message)| (to, message.encode()));
-        let shared = share.round(now, counted, &numbers).into_iter().map(|(to, message)| (to, message.encode()));
+        let shared =
+            share.run_round(now, counts, &numbers).into_iter().map(|(to, message)| (to, message.encode()));
         for (to, message) in shared.chain(probed) {
-            if let Some(to) = others.iter().find(|other| other.number == to) {
-                member.tells(to, &message, wire);
+            if let Some(to) = peers.iter().find(|peer| peer.number == to) {
+                member.send_message(to, &message, wire);
             }
         }
     }
@@ -199,14 +200,14 @@
     /// Processes received messages, and answers those about shared limits.
     fn handle_received(&self, now: u64, wire: &mut PeerWire) {
         for (from, bytes) in std::mem::take(&mut wire.received) {
-            if let Some(message) = probes::Word::decode(&bytes) {
-                self.probes.borrow_mut().hears(now, from.number, &message);
+            if let Some(message) = probes::ProbeMessage::decode(&bytes) {
+                self.probes.borrow_mut().handle_message(now, from.number, &message);
                 continue;
             }
-            let reply = Word::decode(&bytes)
-                .and_then(|message| self.share.borrow_mut().hears(now, from.number, message));
+            let reply = LimitMessage::decode(&bytes)
+                .and_then(|message| self.share.borrow_mut().handle_message(now, from.number, message));
             if let Some(message) = reply {
-                self.member.borrow_mut().tells(&from, &message.encode(), wire);
+                self.member.borrow_mut().send_message(&from, &message.encode(), wire);
             }
         }
     }
@@ -215,7 +216,7 @@
     pub fn leave(&self) {
         if let Some(socket) = self.socket.take() {
             let mut wire = PeerWire { socket: &socket, received: Vec::new() };
-            self.member.borrow_mut().leaves(self.now(), &mut wire);
+            self.member.borrow_mut().leave(self.now(), &mut wire);
             self.stop.notify_one();
         }
     }
@@ -223,19 +224,19 @@
     /// The current status of the fleet.
     pub fn status(&self) -> FleetStatus {
         let member = self.member.borrow();
-        let silent = self.dispatcher.silent();
+        let silent = self.dispatcher.silent_caches();
         let names: Vec<&str> = silent.iter().map(|node| &**node).collect();
-        let others: Vec<u32> = member.others().iter().map(|other| other.number).collect();
+        let peers: Vec<u32> = member.peers().iter().map(|peer| peer.number).collect();
         FleetStatus {
             name: self.name.clone(),
             number: member.id().number,
-            members: member.standings(),
-            share: self.share.borrow().standing(self.now()),
-            silent: self.probes.borrow().standing(&names, &others),
+            members: member.member_statuses(),
+            share: self.share.borrow().status(self.now()),
+            silent: self.probes.borrow().statuses(&names, &peers),
             dropped: member.dropped(),
-            taken_as_gone: member.downs,
-            datagrams_sent: member.sent,
-            bytes_sent: member.sent_bytes,
+            taken_as_gone: member.declared_down,
+            datagrams_sent: member.datagrams_sent,
+            bytes_sent: member.bytes_sent,
         }
     }
 }
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -5,12 +5,12 @@
 use crate::fleet::lease::ListLease;
 use crate::fleet::overrides::{Overrides, OverrideError};
 use crate::nodes::pool::Pool;
-use crate::process::live::Live;
+use crate::process::reloadable::Reloadable;
 use crate::process::store::Store;
 use crate::requests::dispatcher::Dispatcher;
-use crate::say;
-use flintwell_core::interface::{ListKind, Micros, NodeId, Standing};
-use flintwell_list_watch::Starts;
+use crate::log_line;
+use flintwell_core::interface::{ListUpdateKind, Micros, NodeId, NodeState};
+use flintwell_list_watch::NodeStarts;
 use flintwell_settings::Network;
 use flintwell_settings::listing::{Line, Listing};
 use std::cell::{Cell, RefCell};
@@ -23,13 +23,13 @@
 
 /// The current node list, and the overrides that apply to it.
 pub struct Registry {
-    network: Rc<Live<Network>>,
+    network: Rc<Reloadable<Network>>,
     origin_kind: Option<u32>,
     pool: Rc<Pool>,
     dispatcher: Rc<Dispatcher>,
     store: Store,
     lines: RefCell<BTreeMap<String, Line>>,
-    starts: RefCell<Starts>,
+    starts: RefCell<NodeStarts>,
     /// When the previous list was last confirmed.
     confirmed_at: Cell<Option<Micros>>,
     overrides: Overrides,
@@ -41,7 +41,7 @@
 
 impl Registry {
     pub fn new(
-        network: Rc<Live<Network>>,
+        network: Rc<Reloadable<Network>>,
         origin_kind: Option<u32>,
         pool: Rc<Pool>,
         dispatcher: Rc<Dispatcher>,
@@ -69,10 +69,10 @@
     }
 
     /// Applies a list, or changes to it, and publishes them.
-    pub fn update(&self, listing: &Listing, kind: ListKind) {
+    pub fn update(&self, listing: &Listing, kind: ListUpdateKind) {
         {
             let mut lines = self.lines.borrow_mut();
-            if kind != ListKind::Changes {
+            if kind != ListUpdateKind::Delta {
                 lines.clear();
             }
             for line in &listing.servers {
@@ -83,7 +83,7 @@
             }
         }
         self.record_starts(listing, kind);
-        if kind != ListKind::Kept {
+        if kind != ListUpdateKind::Restored {
             self.list_store.mark_changed(listing.version);
         }
         if self.is_lapsed.get() && self.lease.is_valid() {
@@ -91,20 +91,20 @@
             // whole list were published before the changes were applied, requests would be sent to nodes that
             // have left.
             self.is_lapsed.set(false);
-            say!("node list is up to date again; sending requests");
+            log_line!("node list is up to date again; sending requests");
             self.publish_all(&[]);
         }
         self.publish(&listing.servers, kind);
     }
 
-    fn record_starts(&self, listing: &Listing, kind: ListKind) {
+    fn record_starts(&self, listing: &Listing, kind: ListUpdateKind) {
         // The list at process start has no earlier list: its confirmation precedes its publication.
-        let since = if kind == ListKind::Kept { None } else { self.confirmed_at.get() };
+        let since = if kind == ListUpdateKind::Restored { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
         for line in &listing.servers {
-            starts.learn(&line.id, (line.started_ms * 1e3) as Micros, since, now);
+            starts.record(&line.id, (line.started_ms * 1e3) as Micros, since, now);
         }
-        starts.forget(|node| self.lines.borrow().contains_key(node));
+        starts.prune(|node| self.lines.borrow().contains_key(node));
         self.confirmed_at.set(self.lease.confirmed_at());
     }
 
@@ -126,15 +126,15 @@
         if is_lapsed {
             self.lease.count_lapse();
             let expired = self.lease.expired_for() as f64 / 1e6;
-            say!("lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed");
+            log_line!("lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed");
         } else {
-            say!("discovery is unreachable, so the node list stays valid; sending requests");
+            log_line!("discovery is unreachable, so the node list stays valid; sending requests");
         }
         self.publish_all(&[]);
     }
 
-    fn publish(&self, lines: &[Line], kind: ListKind) {
-        if kind != ListKind::Changes {
+    fn publish(&self, lines: &[Line], kind: ListUpdateKind) {
+        if kind != ListUpdateKind::Delta {
             self.pool.retain_listed(|node| lines.iter().any(|line| *line.id == **node));
         }
         let mut entries = Vec::with_capacity(lines.len());
@@ -143,20 +143,20 @@
             let mut entry = line.entry(&self.network.get());
             // Danger: one address that can't be parsed would block the publication of all other nodes.
             match line.addr.parse() {
-                Ok(addr) if entry.standing != Standing::Gone => {
-                    let is_ready = entry.standing == Standing::Ready;
+                Ok(addr) if entry.state != NodeState::Gone => {
+                    let is_ready = entry.state == NodeState::Ready;
                     self.pool.upsert(&entry.node, addr, line.started_ms, is_ready);
                 }
                 Ok(_) => self.pool.remove(&entry.node),
                 Err(error) => {
-                    say!("discovery: invalid address {:?} of node {}: {error}", line.addr, line.id);
-                    entry.standing = Standing::Gone;
+                    log_line!("discovery: invalid address {:?} of node {}: {error}", line.addr, line.id);
+                    entry.state = NodeState::Gone;
                     self.pool.remove(&entry.node);
                 }
             }
             entries.push(entry);
         }
-        self.dispatcher.list(kind, entries);
+        self.dispatcher.apply_list_update(kind, entries);
     }
 
     /// A list entry with its known start time, the state of the lease and the operators' override applied.
@@ -196,7 +196,7 @@
     fn publish_all(&self, changed: &[NodeId]) {
         let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
         // As a kept list: nothing new came from discovery.
-        self.publish(&lines, ListKind::Kept);
+        self.publish(&lines, ListUpdateKind::Restored);
         changed.iter().for_each(|node| self.pool.close_idle(node));
     }
 
@@ -233,7 +233,7 @@
     pub async fn sync_store(&self) {
         loop {
             sleep(SYNC_INTERVAL).await;
-            if self.store.keeps() {
+            if self.store.is_persistent() {
                 self.sync_overrides();
                 self.list_store.write(|| self.lines.borrow().values().cloned().collect(), &self.lease);
             }
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -1,14 +1,14 @@
 //! One attempt: a request sent to one node over one connection, and its outcome.
 
-use crate::clients::body::{Budget, LONGEST, Outgoing};
+use crate::clients::body::{BufferBudget, MAX_BODY_BYTES, UpstreamBody};
 use crate::clients::decode::ClientRequest;
 use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Connection, Progress, ReceivedBody};
 use crate::nodes::send_guard::{PendingSend, SendGuard};
 use crate::nodes::pool::Pool;
 use crate::nodes::response_body::{ResponseBody, StreamedBody};
-use crate::process::clock::span;
-use crate::staff::counts::Counts;
-use flintwell_core::interface::{Ending, Micros, NodeId};
+use crate::process::clock::to_duration;
+use crate::management::metrics::Metrics;
+use flintwell_core::interface::{AttemptStatus, Micros, NodeId};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use hyper::header::{HOST, HeaderValue};
@@ -21,7 +21,7 @@
 use tower::Service;
 
 // A response that fails while it is still buffered can be retried on another node.
-const RESPONSE_LIMITS: BodyLimits = BodyLimits { buffered: 65_536, total: LONGEST };
+const RESPONSE_LIMITS: BodyLimits = BodyLimits { buffered: 65_536, total: MAX_BODY_BYTES };
 const FINAL_YIELDS: usize = 3; // turns of the runtime: for the socket, the connection's driver and this task
 
 /// A request for one node.
@@ -47,7 +47,7 @@
 
 /// The response of a node.
 pub struct NodeResponse {
-    pub ending: Ending,
+    pub ending: AttemptStatus,
     /// Whether it is the first response on its connection.
     pub first_on_connection: bool,
     pub body: ResponseBody,
@@ -57,13 +57,13 @@
 #[derive(Clone)]
 pub struct AttemptService {
     guard: SendGuard,
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     /// Memory for reading ahead of long responses.
-    read_ahead_budget: Rc<Budget>,
+    read_ahead_budget: Rc<BufferBudget>,
 }
 
 impl AttemptService {
-    pub fn new(guard: SendGuard, counts: Rc<Counts>, read_ahead_budget: Rc<Budget>) -> Self {
+    pub fn new(guard: SendGuard, counts: Rc<Metrics>, read_ahead_budget: Rc<BufferBudget>) -> Self {
         AttemptService { guard, counts, read_ahead_budget }
     }
 }
@@ -80,17 +80,17 @@
     fn call(&mut self, attempt: Attempt) -> Self::Future {
         let AttemptService { guard, counts, read_ahead_budget } = self.clone();
         Box::pin(async move {
-            let progress = Progress::with_count(&counts.attempts);
+            let progress = Progress::with_count(&counts.cache_attempts);
             let mut exchange = pin!(send(&guard, &attempt, &progress, &read_ahead_budget));
-            if let Some(end) = attempt.request.body.passing() {
+            if let Some(end) = attempt.request.body.stream_status() {
                 // For a body that is streamed from the client, the time limit starts at its last byte.
                 tokio::select! {
                     result = exchange.as_mut() => return result,
-                    () = end.whole.notified() => {}
-                    () = sleep(attempt.request.body.takes()) => {}
+                    () = end.completed.notified() => {}
+                    () = sleep(attempt.request.body.max_receive_time()) => {}
                 }
             }
-            if let Ok(result) = timeout(span(attempt.timeout), exchange.as_mut()).await {
+            if let Ok(result) = timeout(to_duration(attempt.timeout), exchange.as_mut()).await {
                 return result;
             }
             // Danger: a response that the node has begun and may stream for a long time would be cut off.
@@ -112,7 +112,7 @@
     guard: &SendGuard,
     attempt: &Attempt,
     progress: &Progress,
-    read_ahead_budget: &Rc<Budget>,
+    read_ahead_budget: &Rc<BufferBudget>,
 ) -> Result<NodeResponse, ExchangeError> {
     let pool = &guard.pool;
     let mut connection = acquire_connection(pool, &attempt.node).await?;
@@ -122,9 +122,9 @@
     let (permitted_at, sent_guard) = (Instant::now(), guard.clone());
     progress.set_on_first_write(move || sent_guard.check_sent(&pending, permitted_at));
     let (idle, first_on_connection) = (connection.idle_since.elapsed(), connection.is_unused());
-    let body = attempt.request.body.hand_out().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
+    let body = attempt.request.body.upstream_body().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
     let reply = connection.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
-    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == Ending::Reset));
+    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == AttemptStatus::Reset));
     let reply = reply?;
     let ending = ending(reply.status, &reply.headers);
     let body = match reply.body {
@@ -150,7 +150,7 @@
     pool.dial(node).await
 }
 
-fn message(attempt: &Attempt, body: Outgoing) -> Request<Outgoing> {
+fn message(attempt: &Attempt, body: UpstreamBody) -> Request<UpstreamBody> {
     let request = &attempt.request;
     let mut message = Request::new(body);
     *message.method_mut() = request.method.clone();
@@ -158,7 +158,7 @@
     let headers = message.headers_mut();
     headers.insert(HOST, request.host.clone().unwrap_or(HeaderValue::from_static("origin.svc")));
     headers.insert("x-request-id", request.id_header.clone());
-    if let Some(mark) = &request.repeat_mark {
+    if let Some(mark) = &request.idempotency_key {
         headers.insert("idempotency-key", mark.clone());
     }
     let deadline = format!("{:.6}", attempt.timeout as f64 / 1e6);
@@ -168,13 +168,13 @@
     message
 }
 
-fn ending(status: StatusCode, headers: &HeaderMap) -> Ending {
+fn ending(status: StatusCode, headers: &HeaderMap) -> AttemptStatus {
     let not_run = headers.get("x-not-run").is_some_and(|value| value == "1");
     match status {
-        StatusCode::OK => Ending::Served,
-        StatusCode::NOT_FOUND => Ending::Miss,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Ending::Full,
-        status if status.is_server_error() => Ending::Error,
-        _ => Ending::Unknown,
+        StatusCode::OK => AttemptStatus::Served,
+        StatusCode::NOT_FOUND => AttemptStatus::Miss,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => AttemptStatus::Full,
+        status if status.is_server_error() => AttemptStatus::Error,
+        _ => AttemptStatus::Unknown,
     }
 }
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -1,12 +1,12 @@
 //! One HTTP/1.1 connection to a cache node, the origin or discovery: one exchange at a time, nothing is
 //! retried here.
 
-use crate::clients::body::Outgoing;
-use crate::clients::framing::{Answers, Coding};
+use crate::clients::body::UpstreamBody;
+use crate::clients::framing::{ResponseScanner, BodyDecoder};
 use crate::nodes::stream::SharedStream;
-use crate::process::count::{Count, one_more};
+use crate::process::counter::{Counter, increment};
 use bytes::{Bytes, BytesMut};
-use flintwell_core::interface::Ending;
+use flintwell_core::interface::AttemptStatus;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -84,7 +84,7 @@
     }
 
     /// The outcome that is reported for the attempt.
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptStatus {
         match (self.stage, &self.cause) {
             (
                 Stage::Unwritten,
@@ -96,10 +96,10 @@
                 | FailureCause::Lapsed
                 // Danger: a local fault reported as a failed connection would count against a healthy node.
                 | FailureCause::LocalFault(_),
-            ) => Ending::NotSent,
-            (Stage::Unwritten, _) => Ending::ConnectFailed,
-            (_, FailureCause::TimedOut) => Ending::TimedOut,
-            (_, FailureCause::InvalidResponse(_)) => Ending::Spoilt,
+            ) => AttemptStatus::NotSent,
+            (Stage::Unwritten, _) => AttemptStatus::ConnectFailed,
+            (_, FailureCause::TimedOut) => AttemptStatus::TimedOut,
+            (_, FailureCause::InvalidResponse(_)) => AttemptStatus::InvalidResponse,
             (
                 _,
                 FailureCause::Closed(_)
@@ -111,7 +111,7 @@
                 | FailureCause::Lapsed
                 | FailureCause::Unreachable(_)
                 | FailureCause::LocalFault(_),
-            ) => Ending::Reset,
+            ) => AttemptStatus::Reset,
         }
     }
 }
@@ -144,7 +144,7 @@
     stream: SharedStream,
     bytes_written: Rc<Cell<u64>>,
     message: Rc<OutgoingMessage>,
-    scanner: Rc<RefCell<Answers>>,
+    scanner: Rc<RefCell<ResponseScanner>>,
 }
 
 /// Write progress of the request of the current exchange.
@@ -155,14 +155,14 @@
     /// The last byte was written to the socket.
     is_written: Cell<bool>,
     /// Incremented once the message is written whole.
-    written_count: Cell<Option<Count>>,
+    written_count: Cell<Option<Counter>>,
     /// Called once the first bytes are written.
     on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
 }
 
 /// A request body that records when its last byte was handed out.
 struct TrackedBody {
-    body: Outgoing,
+    body: UpstreamBody,
     message: Rc<OutgoingMessage>,
 }
 
@@ -215,7 +215,7 @@
     /// Called by hyper once everything that was queued so far is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.message.is_body_done.get() && !self.message.is_written.replace(true) {
-            self.message.written_count.take().inspect(|count| one_more(count));
+            self.message.written_count.take().inspect(|count| increment(count));
         }
         Poll::Ready(Ok(()))
     }
@@ -232,7 +232,7 @@
     /// Set for a long message, which the node does not process before its last byte.
     long_message: Cell<Option<Rc<OutgoingMessage>>>,
     /// Incremented once the message is written whole.
-    written_count: Option<Count>,
+    written_count: Option<Counter>,
     /// Called once the first bytes are written.
     on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
     /// A response of unknown length has begun and is held back to see whether it is short.
@@ -249,7 +249,7 @@
     }
 
     /// Progress that increments `written_count` once the message is written whole.
-    pub fn with_count(written_count: &Count) -> Self {
+    pub fn with_count(written_count: &Counter) -> Self {
         Progress { written_count: Some(written_count.clone()), ..Progress::default() }
     }
 
@@ -297,7 +297,7 @@
     stream: Weak<TcpStream>,
     bytes_written: Rc<Cell<u64>>,
     message: Rc<OutgoingMessage>,
-    scanner: Rc<RefCell<Answers>>,
+    scanner: Rc<RefCell<ResponseScanner>>,
     driver: AbortHandle,
     pub idle_since: Instant,
 }
@@ -312,7 +312,7 @@
         let (stream, bytes_written) = (Rc::new(stream), Rc::new(Cell::new(0)));
         let weak_stream = Rc::downgrade(&stream);
         let message = Rc::<OutgoingMessage>::default();
-        let scanner = Rc::<RefCell<Answers>>::default();
+        let scanner = Rc::<RefCell<ResponseScanner>>::default();
         let metered = MeteredStream {
             stream: SharedStream(stream),
             bytes_written: bytes_written.clone(),
@@ -370,14 +370,14 @@
     }
 
     /// The number of bytes read of the response's body and the framing of the rest, if that is known.
-    pub fn body_progress(&self) -> Option<(u64, Coding)> {
+    pub fn body_progress(&self) -> Option<(u64, BodyDecoder)> {
         let scanner = self.scanner.borrow();
-        scanner.coding.map(|coding| (scanner.body, coding))
+        scanner.decoder.map(|coding| (scanner.body_bytes, coding))
     }
 
     /// When the first byte of the most recent response was read.
     pub fn first_byte_at(&self) -> Option<Instant> {
-        self.scanner.borrow().begun_at
+        self.scanner.borrow().first_byte_at
     }
 
     /// The socket, for a process that takes over the rest of the response.
@@ -389,12 +389,12 @@
     /// long.
     pub async fn exchange(
         &mut self,
-        request: Request<Outgoing>,
+        request: Request<UpstreamBody>,
         limits: BodyLimits,
         progress: &Progress,
     ) -> Result<Reply, ExchangeError> {
         progress.baseline.set(Some((self.bytes_written.clone(), self.bytes_written.get())));
-        self.scanner.replace(Answers::default());
+        self.scanner.replace(ResponseScanner::default());
         self.message.is_body_done.set(false);
         self.message.is_written.set(false);
         let is_long = request.body().size_hint().exact().is_none_or(|length| length > MAX_SHORT_BODY_BYTES);
--- a/crates/flintwell/src/nodes/response_body.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -1,12 +1,12 @@
 //! Response bodies on their way from a node to the client: buffered whole, or streamed as they are received.
 
-use crate::clients::body::{Budget, Kept};
+use crate::clients::body::{BufferBudget, BodyBuffer};
 use crate::nodes::response_transfer::Upstream;
 use crate::nodes::connection::Connection;
 use crate::nodes::pool::Pool;
-use crate::process::clock::{PEER_STALL, Patience};
+use crate::process::clock::{PEER_IDLE_TIMEOUT, IdleTimer};
 use crate::requests::dispatcher::RequestHandle;
-use crate::staff::counts::{Counts, End, InHand};
+use crate::management::metrics::{Metrics, RequestOutcome, InFlightGuard};
 use bytes::Bytes;
 use flintwell_core::interface::NodeId;
 use http_body_util::Full;
@@ -56,17 +56,17 @@
 
 /// Keeps a request registered and counted as in flight until its response has been sent.
 pub struct RequestGuard {
-    counts: Rc<Counts>,
+    counts: Rc<Metrics>,
     /// Index of the request class.
     pub class_index: usize,
     _handle: RequestHandle,
-    _in_flight: InHand,
+    _in_flight: InFlightGuard,
 }
 
 impl RequestGuard {
     /// Counts the outcome of the request.
     pub fn record_end(self, is_complete: bool) {
-        self.counts.ended(self.class_index, End::passed_on(is_complete));
+        self.counts.record_outcome(self.class_index, RequestOutcome::of_relay(is_complete));
     }
 }
 
@@ -92,8 +92,8 @@
 struct Source {
     /// Body bytes received.
     bytes_received: u64,
-    buffered: Kept,
-    budget: Rc<Budget>,
+    buffered: BodyBuffer,
+    budget: Rc<BufferBudget>,
     /// Received data that follows the buffered data.
     next: Bytes,
     /// None once the body has ended or failed.
@@ -101,7 +101,7 @@
     failure: Option<&'static str>,
     /// Maximum number of bytes that the node may still send.
     max_remaining: u64,
-    stall_timer: Patience,
+    stall_timer: IdleTimer,
     node: NodeId,
     pool: Rc<Pool>,
     connection: Option<Connection>,
@@ -114,7 +114,7 @@
             match ready!(Pin::new(&mut *incoming).poll_frame(cx)) {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.stall_timer.renew();
+                    self.stall_timer.reset();
                     let is_last = incoming.is_end_stream();
                     // Danger: an endless response would be forwarded for as long as its client reads.
                     let Some(max_remaining) = self.max_remaining.checked_sub(data.len() as u64) else {
@@ -175,7 +175,7 @@
         let mut source = self.source.borrow_mut();
         // Danger: a budget spread over many responses completes none of them sooner; so only responses whose
         // rest fits as a whole, or is of unknown length, are read ahead.
-        let fits = |body: &Incoming| body.size_hint().exact().is_none_or(|rest| rest <= source.budget.left());
+        let fits = |body: &Incoming| body.size_hint().exact().is_none_or(|rest| rest <= source.budget.available_bytes());
         if !self.is_halted.get() && !source.incoming.as_ref().is_some_and(fits) {
             return;
         }
@@ -228,7 +228,7 @@
         let source = self.source.borrow();
         let progress = source.connection.as_ref().and_then(Connection::body_progress);
         source.incoming.is_none()
-            || progress.is_some_and(|(body, coding)| body == source.bytes_received && !coding.ended())
+            || progress.is_some_and(|(body, coding)| body == source.bytes_received && !coding.is_complete())
     }
 
     /// Takes the node's socket with the framing of the rest, and the maximum number of remaining bytes. The
@@ -282,18 +282,18 @@
         node: NodeId,
         pool: Rc<Pool>,
         connection: Connection,
-        budget: &Rc<Budget>,
+        budget: &Rc<BufferBudget>,
     ) -> Self {
         let has_known_length = incoming.size_hint().exact().is_some();
         let source = Source {
             bytes_received: first_bytes.len() as u64,
-            buffered: Kept::new(budget.clone()),
+            buffered: BodyBuffer::new(budget.clone()),
             budget: budget.clone(),
             next: first_bytes,
             incoming: Some(incoming),
             failure: None,
             max_remaining,
-            stall_timer: Patience::new(PEER_STALL),
+            stall_timer: IdleTimer::new(PEER_IDLE_TIMEOUT),
             node,
             pool,
             connection: Some(connection),
@@ -311,7 +311,7 @@
     }
 
     /// Keeps the request open until the body ends.
-    pub fn attach_request(&self, handle: RequestHandle, in_flight: InHand, counts: Rc<Counts>, class_index: usize) {
+    pub fn attach_request(&self, handle: RequestHandle, in_flight: InFlightGuard, counts: Rc<Metrics>, class_index: usize) {
         self.stream.request.replace(Some(RequestGuard { counts, class_index, _handle: handle, _in_flight: in_flight }));
     }
 }
