--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -2,13 +2,13 @@
 //! `flintwell-list-watch` decides when each call is due, how long it may take, and how long the lease on the
 //! list lasts.
 
-use crate::fleet::discovery_calls::{Answer, CallError, CallNumber, DiscoveryCalls, Completion};
+use crate::fleet::discovery_calls::{Answer, CallError, CallNumber, Completion, DiscoveryCalls};
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_status::ListStatus;
 use crate::fleet::registry::Registry;
-use crate::nodes::connection::{ExchangeError, FailureCause, Connection, Stage};
-use crate::requests::dispatcher::Dispatcher;
 use crate::log_line;
+use crate::nodes::connection::{Connection, ExchangeError, FailureCause, Stage};
+use crate::requests::dispatcher::Dispatcher;
 use flintwell_core::interface::{ListUpdateKind, Micros};
 use flintwell_list_watch::Watch;
 use flintwell_settings::listing::Listing;
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -3,7 +3,7 @@
 //! waste the work of that call for nothing.
 
 use crate::clients::body::UpstreamBody;
-use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Connection, Progress, ReceivedBody};
+use crate::nodes::connection::{BodyLimits, Connection, ExchangeError, FailureCause, Progress, ReceivedBody};
 use crate::process::clock::Clock;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::Failure;
@@ -37,7 +37,7 @@
 impl CallError {
     fn from_exchange(error: ExchangeError) -> Self {
         let failure = match &error.cause {
-            FailureCause::LocalFault(_) | FailureCause::NoDescriptor => Failure::Local,
+            FailureCause::LocalFault(_) | FailureCause::ConnectionLimit => Failure::Local,
             FailureCause::Unreachable(_) => Failure::Unreachable,
             _ => Failure::Broken,
         };
@@ -51,7 +51,10 @@
 
     /// The response was not acceptable.
     pub fn invalid_response(why: String) -> Self {
-        CallError { failure: Failure::Broken, error: ExchangeError::before_write(FailureCause::InvalidResponse(why)) }
+        CallError {
+            failure: Failure::Broken,
+            error: ExchangeError::before_write(FailureCause::InvalidResponse(why)),
+        }
     }
 }
 
@@ -113,7 +116,8 @@
         self.next_number += 1;
         let task = self.tasks.spawn_local(async move {
             let listing = exchange(&mut connection, since, wait).await;
-            let first_byte_at = connection.first_byte_at().map_or(clock.now(), |instant| clock.micros_at(instant));
+            let first_byte_at =
+                connection.first_byte_at().map_or(clock.now(), |instant| clock.micros_at(instant));
             Completion::Called(number, listing.map(|listing| Answer { listing, connection, first_byte_at }))
         });
         self.open.push_back((number, task));
@@ -171,10 +175,16 @@
     timeout(DIAL_TIMEOUT, first).await.unwrap_or_else(unreachable)
 }
 
-async fn exchange(connection: &mut Connection, since: Option<u64>, wait: Micros) -> Result<Listing, CallError> {
+async fn exchange(
+    connection: &mut Connection,
+    since: Option<u64>,
+    wait: Micros,
+) -> Result<Listing, CallError> {
     let progress = Progress::default();
-    let invalid =
-        |why| CallError { failure: Failure::Broken, error: progress.error(FailureCause::InvalidResponse(why)) };
+    let invalid = |why| CallError {
+        failure: Failure::Broken,
+        error: progress.error(FailureCause::InvalidResponse(why)),
+    };
     let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
     let path = format!("/registry/instances{query}");
     let mut request = Request::new(UpstreamBody::Empty);
--- a/crates/flintwell/src/fleet/discovery_calls/tests.rs
+++ b/crates/flintwell/src/fleet/discovery_calls/tests.rs
@@ -19,6 +19,9 @@
         calls.abort_all();
         assert!(timeout(CONNECT_TIMEOUT, calls.next_completion()).await.is_err());
         calls.connect(addr, None);
-        assert!(timeout(CONNECT_TIMEOUT, calls.next_completion()).await.is_ok(), "later completions are delivered");
+        assert!(
+            timeout(CONNECT_TIMEOUT, calls.next_completion()).await.is_ok(),
+            "later completions are delivered"
+        );
     });
 }
--- a/crates/flintwell/src/fleet/list_status.rs
+++ b/crates/flintwell/src/fleet/list_status.rs
@@ -1,5 +1,5 @@
 //! Status of the current node list: its version, its age and the basis of its lease. Changes are logged, and
-//! `GET /api/list` of the management address returns it.
+//! `GET /api/list` of the management API returns it.
 
 use crate::fleet::lease::ListLease;
 use crate::log_line;
@@ -55,9 +55,9 @@
 impl ListStatus {
     /// Status of a process that starts with this list; logs the list.
     pub fn new(lease: Rc<ListLease>, now: Micros, source: ListSource, list: &Listing) -> Rc<Self> {
-        let (version, servers) = (list.version, list.len());
+        let (version, nodes) = (list.version, list.len());
         let age = lease.age().map_or("age unknown".to_owned(), |age| format!("{:.3} s old", seconds(age)));
-        log_line!("starting with node list {version}: {servers} servers, source {source:?}, {age}");
+        log_line!("starting with node list {version}: {nodes} nodes, source {source:?}, {age}");
         let status = ListStatus {
             lease,
             started_at: now,
--- a/crates/flintwell/src/fleet/list_store.rs
+++ b/crates/flintwell/src/fleet/list_store.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::lease::ListLease;
 use crate::fleet::list_age::{BootClock, Confirmation};
-use crate::process::store::Store;
 use crate::log_line;
+use crate::process::store::Store;
 use flintwell_core::interface::Micros;
 use flintwell_settings::listing::{Line, Listing};
 use std::cell::Cell;
@@ -89,7 +89,9 @@
     fn write_confirmation(&self, lease: &ListLease) -> io::Result<()> {
         let Some(clock) = &self.boot_clock else { return Ok(()) };
         let known = self.version.get().zip(lease.confirmed_at());
-        let Some((version, _)) = known.filter(|_| known != self.written_confirmation.get()) else { return Ok(()) };
+        let Some((version, _)) = known.filter(|_| known != self.written_confirmation.get()) else {
+            return Ok(());
+        };
         let confirmation = clock.confirmation(version, lease.age().unwrap_or_default());
         self.store.write(CONFIRMATION_FILE, &serde_json::to_vec(&confirmation)?)?;
         self.written_confirmation.set(known);
--- a/crates/flintwell/src/fleet/list_store/tests.rs
+++ b/crates/flintwell/src/fleet/list_store/tests.rs
@@ -25,9 +25,9 @@
     assert!(store.load().is_none());
     store.mark_changed(3);
     store.write(|| vec![line("a")], &lease_confirmed_ago(2_000_000));
-    let left = store_in(folder.path()).load().expect("a list");
-    assert_eq!((left.listing.version, left.listing.servers[0].id.as_str()), (3, "a"));
-    let age = left.age.expect("an age");
+    let stored = store_in(folder.path()).load().expect("a list");
+    assert_eq!((stored.listing.version, stored.listing.servers[0].id.as_str()), (3, "a"));
+    let age = stored.age.expect("an age");
     assert!((2_000_000..4_000_000).contains(&age), "{age} us");
     // A process killed between the two writes leaves a new list with the confirmation of the old one.
     store.mark_changed(4);
@@ -47,7 +47,11 @@
     std::os::unix::fs::symlink("/dev/full", &unfinished).expect("a link");
     store.mark_changed(4);
     store.write(|| vec![line("b")], &lease);
-    assert_eq!(store_in(folder.path()).load().expect("a list").listing.version, 3, "the previous list is intact");
+    assert_eq!(
+        store_in(folder.path()).load().expect("a list").listing.version,
+        3,
+        "the previous list is intact"
+    );
     std::fs::remove_file(unfinished).expect("space again");
     store.write(|| vec![line("b")], &lease);
     assert_eq!(store_in(folder.path()).load().expect("a list").listing.version, 4);
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -1,8 +1,8 @@
 //! Operators' overrides of single nodes: excluded, or included again. Each is a file of its own, so that it
 //! survives this process and is also applied by another process of this proxy that runs at the same time.
 
-use crate::process::store::{Store, escape_file_name};
 use crate::log_line;
+use crate::process::store::{Store, escape_file_name};
 use flintwell_settings::listing::Line;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -65,7 +65,9 @@
     pub fn apply(&self, line: &mut Line) {
         match self.nodes.borrow().get(&line.id) {
             // Danger: a node under maintenance that is listed as ready would receive requests.
-            Some(Override { included_ms: None, .. }) if line.state == "ready" => line.state = "draining".into(),
+            Some(Override { included_ms: None, .. }) if line.state == "ready" => {
+                line.state = "draining".into()
+            }
             // Danger: the node was restarted during maintenance and is cold; with the start time of a list
             // that does not show that yet, it would be treated as warm.
             Some(Override { included_ms: Some(included_ms), excluded_ms, .. })
@@ -99,7 +101,10 @@
             log_line!("cannot store the override of node {node}: {error}");
             return Err(OverrideError::NotPersisted);
         }
-        log_line!("node {node} {} by an operator", if new.is_excluded() { "excluded" } else { "included again" });
+        log_line!(
+            "node {node} {} by an operator",
+            if new.is_excluded() { "excluded" } else { "included again" }
+        );
         self.nodes.borrow_mut().insert(node, new);
         Ok(())
     }
--- a/crates/flintwell/src/fleet/peer_messaging.rs
+++ b/crates/flintwell/src/fleet/peer_messaging.rs
@@ -2,16 +2,16 @@
 //! origin's capacity and shared probes are decided by `flintwell-membership`, `flintwell-shared-limits`,
 //! `flintwell-shared-probes` and the routing policy.
 
+use crate::log_line;
+use crate::management::metrics::Metrics;
 use crate::process::clock::Clock;
 use crate::process::config::PeerMessagingConfig as Config;
 use crate::requests::dispatcher::Dispatcher;
-use crate::log_line;
-use crate::management::metrics::Metrics;
 use flintwell_core::interface::Micros;
-use flintwell_membership::member::{self, MemberId, Member, Settings, Transport};
 use flintwell_membership::datagram::DropCounts;
-use flintwell_shared_limits::limit::{self, FetchCounts, ROUND_MS, SharedLimit, LimitMessage};
-use flintwell_shared_probes::{self as probes, ProbeHint, ProbeCoordinator};
+use flintwell_membership::member::{self, Member, MemberId, Settings, Transport};
+use flintwell_shared_limits::limit::{self, FetchCounts, LimitMessage, ROUND_MS, SharedLimit};
+use flintwell_shared_probes::{self as probes, ProbeCoordinator, ProbeHint};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -26,7 +26,7 @@
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(500); // an earlier process may still hold the address
 const MIN_TICK_INTERVAL_MS: u64 = 5;
 
-/// Status of the fleet as this proxy sees it: served by the management address, and printed by `flintwell
+/// Status of the fleet as this proxy sees it: served by the management API, and printed by `flintwell
 /// fleet status`.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct FleetStatus {
@@ -54,7 +54,7 @@
     share: RefCell<SharedLimit>,
     probes: RefCell<ProbeCoordinator>,
     dispatcher: Rc<Dispatcher>,
-    counts: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     next_round_ms: Cell<u64>,
     stop: Notify,
@@ -83,13 +83,19 @@
         (number, fleet): (u32, u32),
         seed: u64,
         dispatcher: Rc<Dispatcher>,
-        counts: Rc<Metrics>,
+        metrics: Rc<Metrics>,
     ) -> Self {
         let clock = dispatcher.clock;
         let now = to_millis(clock.now());
         let id = MemberId { number, addr: config.advertise, generation: now };
-        let settings =
-            Settings { cluster: config.cluster, key: config.key, id, seeds: config.peers, fleet_size: fleet, rng_seed: seed };
+        let settings = Settings {
+            cluster: config.cluster,
+            key: config.key,
+            id,
+            seeds: config.peers,
+            fleet_size: fleet,
+            rng_seed: seed,
+        };
         let mut share = SharedLimit::new(now, now, fleet, seed);
         PeerMessaging {
             name,
@@ -100,7 +106,7 @@
             share: RefCell::new(share),
             probes: RefCell::new(ProbeCoordinator::new(number, seed)),
             dispatcher,
-            counts,
+            metrics,
             socket: RefCell::default(),
             stop: Notify::new(),
         }
@@ -139,7 +145,7 @@
         }
     }
 
-    /// Binds the socket, and retries until the address is free. Danger: during a hand-over the earlier
+    /// Binds the socket, and retries until the address is free. Danger: during a handover the earlier
     /// process still sends from this address; two processes sending at once would appear to the fleet as two
     /// members with the same number.
     async fn bind(&self) -> Rc<UdpSocket> {
@@ -157,7 +163,7 @@
                     if !std::mem::replace(&mut is_logged, true) {
                         let in_use = error.kind() == io::ErrorKind::AddrInUse;
                         let why = if in_use { "in use by another process".into() } else { error.to_string() };
-                        log_line!("cannot bind {} for messages between proxies, will retry: {why}", self.addr);
+                        log_line!("cannot bind {} for peer messaging, will retry: {why}", self.addr);
                     }
                 }
             }
@@ -173,7 +179,7 @@
     fn run_round(&self, now: u64, wire: &mut PeerWire) {
         let (mut share, mut member) = (self.share.borrow_mut(), self.member.borrow_mut());
         let demanded = self.dispatcher.set_origin_fetch_rate(share.rate(now));
-        let (attempts, refused) = (self.counts.origin_attempts.get(), self.counts.origin_refusals.get());
+        let (attempts, refused) = (self.metrics.origin_attempts.get(), self.metrics.origin_refusals.get());
         let counts = FetchCounts { demanded, accepted: attempts.saturating_sub(refused), refused };
         let peers = member.peers();
         let numbers: Vec<u32> = peers.iter().map(|peer| peer.number).collect();
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -1,14 +1,14 @@
 //! The node list as published to the routing policy and the connection pool: discovery's list with the
 //! operators' overrides applied.
 
-use crate::fleet::list_store::ListStore;
 use crate::fleet::lease::ListLease;
-use crate::fleet::overrides::{Overrides, OverrideError};
+use crate::fleet::list_store::ListStore;
+use crate::fleet::overrides::{OverrideError, Overrides};
+use crate::log_line;
 use crate::nodes::pool::Pool;
 use crate::process::reloadable::Reloadable;
 use crate::process::store::Store;
 use crate::requests::dispatcher::Dispatcher;
-use crate::log_line;
 use flintwell_core::interface::{ListUpdateKind, Micros, NodeId, NodeState};
 use flintwell_list_watch::NodeStarts;
 use flintwell_settings::Network;
@@ -126,7 +126,9 @@
         if is_lapsed {
             self.lease.count_lapse();
             let expired = self.lease.expired_for() as f64 / 1e6;
-            log_line!("lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed");
+            log_line!(
+                "lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed"
+            );
         } else {
             log_line!("discovery is unreachable, so the node list stays valid; sending requests");
         }
@@ -195,7 +197,7 @@
     /// Publishes the whole current list again, and closes idle connections to the `changed` nodes.
     fn publish_all(&self, changed: &[NodeId]) {
         let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
-        // As a kept list: nothing new came from discovery.
+        // As a restored list: nothing new came from discovery.
         self.publish(&lines, ListUpdateKind::Restored);
         changed.iter().for_each(|node| self.pool.close_idle(node));
     }
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -2,12 +2,12 @@
 
 use crate::clients::body::{BufferBudget, MAX_BODY_BYTES, UpstreamBody};
 use crate::clients::decode::ClientRequest;
-use crate::nodes::connection::{BodyLimits, ExchangeError, FailureCause, Connection, Progress, ReceivedBody};
-use crate::nodes::send_guard::{PendingSend, SendGuard};
+use crate::management::metrics::Metrics;
+use crate::nodes::connection::{BodyLimits, Connection, ExchangeError, FailureCause, Progress, ReceivedBody};
 use crate::nodes::pool::Pool;
 use crate::nodes::response_body::{ResponseBody, StreamedBody};
+use crate::nodes::send_guard::{PendingSend, SendGuard};
 use crate::process::clock::to_duration;
-use crate::management::metrics::Metrics;
 use flintwell_core::interface::{AttemptStatus, Micros, NodeId};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
@@ -57,14 +57,14 @@
 #[derive(Clone)]
 pub struct AttemptService {
     guard: SendGuard,
-    counts: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     /// Memory for reading ahead of long responses.
     read_ahead_budget: Rc<BufferBudget>,
 }
 
 impl AttemptService {
-    pub fn new(guard: SendGuard, counts: Rc<Metrics>, read_ahead_budget: Rc<BufferBudget>) -> Self {
-        AttemptService { guard, counts, read_ahead_budget }
+    pub fn new(guard: SendGuard, metrics: Rc<Metrics>, read_ahead_budget: Rc<BufferBudget>) -> Self {
+        AttemptService { guard, metrics, read_ahead_budget }
     }
 }
 
@@ -78,9 +78,9 @@
     }
 
     fn call(&mut self, attempt: Attempt) -> Self::Future {
-        let AttemptService { guard, counts, read_ahead_budget } = self.clone();
+        let AttemptService { guard, metrics, read_ahead_budget } = self.clone();
         Box::pin(async move {
-            let progress = Progress::with_count(&counts.cache_attempts);
+            let progress = Progress::with_counter(&metrics.cache_attempts);
             let mut exchange = pin!(send(&guard, &attempt, &progress, &read_ahead_budget));
             if let Some(end) = attempt.request.body.stream_status() {
                 // For a body that is streamed from the client, the time limit starts at its last byte.
@@ -122,11 +122,15 @@
     let (permitted_at, sent_guard) = (Instant::now(), guard.clone());
     progress.set_on_first_write(move || sent_guard.check_sent(&pending, permitted_at));
     let (idle, first_on_connection) = (connection.idle_since.elapsed(), connection.is_unused());
-    let body = attempt.request.body.upstream_body().ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
+    let body = attempt
+        .request
+        .body
+        .upstream_body()
+        .ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
     let reply = connection.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
     pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == AttemptStatus::Reset));
     let reply = reply?;
-    let ending = ending(reply.status, &reply.headers);
+    let ending = attempt_status(reply.status, &reply.headers);
     let body = match reply.body {
         ReceivedBody::Whole(body) => {
             pool.release(&attempt.node, connection);
@@ -134,7 +138,15 @@
         }
         ReceivedBody::Partial(first_bytes, incoming, max_remaining) => {
             let (node, pool) = (attempt.node.clone(), pool.clone());
-            ResponseBody::Streamed(Box::new(StreamedBody::new(first_bytes, incoming, max_remaining, node, pool, connection, read_ahead_budget)))
+            ResponseBody::Streamed(Box::new(StreamedBody::new(
+                first_bytes,
+                incoming,
+                max_remaining,
+                node,
+                pool,
+                connection,
+                read_ahead_budget,
+            )))
         }
     };
     Ok(NodeResponse { ending, first_on_connection, body })
@@ -168,7 +180,7 @@
     message
 }
 
-fn ending(status: StatusCode, headers: &HeaderMap) -> AttemptStatus {
+fn attempt_status(status: StatusCode, headers: &HeaderMap) -> AttemptStatus {
     let not_run = headers.get("x-not-run").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => AttemptStatus::Served,
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -2,7 +2,7 @@
 //! retried here.
 
 use crate::clients::body::UpstreamBody;
-use crate::clients::framing::{ResponseScanner, BodyDecoder};
+use crate::clients::framing::{BodyDecoder, ResponseScanner};
 use crate::nodes::stream::SharedStream;
 use crate::process::counter::{Counter, increment};
 use bytes::{Bytes, BytesMut};
@@ -54,8 +54,8 @@
     InvalidResponse(String),
     /// The node was removed from the list, or began to drain, while the connection was being established.
     Unlisted,
-    /// No file descriptor is available for a new connection.
-    NoDescriptor,
+    /// The process may not open a further connection: its limit on open sockets is reached.
+    ConnectionLimit,
     /// An earlier attempt consumed the body, which is not buffered.
     BodyConsumed,
     /// The client has disconnected.
@@ -89,7 +89,7 @@
             (
                 Stage::Unwritten,
                 FailureCause::Unlisted
-                | FailureCause::NoDescriptor
+                | FailureCause::ConnectionLimit
                 | FailureCause::BodyConsumed
                 | FailureCause::ClientDisconnected
                 | FailureCause::Stale
@@ -104,7 +104,7 @@
                 _,
                 FailureCause::Closed(_)
                 | FailureCause::Unlisted
-                | FailureCause::NoDescriptor
+                | FailureCause::ConnectionLimit
                 | FailureCause::BodyConsumed
                 | FailureCause::ClientDisconnected
                 | FailureCause::Stale
@@ -127,7 +127,7 @@
             FailureCause::Closed(why) => write!(f, "connection lost {stage}: {why}"),
             FailureCause::InvalidResponse(why) => write!(f, "invalid response: {why}"),
             FailureCause::Unlisted => write!(f, "node is no longer listed as ready"),
-            FailureCause::NoDescriptor => write!(f, "no file descriptor available for a connection"),
+            FailureCause::ConnectionLimit => write!(f, "limit on open connections reached"),
             FailureCause::BodyConsumed => write!(f, "request body was consumed by an earlier attempt"),
             FailureCause::ClientDisconnected => write!(f, "client has disconnected"),
             FailureCause::Stale => write!(f, "attempt was chosen too long ago"),
@@ -155,7 +155,7 @@
     /// The last byte was written to the socket.
     is_written: Cell<bool>,
     /// Incremented once the message is written whole.
-    written_count: Cell<Option<Counter>>,
+    written_counter: Cell<Option<Counter>>,
     /// Called once the first bytes are written.
     on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
 }
@@ -215,7 +215,7 @@
     /// Called by hyper once everything that was queued so far is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.message.is_body_done.get() && !self.message.is_written.replace(true) {
-            self.message.written_count.take().inspect(|count| increment(count));
+            self.message.written_counter.take().inspect(|count| increment(count));
         }
         Poll::Ready(Ok(()))
     }
@@ -232,7 +232,7 @@
     /// Set for a long message, which the node does not process before its last byte.
     long_message: Cell<Option<Rc<OutgoingMessage>>>,
     /// Incremented once the message is written whole.
-    written_count: Option<Counter>,
+    written_counter: Option<Counter>,
     /// Called once the first bytes are written.
     on_first_write: Cell<Option<Box<dyn FnOnce()>>>,
     /// A response of unknown length has begun and is held back to see whether it is short.
@@ -248,9 +248,9 @@
         self.is_held.get()
     }
 
-    /// Progress that increments `written_count` once the message is written whole.
-    pub fn with_count(written_count: &Counter) -> Self {
-        Progress { written_count: Some(written_count.clone()), ..Progress::default() }
+    /// Progress that increments `written_counter` once the message is written whole.
+    pub fn with_counter(written_counter: &Counter) -> Self {
+        Progress { written_counter: Some(written_counter.clone()), ..Progress::default() }
     }
 
     /// Sets a callback for when the first bytes of the message are written.
@@ -305,9 +305,11 @@
 impl Connection {
     /// Opens a connection; `permit` is returned when its socket is closed.
     pub async fn dial(addr: SocketAddr, permit: Option<OwnedSemaphorePermit>) -> Result<Self, ExchangeError> {
-        let closed = |error: &dyn fmt::Display| ExchangeError::before_write(FailureCause::Closed(error.to_string()));
-        let stream =
-            TcpStream::connect(addr).await.map_err(|e| ExchangeError::before_write(connect_failure_cause(&e)))?;
+        let closed =
+            |error: &dyn fmt::Display| ExchangeError::before_write(FailureCause::Closed(error.to_string()));
+        let stream = TcpStream::connect(addr)
+            .await
+            .map_err(|e| ExchangeError::before_write(connect_failure_cause(&e)))?;
         stream.set_nodelay(true).map_err(|e| closed(&e))?;
         let (stream, bytes_written) = (Rc::new(stream), Rc::new(Cell::new(0)));
         let weak_stream = Rc::downgrade(&stream);
@@ -399,7 +401,7 @@
         self.message.is_written.set(false);
         let is_long = request.body().size_hint().exact().is_none_or(|length| length > MAX_SHORT_BODY_BYTES);
         progress.long_message.set(is_long.then(|| self.message.clone()));
-        self.message.written_count.set(progress.written_count.clone());
+        self.message.written_counter.set(progress.written_counter.clone());
         self.message.on_first_write.set(progress.on_first_write.take());
         let request = request.map(|body| TrackedBody { body, message: self.message.clone() });
         let failed = |error: hyper::Error| progress.error(exchange_failure_cause(&error));
--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -1,6 +1,6 @@
 //! Connection pool: the address of each node, its idle connections, and the limit on open connections.
 
-use crate::nodes::connection::{ExchangeError, FailureCause, Connection};
+use crate::nodes::connection::{Connection, ExchangeError, FailureCause};
 use crate::process::clock::to_duration;
 use flintwell_core::interface::{Micros, NodeId};
 use std::cell::{Cell, RefCell};
@@ -12,13 +12,15 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-// Share of the nodes' keep-alive time. Closer to it, requests are written to connections that a node has just closed.
+// Share of the nodes' keep-alive time. Closer to it, requests are written to connections that a node has just
+// closed.
 const MAX_IDLE_FACTOR: f64 = 0.85;
 // After less idle time, a reset is not due to idleness.
 const MIN_IDLE_LIMIT: Duration = Duration::from_millis(20);
 // An exchange after idle time t is evidence about idle limits up to this many times t.
 const IDLE_EVIDENCE_FACTOR: u32 = 4;
-// Applied to the limit at a reset. Together with the increase, the limit falls from one reset in five exchanges on.
+// Applied to the limit at a reset. Together with the increase, the limit falls from one reset in five
+// exchanges on.
 const IDLE_LIMIT_DECREASE: f64 = 0.7;
 // Applied at a response on a connection that had been idle for a good part of the limit.
 const IDLE_LIMIT_INCREASE: f64 = 1.1;
@@ -133,12 +135,17 @@
         // Danger: a node that only our own connection limit keeps us from reaching would count as
         // unreachable.
         let permit = timeout(PERMIT_TIMEOUT, self.permits.clone().acquire_owned());
-        let permit = permit.await.map_err(|_| ExchangeError::before_write(FailureCause::NoDescriptor))?.ok();
+        let permit =
+            permit.await.map_err(|_| ExchangeError::before_write(FailureCause::ConnectionLimit))?.ok();
         let dialled = timeout(self.dial_timeout, Connection::dial(addr, permit));
         let connection = dialled.await.unwrap_or(Err(ExchangeError::before_write(FailureCause::TimedOut)))?;
         // Danger: a node that began to drain while the connection was being established would receive a
         // request after its drain grace period.
-        if self.ready_addr(node)? == addr { Ok(connection) } else { Err(ExchangeError::before_write(FailureCause::Unlisted)) }
+        if self.ready_addr(node)? == addr {
+            Ok(connection)
+        } else {
+            Err(ExchangeError::before_write(FailureCause::Unlisted))
+        }
     }
 
     /// The address of a node, provided that it is listed as ready.
@@ -178,8 +185,11 @@
     /// that has no open connection is refused although the node is idle.
     fn close_expired(&self, idle: &mut Vec<Connection>) {
         let spares = idle.len().saturating_sub(1);
-        let expired =
-            idle.iter().take(spares).filter(|connection| connection.idle_since.elapsed() >= SPARE_IDLE_TIMEOUT).count();
+        let expired = idle
+            .iter()
+            .take(spares)
+            .filter(|connection| connection.idle_since.elapsed() >= SPARE_IDLE_TIMEOUT)
+            .count();
         idle.drain(..expired);
         idle.retain(|connection| self.is_reusable(connection));
     }
--- a/crates/flintwell/src/nodes/response_body.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -1,12 +1,12 @@
 //! Response bodies on their way from a node to the client: buffered whole, or streamed as they are received.
 
-use crate::clients::body::{BufferBudget, BodyBuffer};
-use crate::nodes::response_transfer::Upstream;
+use crate::clients::body::{BodyBuffer, BufferBudget};
+use crate::management::metrics::{InFlightGuard, Metrics, RequestOutcome};
 use crate::nodes::connection::Connection;
 use crate::nodes::pool::Pool;
-use crate::process::clock::{PEER_IDLE_TIMEOUT, IdleTimer};
+use crate::nodes::response_transfer::Upstream;
+use crate::process::clock::{IdleTimer, PEER_IDLE_TIMEOUT};
 use crate::requests::dispatcher::RequestHandle;
-use crate::management::metrics::{Metrics, RequestOutcome, InFlightGuard};
 use bytes::Bytes;
 use flintwell_core::interface::NodeId;
 use http_body_util::Full;
@@ -56,7 +56,7 @@
 
 /// Keeps a request registered and counted as in flight until its response has been sent.
 pub struct RequestGuard {
-    counts: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     /// Index of the request class.
     pub class_index: usize,
     _handle: RequestHandle,
@@ -66,7 +66,7 @@
 impl RequestGuard {
     /// Counts the outcome of the request.
     pub fn record_end(self, is_complete: bool) {
-        self.counts.record_outcome(self.class_index, RequestOutcome::of_relay(is_complete));
+        self.metrics.record_outcome(self.class_index, RequestOutcome::of_relay(is_complete));
     }
 }
 
@@ -159,7 +159,9 @@
                 return Poll::Ready(Some(Ok(data)));
             }
             Poll::Ready(None) => {}
-            Poll::Pending if source.stall_timer.poll(cx).is_ready() => source.fail("node stopped sending the response"),
+            Poll::Pending if source.stall_timer.poll(cx).is_ready() => {
+                source.fail("node stopped sending the response")
+            }
             Poll::Pending => return Poll::Pending,
         }
         // Danger: a client could take a truncated response for a complete one; so its framing is left without
@@ -175,7 +177,9 @@
         let mut source = self.source.borrow_mut();
         // Danger: a budget spread over many responses completes none of them sooner; so only responses whose
         // rest fits as a whole, or is of unknown length, are read ahead.
-        let fits = |body: &Incoming| body.size_hint().exact().is_none_or(|rest| rest <= source.budget.available_bytes());
+        let fits = |body: &Incoming| {
+            body.size_hint().exact().is_none_or(|rest| rest <= source.budget.available_bytes())
+        };
         if !self.is_halted.get() && !source.incoming.as_ref().is_some_and(fits) {
             return;
         }
@@ -204,8 +208,9 @@
     fn size_hint(&self) -> SizeHint {
         let source = self.source.borrow();
         let rest = source.incoming.as_ref().map_or(Some(0), |body| body.size_hint().exact());
-        let rest =
-            rest.filter(|_| self.has_known_length).map(|rest| source.bytes_received - self.bytes_sent.get() + rest);
+        let rest = rest
+            .filter(|_| self.has_known_length)
+            .map(|rest| source.bytes_received - self.bytes_sent.get() + rest);
         rest.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 
@@ -236,7 +241,8 @@
     pub fn take_upstream(&self) -> Option<(Option<Upstream>, u64)> {
         let mut source = self.source.borrow_mut();
         let connection = source.connection.take();
-        let rest = connection.and_then(|connection| Some((connection.socket()?, connection.body_progress()?.1)));
+        let rest =
+            connection.and_then(|connection| Some((connection.socket()?, connection.body_progress()?.1)));
         (source.failure.is_none() && rest.is_some() == source.incoming.take().is_some())
             .then_some((rest, source.max_remaining))
     }
@@ -311,8 +317,19 @@
     }
 
     /// Keeps the request open until the body ends.
-    pub fn attach_request(&self, handle: RequestHandle, in_flight: InFlightGuard, counts: Rc<Metrics>, class_index: usize) {
-        self.stream.request.replace(Some(RequestGuard { counts, class_index, _handle: handle, _in_flight: in_flight }));
+    pub fn attach_request(
+        &self,
+        handle: RequestHandle,
+        in_flight: InFlightGuard,
+        metrics: Rc<Metrics>,
+        class_index: usize,
+    ) {
+        self.stream.request.replace(Some(RequestGuard {
+            metrics,
+            class_index,
+            _handle: handle,
+            _in_flight: in_flight,
+        }));
     }
 }
 
--- a/crates/flintwell/src/nodes/response_transfer.rs
+++ b/crates/flintwell/src/nodes/response_transfer.rs
@@ -64,7 +64,11 @@
         if let Some((node, coding)) = self.upstream.take() {
             self.forward_from_node(&node, coding, &mut chunk).await?;
         }
-        self.unwritten.extend_from_slice(if self.chunked && self.is_end_pending { b"0\r\n\r\n" } else { b"" });
+        self.unwritten.extend_from_slice(if self.chunked && self.is_end_pending {
+            b"0\r\n\r\n"
+        } else {
+            b""
+        });
         self.flush_unwritten().await
     }
 
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -3,11 +3,11 @@
 
 use crate::clients::client_socket::ClientSocket;
 use crate::fleet::lease::ListLease;
+use crate::log_line;
 use crate::nodes::connection::{ExchangeError, FailureCause};
 use crate::nodes::pool::Pool;
 use crate::process::clock::to_duration;
 use crate::process::counter::{Counter, increment};
-use crate::log_line;
 use flintwell_core::interface::{Micros, NodeId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -44,7 +44,8 @@
     /// The counters by their outer names.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
         let Violations { unlisted, lapsed, stale, client_disconnected } = self;
-        let named = [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", client_disconnected)];
+        let named =
+            [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", client_disconnected)];
         named.into_iter().map(|(name, count)| (name, count.get())).collect()
     }
 
@@ -84,7 +85,11 @@
             return Err(ExchangeError::before_write(FailureCause::Stale));
         }
         // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
-        if pending.client.has_disconnected() { Err(ExchangeError::before_write(FailureCause::ClientDisconnected)) } else { Ok(()) }
+        if pending.client.has_disconnected() {
+            Err(ExchangeError::before_write(FailureCause::ClientDisconnected))
+        } else {
+            Ok(())
+        }
     }
 
     /// Called when the first bytes of a request that passed the check at `permitted_at` were written: counts
