--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -1,14 +1,14 @@
 //! The node list as published to the routing policy and the connection pool: discovery's list with the
 //! operators' overrides applied.
 
-use crate::fleet::list_store::ListStore;
 use crate::fleet::lease::ListLease;
-use crate::fleet::overrides::{Overrides, OverrideError};
+use crate::fleet::list_store::ListStore;
+use crate::fleet::overrides::{OverrideError, Overrides};
+use crate::log_line;
 use crate::nodes::pool::Pool;
 use crate::process::reloadable::Reloadable;
 use crate::process::store::Store;
 use crate::requests::dispatcher::Dispatcher;
-use crate::log_line;
 use flintwell_core::interface::{ListUpdateKind, Micros, NodeId, NodeState};
 use flintwell_list_watch::NodeStarts;
 use flintwell_settings::Network;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const SYNC_INTERVAL: Duration = Duration::from_millis(100); // of overrides that another process may store
+const SYNC_INTERVAL: Duration = Duration::from_millis(100); // for overrides stored by another process
 
 /// The current node list, and the overrides that apply to it.
 pub struct Registry {
@@ -82,7 +82,7 @@
                 }
             }
         }
-        self.learn_starts(listing, kind);
+        self.record_starts(listing, kind);
         if kind != ListUpdateKind::Restored {
             self.list_store.mark_changed(listing.version);
         }
@@ -97,14 +97,14 @@
         self.publish(&listing.servers, kind);
     }
 
-    fn learn_starts(&self, listing: &Listing, kind: ListUpdateKind) {
+    fn record_starts(&self, listing: &Listing, kind: ListUpdateKind) {
         // The list at process start has no earlier list: its confirmation precedes its publication.
         let since = if kind == ListUpdateKind::Restored { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
         for line in &listing.servers {
             starts.record(&line.id, (line.started_ms * 1e3) as Micros, since, now);
         }
-        starts.prune(|server| self.lines.borrow().contains_key(server));
+        starts.prune(|node| self.lines.borrow().contains_key(node));
         self.confirmed_at.set(self.lease.confirmed_at());
     }
 
@@ -126,7 +126,9 @@
         if is_lapsed {
             self.lease.count_lapse();
             let expired = self.lease.expired_for() as f64 / 1e6;
-            log_line!("lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed");
+            log_line!(
+                "lease on the node list lapsed {expired:.3} s ago; sending no requests until it is renewed"
+            );
         } else {
             log_line!("discovery is unreachable, so the node list stays valid; sending requests");
         }
@@ -144,8 +146,8 @@
             // Danger: one address that can't be parsed would block the publication of all other nodes.
             match line.addr.parse() {
                 Ok(addr) if entry.state != NodeState::Gone => {
-                    let ready = entry.state == NodeState::Ready;
-                    self.pool.upsert(&entry.node, addr, line.started_ms, ready);
+                    let is_ready = entry.state == NodeState::Ready;
+                    self.pool.upsert(&entry.node, addr, line.started_ms, is_ready);
                 }
                 Ok(_) => self.pool.remove(&entry.node),
                 Err(error) => {
@@ -195,7 +197,7 @@
     /// Publishes the whole current list again, and closes idle connections to the `changed` nodes.
     fn publish_all(&self, changed: &[NodeId]) {
         let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
-        // As a kept list: nothing new came from discovery.
+        // As a restored list: nothing new came from discovery.
         self.publish(&lines, ListUpdateKind::Restored);
         changed.iter().for_each(|node| self.pool.close_idle(node));
     }
--- a/crates/flintwell/src/nodes/response_transfer.rs
+++ b/crates/flintwell/src/nodes/response_transfer.rs
@@ -15,7 +15,7 @@
 const CHUNK_BYTES: usize = 32_768; // read at once; several dozen such responses share the process's memory
 
 /// The socket to a node, and the framing of the bytes that it still sends.
-pub type Rest = (Rc<TcpStream>, BodyDecoder);
+pub type Upstream = (Rc<TcpStream>, BodyDecoder);
 
 /// A long response that was interrupted between two bytes.
 pub struct ResponseTransfer {
@@ -26,7 +26,7 @@
     /// The unframed bytes that follow, in a file, and their number.
     pub buffered: Option<(File, u64)>,
     /// The source of the remaining bytes; none if all were received.
-    pub upstream: Option<Rest>,
+    pub upstream: Option<Upstream>,
     /// Whether the client receives it in chunked encoding.
     pub chunked: bool,
     /// Whether the final chunk is not among the unwritten bytes and has yet to be sent.
@@ -36,13 +36,13 @@
 }
 
 impl ResponseTransfer {
-    /// Forwards the remainder to the client; returns whether the response was completed.
+    /// Forwards the remainder to the client; returns whether the response is complete.
     pub async fn run(mut self) -> bool {
-        let whole = self.forward().await.is_ok();
+        let is_complete = self.forward().await.is_ok();
         // Danger: a client could take a truncated response for a complete one; so after a failure its framing
         // is left without an end. An error here means that the client has disconnected.
         let _ = SockRef::from(&*self.client).shutdown(Shutdown::Write);
-        whole
+        is_complete
     }
 
     async fn forward(&mut self) -> io::Result<()> {
@@ -64,7 +64,11 @@
         if let Some((node, coding)) = self.upstream.take() {
             self.forward_from_node(&node, coding, &mut chunk).await?;
         }
-        self.unwritten.extend_from_slice(if self.chunked && self.is_end_pending { b"0\r\n\r\n" } else { b"" });
+        self.unwritten.extend_from_slice(if self.chunked && self.is_end_pending {
+            b"0\r\n\r\n"
+        } else {
+            b""
+        });
         self.flush_unwritten().await
     }
 
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -3,11 +3,11 @@
 
 use crate::clients::client_socket::ClientSocket;
 use crate::fleet::lease::ListLease;
+use crate::log_line;
 use crate::nodes::connection::{ExchangeError, FailureCause};
 use crate::nodes::pool::Pool;
 use crate::process::clock::to_duration;
 use crate::process::counter::{Counter, increment};
-use crate::log_line;
 use flintwell_core::interface::{Micros, NodeId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -37,14 +37,15 @@
     /// After the attempt's time limit or the window in which it had to be sent.
     pub stale: Counter,
     /// For a client that had disconnected.
-    pub left: Counter,
+    pub client_disconnected: Counter,
 }
 
 impl Violations {
     /// The counters by their outer names.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
-        let Violations { unlisted, lapsed, stale, left } = self;
-        let named = [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", left)];
+        let Violations { unlisted, lapsed, stale, client_disconnected } = self;
+        let named =
+            [("unlisted", unlisted), ("lapsed", lapsed), ("stale", stale), ("left", client_disconnected)];
         named.into_iter().map(|(name, count)| (name, count.get())).collect()
     }
 
@@ -52,7 +53,7 @@
         match cause {
             FailureCause::Lapsed => increment(&self.lapsed),
             FailureCause::Stale => increment(&self.stale),
-            FailureCause::ClientDisconnected => increment(&self.left),
+            FailureCause::ClientDisconnected => increment(&self.client_disconnected),
             _ => increment(&self.unlisted),
         }
     }
@@ -69,8 +70,8 @@
 impl SendGuard {
     /// Returns an error with the reason if the request may not be sent now.
     pub fn check(&self, pending: &PendingSend) -> Result<(), ExchangeError> {
-        // Danger: a list that could not be renewed may miss that nodes have left, and a change counts as
-        // known to us from the moment at which the lease ends.
+        // Danger: a list that could not be renewed may still contain nodes that have left; once its lease has
+        // lapsed, such changes count as known to this proxy.
         if !self.lease.is_valid() {
             return Err(ExchangeError::before_write(FailureCause::Lapsed));
         }
@@ -79,12 +80,16 @@
         self.pool.ready_addr(&pending.node)?;
         // Danger: the window for a repeat, or the request's time limit, may have passed; the policy reserved
         // no more than the time of a dial for either.
-        let since = pending.chosen_at.elapsed();
-        if since >= to_duration(pending.timeout) || since > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
+        let age = pending.chosen_at.elapsed();
+        if age >= to_duration(pending.timeout) || age > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
             return Err(ExchangeError::before_write(FailureCause::Stale));
         }
         // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
-        if pending.client.has_disconnected() { Err(ExchangeError::before_write(FailureCause::ClientDisconnected)) } else { Ok(()) }
+        if pending.client.has_disconnected() {
+            Err(ExchangeError::before_write(FailureCause::ClientDisconnected))
+        } else {
+            Ok(())
+        }
     }
 
     /// Called when the first bytes of a request that passed the check at `permitted_at` were written: counts
