--- a/crates/flintwell/src/nodes/pool.rs
+++ b/crates/flintwell/src/nodes/pool.rs
@@ -1,6 +1,6 @@
 //! Connection pool: the address of each node, its idle connections, and the limit on open connections.
 
-use crate::nodes::connection::{ExchangeError, FailureCause, Link};
+use crate::nodes::connection::{Connection, ExchangeError, FailureCause};
 use crate::process::clock::to_duration;
 use flintwell_core::interface::{Micros, NodeId};
 use std::cell::{Cell, RefCell};
@@ -12,13 +12,15 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-// Share of the nodes' keep-alive time. Closer to it, requests are written to connections that a node has just closed.
+// Share of the nodes' keep-alive time. Closer to it, requests are written to connections that a node has just
+// closed.
 const MAX_IDLE_FACTOR: f64 = 0.85;
 // After less idle time, a reset is not due to idleness.
 const MIN_IDLE_LIMIT: Duration = Duration::from_millis(20);
 // An exchange after idle time t is evidence about idle limits up to this many times t.
 const IDLE_EVIDENCE_FACTOR: u32 = 4;
-// Applied to the limit at a reset. Together with the increase, the limit falls from one reset in five exchanges on.
+// Applied to the limit at a reset. Together with the increase, the limit falls from one reset in five
+// exchanges on.
 const IDLE_LIMIT_DECREASE: f64 = 0.7;
 // Applied at a response on a connection that had been idle for a good part of the limit.
 const IDLE_LIMIT_INCREASE: f64 = 1.1;
@@ -29,19 +31,21 @@
 // For connections beyond the first to a node; long enough for the next requests of a burst.
 const SPARE_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-struct NodeEntry {
+/// A listed node with its idle connections.
+struct PooledNode {
     addr: SocketAddr,
     started_ms: f64,
-    ready: bool,
+    is_ready: bool,
     /// In order of last use, the most recent at the end.
-    idle: Vec<Link>,
+    idle: Vec<Connection>,
 }
 
 /// Connections to all listed nodes.
 pub struct Pool {
-    nodes: RefCell<HashMap<NodeId, NodeEntry>>,
+    nodes: RefCell<HashMap<NodeId, PooledNode>>,
     permits: Arc<Semaphore>,
     pub dial_timeout: Duration,
+    /// The nodes' keep-alive time less a margin.
     max_idle: Duration,
     /// How long a connection may stay idle before reuse, adapted to the resets that are seen.
     idle_limit: Cell<Duration>,
@@ -66,14 +70,14 @@
 
     /// Adds or updates a node. If its address or start time changed, the node has closed our idle
     /// connections.
-    pub fn upsert(&self, node: &NodeId, addr: SocketAddr, started_ms: f64, ready: bool) {
+    pub fn upsert(&self, node: &NodeId, addr: SocketAddr, started_ms: f64, is_ready: bool) {
         let mut nodes = self.nodes.borrow_mut();
         let entry =
-            nodes.entry(node.clone()).or_insert(NodeEntry { addr, started_ms, ready, idle: Vec::new() });
+            nodes.entry(node.clone()).or_insert(PooledNode { addr, started_ms, is_ready, idle: Vec::new() });
         if (entry.addr, entry.started_ms) != (addr, started_ms) {
             entry.idle.clear();
         }
-        (entry.addr, entry.started_ms, entry.ready) = (addr, started_ms, ready);
+        (entry.addr, entry.started_ms, entry.is_ready) = (addr, started_ms, is_ready);
     }
 
     /// Removes a node and closes its idle connections.
@@ -94,26 +98,26 @@
     }
 
     /// Takes an idle connection out of the pool, the most recently used first.
-    pub fn take_idle(&self, node: &NodeId) -> Option<Link> {
+    pub fn take_idle(&self, node: &NodeId) -> Option<Connection> {
         let mut nodes = self.nodes.borrow_mut();
         let entry = nodes.get_mut(node)?;
-        while let Some(link) = entry.idle.pop() {
-            if self.is_reusable(&link) {
-                return Some(link);
+        while let Some(connection) = entry.idle.pop() {
+            if self.is_reusable(&connection) {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn is_reusable(&self, link: &Link) -> bool {
-        !link.is_closed() && link.idle_since.elapsed() < self.idle_limit.get()
+    fn is_reusable(&self, connection: &Connection) -> bool {
+        !connection.is_closed() && connection.idle_since.elapsed() < self.idle_limit.get()
     }
 
     /// Adapts the idle limit to the result of an exchange on a connection that had been idle. Danger: nodes
     /// or middleboxes that drop idle connections sooner than configured reset every request written to one.
-    pub fn record_reuse(&self, idle: Duration, reset: bool) {
+    pub fn record_reuse(&self, idle: Duration, was_reset: bool) {
         let (evidence, limit) = (idle * IDLE_EVIDENCE_FACTOR, self.idle_limit.get());
-        let limit = match reset {
+        let limit = match was_reset {
             _ if idle < MIN_IDLE_LIMIT => return,
             true => limit.min(evidence).mul_f64(IDLE_LIMIT_DECREASE).max(MIN_IDLE_LIMIT),
             false if evidence > limit => limit.mul_f64(IDLE_LIMIT_INCREASE).min(self.max_idle),
@@ -123,7 +127,7 @@
     }
 
     /// Opens a new connection to a node that is listed as ready.
-    pub async fn dial(&self, node: &NodeId) -> Result<Link, ExchangeError> {
+    pub async fn dial(&self, node: &NodeId) -> Result<Connection, ExchangeError> {
         let addr = self.ready_addr(node)?;
         if self.permits.available_permits() == 0 {
             self.close_longest_idle();
@@ -131,25 +135,30 @@
         // Danger: a node that only our own connection limit keeps us from reaching would count as
         // unreachable.
         let permit = timeout(PERMIT_TIMEOUT, self.permits.clone().acquire_owned());
-        let permit = permit.await.map_err(|_| ExchangeError::before_write(FailureCause::NoDescriptor))?.ok();
-        let dialled = timeout(self.dial_timeout, Link::dial(addr, permit));
-        let link = dialled.await.unwrap_or(Err(ExchangeError::before_write(FailureCause::TimedOut)))?;
+        let permit =
+            permit.await.map_err(|_| ExchangeError::before_write(FailureCause::ConnectionLimit))?.ok();
+        let dialled = timeout(self.dial_timeout, Connection::dial(addr, permit));
+        let connection = dialled.await.unwrap_or(Err(ExchangeError::before_write(FailureCause::TimedOut)))?;
         // Danger: a node that began to drain while the connection was being established would receive a
         // request after its drain grace period.
-        if self.ready_addr(node)? == addr { Ok(link) } else { Err(ExchangeError::before_write(FailureCause::Unlisted)) }
+        if self.ready_addr(node)? == addr {
+            Ok(connection)
+        } else {
+            Err(ExchangeError::before_write(FailureCause::Unlisted))
+        }
     }
 
     /// The address of a node, provided that it is listed as ready.
     pub fn ready_addr(&self, node: &NodeId) -> Result<SocketAddr, ExchangeError> {
         let nodes = self.nodes.borrow();
-        let ready = nodes.get(node).filter(|entry| entry.ready);
+        let ready = nodes.get(node).filter(|entry| entry.is_ready);
         ready.map(|entry| entry.addr).ok_or(ExchangeError::before_write(FailureCause::Unlisted))
     }
 
-    /// Returns a connection to the pool after its exchange.
-    pub fn release(&self, node: &NodeId, link: Link) {
+    /// Returns a connection to the pool after its exchange; drops it if the node was removed.
+    pub fn release(&self, node: &NodeId, connection: Connection) {
         if let Some(entry) = self.nodes.borrow_mut().get_mut(node) {
-            entry.idle.push(link);
+            entry.idle.push(connection);
         }
     }
 
@@ -174,12 +183,15 @@
     /// Keeps one connection up to the idle limit and the others only for a short time. Danger: connections
     /// that a hundred proxies opened for a burst and keep idle fill a node's connection table, and a proxy
     /// that has no open connection is refused although the node is idle.
-    fn close_expired(&self, idle: &mut Vec<Link>) {
+    fn close_expired(&self, idle: &mut Vec<Connection>) {
         let spares = idle.len().saturating_sub(1);
-        let expired =
-            idle.iter().take(spares).filter(|link| link.idle_since.elapsed() >= SPARE_IDLE_TIMEOUT).count();
+        let expired = idle
+            .iter()
+            .take(spares)
+            .filter(|connection| connection.idle_since.elapsed() >= SPARE_IDLE_TIMEOUT)
+            .count();
         idle.drain(..expired);
-        idle.retain(|link| self.is_reusable(link));
+        idle.retain(|connection| self.is_reusable(connection));
     }
 }
 
--- a/crates/flintwell/src/nodes/response_body.rs
+++ b/crates/flintwell/src/nodes/response_body.rs
@@ -1,12 +1,12 @@
 //! Response bodies on their way from a node to the client: buffered whole, or streamed as they are received.
 
-use crate::clients::body::{BufferBudget, BodyBuffer};
-use crate::nodes::response_transfer::Rest;
-use crate::nodes::connection::Link;
+use crate::clients::body::{BodyBuffer, BufferBudget};
+use crate::management::metrics::{InFlightGuard, Metrics, RequestOutcome};
+use crate::nodes::connection::Connection;
 use crate::nodes::pool::Pool;
-use crate::process::clock::{PEER_IDLE_TIMEOUT, IdleTimer};
+use crate::nodes::response_transfer::Upstream;
+use crate::process::clock::{IdleTimer, PEER_IDLE_TIMEOUT};
 use crate::requests::dispatcher::RequestHandle;
-use crate::management::metrics::{Metrics, RequestOutcome, InFlightGuard};
 use bytes::Bytes;
 use flintwell_core::interface::NodeId;
 use http_body_util::Full;
@@ -20,7 +20,7 @@
 /// The body of a response to a client.
 pub enum ResponseBody {
     Buffered(Full<Bytes>),
-    /// Forwarded as it is received.
+    /// Passed on to the client as it is received.
     Streamed(Box<StreamedBody>),
 }
 
@@ -37,36 +37,36 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
             ResponseBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            ResponseBody::Streamed(relay) => relay.stream.poll(cx).map_ok(Frame::data),
+            ResponseBody::Streamed(body) => body.stream.poll(cx).map_ok(Frame::data),
         }
     }
     fn is_end_stream(&self) -> bool {
         match self {
             ResponseBody::Buffered(body) => body.is_end_stream(),
-            ResponseBody::Streamed(relay) => relay.stream.is_ended(),
+            ResponseBody::Streamed(body) => body.stream.is_ended(),
         }
     }
     fn size_hint(&self) -> SizeHint {
         match self {
             ResponseBody::Buffered(body) => body.size_hint(),
-            ResponseBody::Streamed(relay) => relay.stream.size_hint(),
+            ResponseBody::Streamed(body) => body.stream.size_hint(),
         }
     }
 }
 
 /// Keeps a request registered and counted as in flight until its response has been sent.
 pub struct RequestGuard {
-    counts: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     /// Index of the request class.
     pub class_index: usize,
     _handle: RequestHandle,
-    _in_hand: InFlightGuard,
+    _in_flight: InFlightGuard,
 }
 
 impl RequestGuard {
-    /// Counts the outcome of the request: whether the response was sent whole.
-    pub fn record_end(self, whole: bool) {
-        self.counts.record_outcome(self.class_index, RequestOutcome::of_relay(whole));
+    /// Counts the outcome of the request.
+    pub fn record_end(self, is_complete: bool) {
+        self.metrics.record_outcome(self.class_index, RequestOutcome::of_relay(is_complete));
     }
 }
 
@@ -104,7 +104,7 @@
     stall_timer: IdleTimer,
     node: NodeId,
     pool: Rc<Pool>,
-    link: Option<Link>,
+    connection: Option<Connection>,
 }
 
 impl Source {
@@ -134,13 +134,13 @@
         }
     }
     fn fail(&mut self, why: &'static str) {
-        (self.failure, self.incoming, self.link) = (Some(why), None, None);
+        (self.failure, self.incoming, self.connection) = (Some(why), None, None);
     }
     fn finish(&mut self) {
         self.incoming = None;
         // A halted connection can't be reused.
-        if let Some(link) = self.link.take().filter(|link| !link.is_halted()) {
-            self.pool.release(&self.node, link);
+        if let Some(connection) = self.connection.take().filter(|connection| !connection.is_halted()) {
+            self.pool.release(&self.node, connection);
         }
     }
 }
@@ -159,7 +159,9 @@
                 return Poll::Ready(Some(Ok(data)));
             }
             Poll::Ready(None) => {}
-            Poll::Pending if source.stall_timer.poll(cx).is_ready() => source.fail("node stopped sending the response"),
+            Poll::Pending if source.stall_timer.poll(cx).is_ready() => {
+                source.fail("node stopped sending the response")
+            }
             Poll::Pending => return Poll::Pending,
         }
         // Danger: a client could take a truncated response for a complete one; so its framing is left without
@@ -175,7 +177,9 @@
         let mut source = self.source.borrow_mut();
         // Danger: a budget spread over many responses completes none of them sooner; so only responses whose
         // rest fits as a whole, or is of unknown length, are read ahead.
-        let fits = |body: &Incoming| body.size_hint().exact().is_none_or(|rest| rest <= source.budget.available_bytes());
+        let fits = |body: &Incoming| {
+            body.size_hint().exact().is_none_or(|rest| rest <= source.budget.available_bytes())
+        };
         if !self.is_halted.get() && !source.incoming.as_ref().is_some_and(fits) {
             return;
         }
@@ -204,20 +208,21 @@
     fn size_hint(&self) -> SizeHint {
         let source = self.source.borrow();
         let rest = source.incoming.as_ref().map_or(Some(0), |body| body.size_hint().exact());
-        let rest =
-            rest.filter(|_| self.has_known_length).map(|rest| source.bytes_received - self.bytes_sent.get() + rest);
+        let rest = rest
+            .filter(|_| self.has_known_length)
+            .map(|rest| source.bytes_received - self.bytes_sent.get() + rest);
         rest.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 
     /// Stops reading from the node and passing on, if the rest can be handed over; returns whether it can.
     pub fn halt(&self) -> bool {
         let source = self.source.borrow();
-        let can_hand_over = match &source.link {
-            Some(link) => link.body_progress().is_some(),
+        let can_hand_over = match &source.connection {
+            Some(connection) => connection.body_progress().is_some(),
             None => source.failure.is_none(),
         };
         if can_hand_over {
-            source.link.iter().for_each(Link::halt);
+            source.connection.iter().for_each(Connection::halt);
         }
         self.is_halted.set(can_hand_over);
         can_hand_over
@@ -226,17 +231,18 @@
     /// Whether everything read from the node's connection has passed through the HTTP parser.
     pub fn is_drained(&self) -> bool {
         let source = self.source.borrow();
-        let progress = source.link.as_ref().and_then(Link::body_progress);
+        let progress = source.connection.as_ref().and_then(Connection::body_progress);
         source.incoming.is_none()
             || progress.is_some_and(|(body, coding)| body == source.bytes_received && !coding.is_complete())
     }
 
     /// Takes the node's socket with the framing of the rest, and the maximum number of remaining bytes. The
     /// caller owns the connection from then on. None if the response failed.
-    pub fn take_upstream(&self) -> Option<(Option<Rest>, u64)> {
+    pub fn take_upstream(&self) -> Option<(Option<Upstream>, u64)> {
         let mut source = self.source.borrow_mut();
-        let link = source.link.take();
-        let rest = link.and_then(|link| Some((link.socket()?, link.body_progress()?.1)));
+        let connection = source.connection.take();
+        let rest =
+            connection.and_then(|connection| Some((connection.socket()?, connection.body_progress()?.1)));
         (source.failure.is_none() && rest.is_some() == source.incoming.take().is_some())
             .then_some((rest, source.max_remaining))
     }
@@ -276,27 +282,27 @@
 
 impl StreamedBody {
     pub fn new(
-        begun: Bytes,
+        first_bytes: Bytes,
         incoming: Incoming,
         max_remaining: u64,
         node: NodeId,
         pool: Rc<Pool>,
-        link: Link,
+        connection: Connection,
         budget: &Rc<BufferBudget>,
     ) -> Self {
         let has_known_length = incoming.size_hint().exact().is_some();
         let source = Source {
-            bytes_received: begun.len() as u64,
+            bytes_received: first_bytes.len() as u64,
             buffered: BodyBuffer::new(budget.clone()),
             budget: budget.clone(),
-            next: begun,
+            next: first_bytes,
             incoming: Some(incoming),
             failure: None,
             max_remaining,
             stall_timer: IdleTimer::new(PEER_IDLE_TIMEOUT),
             node,
             pool,
-            link: Some(link),
+            connection: Some(connection),
         };
         let stream = ResponseStream {
             has_known_length,
@@ -311,21 +317,32 @@
     }
 
     /// Keeps the request open until the body ends.
-    pub fn attach_request(&self, handle: RequestHandle, in_hand: InFlightGuard, counts: Rc<Metrics>, class_index: usize) {
-        self.stream.request.replace(Some(RequestGuard { counts, class_index, _handle: handle, _in_hand: in_hand }));
+    pub fn attach_request(
+        &self,
+        handle: RequestHandle,
+        in_flight: InFlightGuard,
+        metrics: Rc<Metrics>,
+        class_index: usize,
+    ) {
+        self.stream.request.replace(Some(RequestGuard {
+            metrics,
+            class_index,
+            _handle: handle,
+            _in_flight: in_flight,
+        }));
     }
 }
 
 impl Drop for StreamedBody {
-    /// Counts the outcome, unless the client disconnected before the response was sent whole or failed.
+    /// Counts the outcome, unless the client disconnected before the response was complete or failed.
     fn drop(&mut self) {
-        let (stream, whole) = (&self.stream, self.stream.is_ended());
-        stream.is_complete.set(whole);
+        let (stream, is_complete) = (&self.stream, self.stream.is_ended());
+        stream.is_complete.set(is_complete);
         let mut source = stream.source.borrow_mut();
-        (source.incoming, source.link, source.next) = (None, None, Bytes::new());
+        (source.incoming, source.connection, source.next) = (None, None, Bytes::new());
         while source.buffered.pop().is_some() {}
-        if let Some(request) = stream.request.take().filter(|_| whole || stream.is_truncated.get()) {
-            request.record_end(whole);
+        if let Some(request) = stream.request.take().filter(|_| is_complete || stream.is_truncated.get()) {
+            request.record_end(is_complete);
         }
     }
 }
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -1,14 +1,15 @@
-//! Adapter between requests and the decision module.
+//! Adapter between requests and the policy (`flintwell-core`).
 //!
-//! Holds the module and a handle for each request in flight. The module's calls to its host only leave a step for
-//! a handle and never re-enter the module.
+//! Holds the policy and a handle for each request in flight. The policy's calls to its host only leave a step for
+//! a handle and never re-enter the policy.
 
+use crate::log_line;
 use crate::nodes::pool::Pool;
 use crate::process::clock::{Clock, StallDetector};
-use crate::requests::shadow::{Move, ShadowPolicy};
-use crate::log_line;
+use crate::requests::shadow::{Decision, ShadowPolicy};
 use flintwell_core::interface::{
-    IncomingRequest, AttemptStatus, NodeEntry, Host, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
+    AttemptOutcome, AttemptStatus, Host, IncomingRequest, ListUpdateKind, Micros, NodeEntry, NodeId,
+    RequestId, Settings,
 };
 use flintwell_core::policy::Policy;
 use std::cell::RefCell;
@@ -19,63 +20,65 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, timeout_at};
 
-const STEP: Micros = 1_000; // between timer calls; the resolution of the runtime's timers
-const SETTLES: usize = 16; // runtime turns in which sockets, connections and list are read, a long list included
-const FAR: Micros = 3_600_000_000; // sleep while no timer is set; setting one ends it
+const TIMER_INTERVAL_US: Micros = 1_000; // between timer calls; the resolution of the runtime's timers
+// Runtime turns in which sockets, connections and the list are read; enough for a long list, too.
+const CATCH_UP_TURNS: usize = 16;
+const IDLE_SLEEP_US: Micros = 3_600_000_000; // sleep while no timer is set; setting one ends it
 
 /// The next step of a request.
 pub enum Step {
-    Attempt { node: NodeId, allow_for: Micros },
-    Refuse { stay_away: Micros },
+    Attempt { node: NodeId, timeout: Micros },
+    Refuse { retry_after: Micros },
     Fail,
 }
 
+/// Holds the next step of a request until its handle takes it.
 #[derive(Default)]
-struct Place {
-    next: RefCell<Option<Step>>,
-    called: Notify,
+struct Mailbox {
+    step: RefCell<Option<Step>>,
+    notify: Notify,
 }
 
-/// State that the module's calls to its host act on.
-struct Mailboxes {
-    places: RefCell<HashMap<RequestId, Rc<Place>>>,
+/// State that the policy's calls to its host act on.
+struct HostState {
+    mailboxes: RefCell<HashMap<RequestId, Rc<Mailbox>>>,
     timers: RefCell<BTreeSet<(Micros, u64)>>,
     timer_set: Notify,
     pool: Rc<Pool>,
-    watch: Option<Rc<ShadowPolicy>>,
+    shadow: Option<Rc<ShadowPolicy>>,
 }
 
-impl Mailboxes {
-    fn call(&self, request: &RequestId, step: Step) {
-        if let Some(watch) = &self.watch {
-            let said = match &step {
-                Step::Attempt { node, .. } => Move::Attempt(node.clone()),
-                Step::Refuse { .. } => Move::Refuse,
-                Step::Fail => Move::Fail,
+impl HostState {
+    fn post_step(&self, request: &RequestId, step: Step) {
+        if let Some(shadow) = &self.shadow {
+            let decision = match &step {
+                Step::Attempt { node, .. } => Decision::Attempt(node.clone()),
+                Step::Refuse { .. } => Decision::Refuse,
+                Step::Fail => Decision::Fail,
             };
-            watch.decided(request, said);
+            shadow.record_actual(request, decision);
         }
-        match self.places.borrow().get(request) {
-            Some(place) => {
-                place.next.replace(Some(step));
-                place.called.notify_one();
+        match self.mailboxes.borrow().get(request) {
+            Some(mailbox) => {
+                mailbox.step.replace(Some(step));
+                mailbox.notify.notify_one();
             }
-            None => log_line!("decision module returned a step for request {request}, which is not in flight"),
+            None => log_line!("policy returned a step for request {request}, which is not in flight"),
         }
     }
 }
 
-struct HostCalls(Rc<Mailboxes>);
+struct PolicyHost(Rc<HostState>);
 
-impl Host for HostCalls {
-    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, allow_for: Micros) {
-        self.0.call(request, Step::Attempt { node: node.clone(), allow_for });
+impl Host for PolicyHost {
+    fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros) {
+        self.0.post_step(request, Step::Attempt { node: node.clone(), timeout });
     }
-    fn refuse(&mut self, request: &RequestId, stay_away: Micros) {
-        self.0.call(request, Step::Refuse { stay_away });
+    fn refuse(&mut self, request: &RequestId, retry_after: Micros) {
+        self.0.post_step(request, Step::Refuse { retry_after });
     }
     fn fail(&mut self, request: &RequestId) {
-        self.0.call(request, Step::Fail);
+        self.0.post_step(request, Step::Fail);
     }
     fn close_idle(&mut self, node: &NodeId) {
         self.0.pool.close_idle(node);
@@ -88,83 +91,88 @@
     fn subscribe_to_list(&mut self) {}
 }
 
-/// Owns the decision module and passes events to it.
+/// Owns the policy that decides on requests, and passes events to it.
 pub struct Dispatcher {
     pub clock: Clock,
     pub stall_detector: StallDetector,
-    module: RefCell<Policy<HostCalls>>,
-    mailboxes: Rc<Mailboxes>,
+    policy: RefCell<Policy<PolicyHost>>,
+    host_state: Rc<HostState>,
 }
 
 impl Dispatcher {
+    /// Starts the policy; a shadow policy, if given, sees the same events.
     pub fn new(
         clock: Clock,
         settings: Settings,
         seed: u64,
         pool: Rc<Pool>,
-        watch: Option<Rc<ShadowPolicy>>,
+        shadow: Option<Rc<ShadowPolicy>>,
     ) -> Self {
-        let mailboxes = Rc::new(Mailboxes {
-            places: RefCell::default(),
+        let host_state = Rc::new(HostState {
+            mailboxes: RefCell::default(),
             timers: RefCell::default(),
             timer_set: Notify::new(),
             pool,
-            watch,
+            shadow,
         });
-        let module = RefCell::new(Policy::new(clock.now(), settings, seed, HostCalls(mailboxes.clone())));
-        Dispatcher { clock, stall_detector: StallDetector::new(clock), module, mailboxes }
+        let policy = RefCell::new(Policy::new(clock.now(), settings, seed, PolicyHost(host_state.clone())));
+        Dispatcher { clock, stall_detector: StallDetector::new(clock), policy, host_state }
     }
 
-    /// Calls the module, and then the watched one with `watched`. False if the module panicked.
+    /// Calls the policy, and then the shadow policy with `shadow_call`. False if the policy panicked.
     ///
     /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
-    fn module(&self, call: impl FnOnce(&mut Policy<HostCalls>), watched: impl FnOnce(&ShadowPolicy)) -> bool {
-        let done = catch_unwind(AssertUnwindSafe(|| call(&mut self.module.borrow_mut())));
-        if done.is_err() {
-            log_line!("decision module panicked during a call");
+    fn call_policy(
+        &self,
+        call: impl FnOnce(&mut Policy<PolicyHost>),
+        shadow_call: impl FnOnce(&ShadowPolicy),
+    ) -> bool {
+        let result = catch_unwind(AssertUnwindSafe(|| call(&mut self.policy.borrow_mut())));
+        if result.is_err() {
+            log_line!("policy panicked during a call");
         }
-        // After the deciding module, and also if that panicked.
-        self.mailboxes.watch.as_deref().inspect(|watch| watched(watch));
-        done.is_ok()
+        // After the active policy, and also if that panicked.
+        self.host_state.shadow.as_deref().inspect(|shadow| shadow_call(shadow));
+        result.is_ok()
     }
 
-    /// Passes a list, or changes to it, to the module.
+    /// Passes a list, or changes to it, to the policy.
     pub fn apply_list_update(&self, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
-        let (now, copy) = (self.clock.now(), self.mailboxes.watch.as_ref().map(|_| entries.clone()));
-        let watched = |watch: &ShadowPolicy| watch.list(now, kind, copy.unwrap_or_default());
-        self.module(|module| module.on_list_update(now, kind, entries), watched);
+        let (now, copy) = (self.clock.now(), self.host_state.shadow.as_ref().map(|_| entries.clone()));
+        let shadow_call = |shadow: &ShadowPolicy| shadow.on_list_update(now, kind, copy.unwrap_or_default());
+        self.call_policy(|policy| policy.on_list_update(now, kind, entries), shadow_call);
     }
 
     /// Switches to other settings; the list has to be passed again afterwards.
     pub fn apply_settings(&self, settings: Settings) {
         let now = self.clock.now();
-        self.module(|module| module.apply_settings(now, settings), |_| ());
+        self.call_policy(|policy| policy.apply_settings(now, settings), |_| ());
     }
 
     /// Sets the rate, in fetches per second, that the fleet grants this process. Returns how many fetches requests have
     /// needed so far.
     pub fn set_origin_fetch_rate(&self, rate: Option<f64>) -> u64 {
-        let (now, mut wanted) = (self.clock.now(), 0);
-        self.module(|module| wanted = module.set_origin_fetch_rate(now, rate), |_| ());
-        wanted
+        let (now, mut demand) = (self.clock.now(), 0);
+        self.call_policy(|policy| demand = policy.set_origin_fetch_rate(now, rate), |_| ());
+        demand
     }
 
     /// Caches that have stopped answering this process.
     pub fn silent_caches(&self) -> Vec<NodeId> {
-        self.module.borrow().silent_caches()
+        self.policy.borrow().silent_caches()
     }
 
-    /// Other proxies probe this node for the next `time`.
-    pub fn defer_probe(&self, node: &NodeId, time: Micros) {
-        let until = self.clock.now() + time;
-        self.module(|module| module.defer_probe(node, until), |_| ());
+    /// Other proxies probe this node for the next `duration`.
+    pub fn defer_probe(&self, node: &NodeId, duration: Micros) {
+        let until = self.clock.now() + duration;
+        self.call_policy(|policy| policy.defer_probe(node, until), |_| ());
     }
 
     /// After a stall of this process, lets everything that arrived meanwhile be read before anything is sent. Otherwise
-    /// a request decided on before the stall could go to a server that a list, received but not read, says is leaving.
+    /// a request decided on before the stall could go to a node that a list, received but not read, says is leaving.
     pub async fn catch_up_after_stall(&self) {
         if self.stall_detector.queued_since() < self.clock.now() {
-            for _ in 0..SETTLES {
+            for _ in 0..CATCH_UP_TURNS {
                 yield_now().await;
             }
         }
@@ -172,129 +180,153 @@
 
     /// Whether this node is an origin.
     pub fn is_origin(&self, node: &NodeId) -> bool {
-        self.module.borrow().is_origin(node)
+        self.policy.borrow().is_origin(node)
     }
 
-    /// Number of listed caches that the module avoids now.
+    /// Number of listed caches that the policy avoids now.
     pub fn count_avoided_caches(&self) -> usize {
-        self.module.borrow().count_avoided_caches(self.clock.now())
+        self.policy.borrow().count_avoided_caches(self.clock.now())
     }
 
     /// A handle for a request; none while another request with the same id is in flight.
-    pub fn handle(self: &Rc<Self>, id: RequestId) -> Option<RequestHandle> {
-        let place = Rc::new(Place::default());
-        let mut places = self.mailboxes.places.borrow_mut();
-        if places.contains_key(&id) {
+    pub fn open_handle(self: &Rc<Self>, id: RequestId) -> Option<RequestHandle> {
+        let mailbox = Rc::new(Mailbox::default());
+        let mut mailboxes = self.host_state.mailboxes.borrow_mut();
+        if mailboxes.contains_key(&id) {
             return None;
         }
-        places.insert(id.clone(), place.clone());
-        Some(RequestHandle { dispatcher: self.clone(), id, place, attempts: 0, out: None, over: true })
+        mailboxes.insert(id.clone(), mailbox.clone());
+        Some(RequestHandle {
+            dispatcher: self.clone(),
+            id,
+            mailbox,
+            attempt_count: 0,
+            in_flight_node: None,
+            is_finished: true,
+        })
     }
 
-    /// Calls the module at the times it asked for, with a minimum interval between calls. Without it, a module that asks
-    /// at each call for a time in the past would leave our single core no time for requests.
+    /// Calls the policy at the times it asked for, with a minimum interval between calls. Without it, a policy that
+    /// asks at each call for a time in the past would leave our single core no time for requests.
     pub async fn run_timers(&self) {
         let mut not_before = 0;
         loop {
-            let first =
-                self.mailboxes.timers.borrow().first().map_or(self.clock.now() + FAR, |timer| timer.0);
+            let next_at = self
+                .host_state
+                .timers
+                .borrow()
+                .first()
+                .map_or(self.clock.now() + IDLE_SLEEP_US, |timer| timer.0);
             tokio::select! {
-                () = sleep_until(self.clock.instant_at(first.max(not_before))) => {
+                () = sleep_until(self.clock.instant_at(next_at.max(not_before))) => {
                     let now = self.clock.now();
-                    while let Some(label) = self.due(now) {
-                        self.module(|module| module.on_timer(now, label), |watch| watch.timer(now, label));
+                    while let Some(label) = self.pop_due_timer(now) {
+                        self.call_policy(|policy| policy.on_timer(now, label), |shadow| shadow.on_timer(now, label));
                     }
-                    not_before = now + STEP;
+                    not_before = now + TIMER_INTERVAL_US;
                 }
-                () = self.mailboxes.timer_set.notified() => {}
+                () = self.host_state.timer_set.notified() => {}
             }
         }
     }
 
-    fn due(&self, now: Micros) -> Option<u64> {
-        let mut timers = self.mailboxes.timers.borrow_mut();
-        let due = timers.first().is_some_and(|timer| timer.0 <= now);
-        if due { timers.pop_first().map(|timer| timer.1) } else { None }
+    fn pop_due_timer(&self, now: Micros) -> Option<u64> {
+        let mut timers = self.host_state.timers.borrow_mut();
+        let is_due = timers.first().is_some_and(|timer| timer.0 <= now);
+        if is_due { timers.pop_first().map(|timer| timer.1) } else { None }
     }
 }
 
-/// A request's connection to the module. If it is dropped before the request is over, the module is told that the client
-/// is gone and that the attempt in flight, if any, was cancelled.
+/// A request's connection to the policy. If it is dropped before the request is over, it reports to the policy that
+/// the client is gone and that the attempt in flight, if any, was cancelled.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
     id: RequestId,
-    place: Rc<Place>,
-    attempts: usize,
-    out: Option<NodeId>,
-    over: bool,
+    mailbox: Rc<Mailbox>,
+    attempt_count: usize,
+    in_flight_node: Option<NodeId>,
+    is_finished: bool,
 }
 
 impl RequestHandle {
-    /// Passes the request to the module.
-    pub fn arrives(&mut self, arrival: IncomingRequest) {
-        self.over = false;
+    /// Passes the request to the policy.
+    pub fn submit(&mut self, request: IncomingRequest) {
+        self.is_finished = false;
         let now = self.dispatcher.clock.now();
-        let copy = self.dispatcher.mailboxes.watch.as_ref().map(|watch| {
-            watch.expects(&self.id);
-            arrival.clone()
+        let copy = self.dispatcher.host_state.shadow.as_ref().map(|shadow| {
+            shadow.expect_request(&self.id);
+            request.clone()
         });
-        let watched = |watch: &ShadowPolicy| copy.into_iter().for_each(|arrival| watch.arrives(now, arrival));
-        self.or_fail(self.dispatcher.module(|module| module.on_request(now, arrival), watched));
+        let shadow_call =
+            |shadow: &ShadowPolicy| copy.into_iter().for_each(|request| shadow.on_request(now, request));
+        self.fail_unless(self.dispatcher.call_policy(|policy| policy.on_request(now, request), shadow_call));
     }
 
-    /// Fails the request if the module could not decide on it.
-    fn or_fail(&self, decided: bool) {
+    /// Fails the request if the policy could not decide on it.
+    fn fail_unless(&self, decided: bool) {
         if !decided {
-            self.dispatcher.mailboxes.call(&self.id, Step::Fail);
+            self.dispatcher.host_state.post_step(&self.id, Step::Fail);
         }
     }
 
-    /// Waits for the module's next step; none if there is none by the deadline.
-    pub async fn next(&mut self, deadline: Micros) -> Option<Step> {
-        let word = async {
+    /// Waits for the policy's next step; none if there is none by the deadline.
+    pub async fn next_step(&mut self, deadline: Micros) -> Option<Step> {
+        let step = async {
             loop {
-                if let Some(step) = self.place.next.take() {
+                if let Some(step) = self.mailbox.step.take() {
                     return step;
                 }
-                self.place.called.notified().await;
+                self.mailbox.notify.notified().await;
             }
         };
-        let step = timeout_at(self.dispatcher.clock.instant_at(deadline), word).await.ok()?;
-        self.over = !matches!(step, Step::Attempt { .. });
+        let step = timeout_at(self.dispatcher.clock.instant_at(deadline), step).await.ok()?;
+        self.is_finished = !matches!(step, Step::Attempt { .. });
         Some(step)
     }
 
     /// Records that the attempt at this node is in flight.
-    pub fn sends(&mut self, node: &NodeId) {
-        self.out = Some(node.clone());
+    pub fn attempt_started(&mut self, node: &NodeId) {
+        self.in_flight_node = Some(node.clone());
     }
 
-    /// Reports to the module how the attempt in flight has ended, after `wait`.
-    pub fn ended(&mut self, ending: AttemptStatus, wait: Micros, first: bool) {
-        let Some(node) = self.out.take() else { return };
-        self.over |= ending == AttemptStatus::Served;
-        let outcome = AttemptOutcome { attempt_index: self.attempts, status: ending, latency: wait, request_finished: self.over, first_on_connection: first };
-        self.attempts += 1;
+    /// Reports to the policy how the attempt in flight has ended, after `latency`.
+    pub fn attempt_ended(&mut self, status: AttemptStatus, latency: Micros, first_on_connection: bool) {
+        let Some(node) = self.in_flight_node.take() else { return };
+        self.is_finished |= status == AttemptStatus::Served;
+        let outcome = AttemptOutcome {
+            attempt_index: self.attempt_count,
+            status,
+            latency,
+            request_finished: self.is_finished,
+            first_on_connection,
+        };
+        self.attempt_count += 1;
         let (now, id) = (self.dispatcher.clock.now(), &self.id);
-        let watched = |watch: &ShadowPolicy| watch.outcome(now, id, &node, outcome);
-        self.or_fail(self.dispatcher.module(|module| module.on_attempt_outcome(now, id, &node, outcome), watched));
+        let shadow_call = |shadow: &ShadowPolicy| shadow.on_attempt_outcome(now, id, &node, outcome);
+        self.fail_unless(
+            self.dispatcher
+                .call_policy(|policy| policy.on_attempt_outcome(now, id, &node, outcome), shadow_call),
+        );
     }
 }
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
         let (now, id) = (self.dispatcher.clock.now(), self.id.clone());
-        // If the module has chosen an attempt and the step was not taken yet, the module would count that attempt as in
+        // If the policy has chosen an attempt and the step was not taken yet, the policy would count that attempt as in
         // flight for good. So it is reported as cancelled below.
-        if let Some(Step::Attempt { node, .. }) = self.place.next.take() {
-            self.out.get_or_insert(node);
+        if let Some(Step::Attempt { node, .. }) = self.mailbox.step.take() {
+            self.in_flight_node.get_or_insert(node);
         }
-        if !std::mem::replace(&mut self.over, true) {
-            self.dispatcher.module(|module| module.on_request_closed(now, &id), |watch| watch.gone(now, &id));
+        if !std::mem::replace(&mut self.is_finished, true) {
+            self.dispatcher.call_policy(
+                |policy| policy.on_request_closed(now, &id),
+                |shadow| shadow.on_request_closed(now, &id),
+            );
         }
-        self.ended(AttemptStatus::Cancelled, 0, false);
-        self.dispatcher.mailboxes.watch.as_deref().inspect(|watch| watch.over(now, &id));
-        self.dispatcher.mailboxes.places.borrow_mut().remove(&self.id);
+        self.attempt_ended(AttemptStatus::Cancelled, 0, false);
+        self.dispatcher.host_state.shadow.as_deref().inspect(|shadow| shadow.finish_request(now, &id));
+        self.dispatcher.host_state.mailboxes.borrow_mut().remove(&self.id);
     }
 }
 
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -1,18 +1,18 @@
 //! The client-facing service: readiness check, or else decode, serve and encode.
 
-use crate::clients::answer::Answer;
 use crate::clients::body::BufferBudget;
+use crate::clients::client_socket::ClientSocket;
 use crate::clients::decode::ClientRequest;
 use crate::clients::framing::Framing;
-use crate::clients::client_socket::ClientSocket;
+use crate::clients::response::ClientResponse;
 use crate::fleet::lease::ListLease;
+use crate::management::metrics::Metrics;
 use crate::nodes::attempt::AttemptService;
 use crate::nodes::response_body::ResponseBody;
 use crate::process::reloadable::Reloadable;
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::request;
-use crate::management::metrics::Metrics;
 use flintwell_settings::Network;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
@@ -39,24 +39,24 @@
 }
 
 impl ClientService {
-    async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Answer {
+    async fn respond(&self, request: Request<Incoming>, framing: Framing) -> ClientResponse {
         if request.uri().path() == "/health/ready" {
             // Before any list is in force requests would be refused here, although another proxy could serve them.
-            return Answer::Ready(self.lease.is_ready() && !self.shutdown.has_begun());
+            return ClientResponse::Readiness(self.lease.is_ready() && !self.shutdown.has_begun());
         }
         let client = self.client.clone();
         match ClientRequest::decode(request, framing, &self.network.get(), &self.budget, client).await {
             // The request arrived slowly, or while its connection was being closed. The successor has more time left
             // to answer a retry than this process has.
             Ok(request) if self.shutdown.has_successor() => {
-                let answer = Answer::Refused { stay_away: 0 };
-                answer.end().inspect(|&end| self.counts.record_outcome(request.class, end));
-                answer
+                let response = ClientResponse::Refused { retry_after: 0 };
+                response.outcome().inspect(|&outcome| self.counts.record_outcome(request.class, outcome));
+                response
             }
             Ok(request) => {
                 request::serve(request, &self.dispatcher, &self.lease, &self.attempts, &self.counts).await
             }
-            Err(malformed) => Answer::Malformed(malformed),
+            Err(reason) => ClientResponse::Malformed(reason),
         }
     }
 }
@@ -71,15 +71,15 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
-        let front = self.clone();
+        let service = self.clone();
         Box::pin(async move {
-            let framing = request.extensions().get().copied().unwrap_or(Framing::Doubtful);
+            let framing = request.extensions().get().copied().unwrap_or(Framing::Ambiguous);
             // A panic is contained: its request fails, the others go on.
-            let answered = AssertUnwindSafe(front.answer(request, framing)).catch_unwind().await;
-            let answer = answered.unwrap_or(Answer::Failed);
+            let result = AssertUnwindSafe(service.respond(request, framing)).catch_unwind().await;
+            let response = result.unwrap_or(ClientResponse::Failed);
             // Messages after a chunked body cannot be told apart in the raw bytes, so their framing could not be
             // checked. The connection is closed instead.
-            Ok(answer.encode(front.shutdown.has_begun() || framing == Framing::Coded))
+            Ok(response.encode(service.shutdown.has_begun() || framing == Framing::TransferEncoded))
         })
     }
 }
