--- a/crates/flintwell-conduct/src/homes.rs
+++ b/crates/flintwell-conduct/src/homes.rs
@@ -1,7 +1,8 @@
 //! Which cache a key goes to first, under settings: asked of the decision module itself.
 
 use flintwell_core::interface::{
-    IncomingRequest, AttemptStatus, Host, Key, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
+    AttemptOutcome, AttemptStatus, Host, IncomingRequest, Key, ListUpdateKind, Micros, NodeId, RequestId,
+    Settings,
 };
 use flintwell_core::policy::Policy;
 use flintwell_settings::listing::Listing;
@@ -47,13 +48,25 @@
         first.replace(None);
         let id = RequestId::from(format!("a{n}"));
         let (key, deadline) = (Some(Key::from(format!("k{n}"))), now + 1_000_000);
-        let arrival =
-            IncomingRequest { id: id.clone(), class: case, tenant: 0, key, deadline, expected_work: None, is_write: false };
+        let arrival = IncomingRequest {
+            id: id.clone(),
+            class: case,
+            tenant: 0,
+            key,
+            deadline,
+            expected_work: None,
+            is_write: false,
+        };
         policy.on_request(now, arrival);
         let node = first.borrow().clone();
         if let Some(node) = &node {
-            let outcome =
-                AttemptOutcome { attempt_index: 0, status: AttemptStatus::Served, latency: 1_000, request_finished: true, first_on_connection: false };
+            let outcome = AttemptOutcome {
+                attempt_index: 0,
+                status: AttemptStatus::Served,
+                latency: 1_000,
+                request_finished: true,
+                first_on_connection: false,
+            };
             policy.on_attempt_outcome(now + 1_000, &id, node, outcome);
         }
         node
@@ -65,8 +78,10 @@
 pub fn moved(old: &Value, new: &Value, listing: &Listing) -> Result<f64, String> {
     let of = |settings: &Value| -> Result<_, String> {
         let decoded = decode(settings)?;
-        let case =
-            decoded.classes.iter().position(|case| case.idempotency == flintwell_core::interface::Idempotency::Safe);
+        let case = decoded
+            .classes
+            .iter()
+            .position(|case| case.idempotency == flintwell_core::interface::Idempotency::Safe);
         Ok(homes(decoded, case.unwrap_or(0), listing, &decode_network(settings)?))
     };
     let (old, new) = (of(old)?, of(new)?);
--- a/crates/flintwell-settings/src/lib.rs
+++ b/crates/flintwell-settings/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod listing;
 
-use flintwell_core::interface::{Class, Idempotency, DedupScope, Micros, Settings, WeightMode};
+use flintwell_core::interface::{Class, DedupScope, Idempotency, Micros, Settings, WeightMode};
 use serde_json::Value;
 
 const LONGEST: Micros = 3_000_000; // us; where no class gives a deadline
--- a/crates/flintwell-settings/src/listing.rs
+++ b/crates/flintwell-settings/src/listing.rs
@@ -1,7 +1,7 @@
 //! The list of nodes as discovery tells it.
 
 use crate::Network;
-use flintwell_core::interface::{NodeEntry, Micros, NodeId, NodeState};
+use flintwell_core::interface::{Micros, NodeEntry, NodeId, NodeState};
 use serde::{Deserialize, Serialize};
 
 /// One entry as it stands on the wire.
