--- a/crates/flintwell-conduct/src/homes.rs
+++ b/crates/flintwell-conduct/src/homes.rs
@@ -1,10 +1,11 @@
 //! Which cache a key goes to first, under settings: asked of the decision module itself.
 
 use flintwell_core::interface::{
-    IncomingRequest, AttemptStatus, Host, Key, ListUpdateKind, Micros, NodeId, AttemptOutcome, RequestId, Settings,
+    AttemptOutcome, AttemptStatus, Host, IncomingRequest, Key, ListUpdateKind, Micros, NodeId, RequestId,
+    Settings,
 };
 use flintwell_core::policy::Policy;
-use flintwell_settings::listing::Listing;
+use flintwell_settings::node_list::NodeList;
 use flintwell_settings::{decode, decode_network};
 use serde_json::Value;
 use std::cell::RefCell;
@@ -30,16 +31,16 @@
 fn homes(
     settings: Settings,
     case: usize,
-    listing: &Listing,
-    network: &flintwell_settings::Network,
+    listing: &NodeList,
+    network: &flintwell_settings::NetworkSettings,
 ) -> Vec<Option<NodeId>> {
     let first = Rc::new(RefCell::new(None));
     let mut now = LONG_AGO;
     let mut policy = Policy::new(now, settings, 1, First(first.clone()));
-    let entries = listing.servers.iter().map(|line| flintwell_core::interface::NodeEntry {
+    let entries = listing.nodes.iter().map(|line| flintwell_core::interface::NodeEntry {
         // Where keys belong, not what is cold today.
         started_at: 0,
-        ..line.entry(network)
+        ..line.to_node_entry(network)
     });
     policy.on_list_update(now, ListUpdateKind::Snapshot, entries.collect());
     let home = |n: usize| {
@@ -47,13 +48,25 @@
         first.replace(None);
         let id = RequestId::from(format!("a{n}"));
         let (key, deadline) = (Some(Key::from(format!("k{n}"))), now + 1_000_000);
-        let arrival =
-            IncomingRequest { id: id.clone(), class: case, tenant: 0, key, deadline, expected_work: None, is_write: false };
+        let arrival = IncomingRequest {
+            id: id.clone(),
+            class: case,
+            tenant: 0,
+            key,
+            deadline,
+            expected_work: None,
+            is_write: false,
+        };
         policy.on_request(now, arrival);
         let node = first.borrow().clone();
         if let Some(node) = &node {
-            let outcome =
-                AttemptOutcome { attempt_index: 0, status: AttemptStatus::Served, latency: 1_000, request_finished: true, first_on_connection: false };
+            let outcome = AttemptOutcome {
+                attempt_index: 0,
+                status: AttemptStatus::Served,
+                latency: 1_000,
+                request_finished: true,
+                first_on_connection: false,
+            };
             policy.on_attempt_outcome(now + 1_000, &id, node, outcome);
         }
         node
@@ -62,11 +75,13 @@
 }
 
 /// The share of keys that go to another cache first.
-pub fn moved(old: &Value, new: &Value, listing: &Listing) -> Result<f64, String> {
+pub fn moved(old: &Value, new: &Value, listing: &NodeList) -> Result<f64, String> {
     let of = |settings: &Value| -> Result<_, String> {
         let decoded = decode(settings)?;
-        let case =
-            decoded.classes.iter().position(|case| case.idempotency == flintwell_core::interface::Idempotency::Safe);
+        let case = decoded
+            .classes
+            .iter()
+            .position(|case| case.idempotency == flintwell_core::interface::Idempotency::Safe);
         Ok(homes(decoded, case.unwrap_or(0), listing, &decode_network(settings)?))
     };
     let (old, new) = (of(old)?, of(new)?);
--- a/crates/flintwell-conduct/src/line.rs
+++ b/crates/flintwell-conduct/src/line.rs
@@ -46,7 +46,8 @@
     what: &str,
     body: Bytes,
 ) -> Result<T, Failed> {
-    let called = flintwell_call::send_request(at, method, &format!("/api/rollout/{what}"), body, WITHIN).await;
+    let called =
+        flintwell_call::send_request(at, method, &format!("/api/rollout/{what}"), body, WITHIN).await;
     let (status, text) = called.map_err(Failed::Unheard)?;
     if !status.is_success() {
         let told: Option<serde_json::Value> = serde_json::from_slice(&text).ok();
--- a/crates/flintwell-conduct/src/run.rs
+++ b/crates/flintwell-conduct/src/run.rs
@@ -8,8 +8,8 @@
 use flintwell_rollout::judge::Verdict;
 use flintwell_rollout::plan::Plan;
 use flintwell_rollout::wire::{Figures, Named, PROTOCOL, Stage, Status, hash};
-use flintwell_settings::listing::Listing;
-use flintwell_settings::{check_change, laid_over};
+use flintwell_settings::node_list::NodeList;
+use flintwell_settings::{check_change, merge_settings};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -79,7 +79,7 @@
                 if status.unconfirmed {
                     wrong.push(format!("{name}: epoch {} is in force and not confirmed", status.epoch));
                 }
-                let changed = laid_over(settings.clone(), over.clone());
+                let changed = merge_settings(settings.clone(), over.clone());
                 // A supervisor checks a program itself: it lies on its own machine.
                 if let (false, Err(why)) = (plan.programs, check_change(&settings, &changed)) {
                     wrong.push(format!("{name}: {why}"));
@@ -131,7 +131,7 @@
         println!("nothing was changed; `flintwell rollout start {}` begins", file.display());
         return Ok(0);
     }
-    let lists: Vec<Result<Listing, Failed>> =
+    let lists: Vec<Result<NodeList, Failed>> =
         all(&plan.members, |at| async move { ask(at, "nodes").await }).await;
     let mut shares = Vec::new();
     for ((old, new), list) in prepared.old.iter().zip(&prepared.new).zip(lists) {
--- a/crates/flintwell-core/src/state.rs
+++ b/crates/flintwell-core/src/state.rs
@@ -1,7 +1,8 @@
 //! State of the policy: requests, nodes, estimates and the slot table. Decisions are made in `policy`.
 
 use crate::interface::{
-    IncomingRequest, Class, AttemptStatus, NodeEntry, DedupScope, Key, Micros, NodeId, RequestId, Settings, NodeState,
+    AttemptStatus, Class, DedupScope, IncomingRequest, Key, Micros, NodeEntry, NodeId, NodeState, RequestId,
+    Settings,
 };
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/flintwell-rig/src/fleet.rs
+++ b/crates/flintwell-rig/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::datagrams::{Box as PostBox, Post};
 use crate::process::Process;
 use crate::relay::{Relay, Way};
-use flintwell_settings::laid_over;
+use flintwell_settings::merge_settings;
 use flintwell_standins::clients::{Book, Case, Clients, Load};
 use flintwell_standins::discovery::View;
 use flintwell_standins::nodes::ORIGIN;
@@ -188,7 +188,7 @@
         "guarantees": {"ask_within": 10.0, "stop_sending_within": GRACE / 1e3, "start_capacity": shape.caches.cold_share,
             "ramp_time": shape.caches.ramp_s, "fall": FALL},
         "use_cases": [case("read", "safe"), case("write", "keyed"), case("once", "unsafe")]});
-    laid_over(own, shape.settings.clone())
+    merge_settings(own, shape.settings.clone())
 }
 
 impl Fleet {
--- a/crates/flintwell-settings/src/lib.rs
+++ b/crates/flintwell-settings/src/lib.rs
@@ -1,13 +1,13 @@
 //! Decodes an instance's settings, for the module and for the hosts round it; what is not read is skipped.
 
-pub mod listing;
+pub mod node_list;
 
-use flintwell_core::interface::{Class, Idempotency, DedupScope, Micros, Settings, WeightMode};
+use flintwell_core::interface::{Class, DedupScope, Idempotency, Micros, Settings, WeightMode};
 use serde_json::Value;
 
 const LONGEST: Micros = 3_000_000; // us; where no class gives a deadline
 
-pub fn micros(seconds: f64) -> Micros {
+pub fn seconds_to_micros(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
@@ -40,7 +40,7 @@
 }
 
 fn class(value: &Value, conf: &Value) -> Result<Class, String> {
-    let span = |name: &str| number(value, name).map(micros);
+    let span = |name: &str| number(value, name).map(seconds_to_micros);
     let need = |name: &str| span(name).ok_or_else(|| format!("settings: use_cases needs {}", &name[1..]));
     Ok(Class {
         // An effect or a group that is not known is taken for the strictest.
@@ -193,12 +193,12 @@
 }
 
 /// The settings with what `over` holds laid over them, objects key by key.
-pub fn laid_over(settings: Value, over: Value) -> Value {
+pub fn merge_settings(settings: Value, over: Value) -> Value {
     match (settings, over) {
         (Value::Object(mut settings), Value::Object(over)) => {
             for (key, value) in over {
                 let under = settings.remove(&key).unwrap_or(Value::Null);
-                settings.insert(key, laid_over(under, value));
+                settings.insert(key, merge_settings(under, value));
             }
             Value::Object(settings)
         }
@@ -207,7 +207,7 @@
 }
 
 pub fn decode(conf: &Value) -> Result<Settings, String> {
-    let span = |path: &str| number(conf, path).map_or(0, micros);
+    let span = |path: &str| number(conf, path).map_or(0, seconds_to_micros);
     Ok(Settings {
         classes: list(conf, "/use_cases").iter().map(|case| class(case, conf)).collect::<Result<_, _>>()?,
         quotas: list(conf, "/realms").iter().map(|r| number(r, "/quota_rps").unwrap_or(f64::MAX)).collect(),
@@ -221,7 +221,8 @@
         max_attempts: number(conf, "/limits/max_hand_offs").unwrap_or(1.0) as usize,
         max_retry_after: if flag(conf, "/limits/retry_after") { span("/limits/max_retry_after") } else { 0 },
         list_on_request: text(conf, "/discovery") == Some("on_request"),
-        max_list_refresh_interval: number(conf, "/guarantees/ask_within").map_or(10_000_000, micros),
+        max_list_refresh_interval: number(conf, "/guarantees/ask_within")
+            .map_or(10_000_000, seconds_to_micros),
         weight_mode: match text(conf, "/weights") {
             Some("nominal" | "rough") => WeightMode::Declared,
             Some("live") => WeightMode::Live,
@@ -245,45 +246,45 @@
 /// What a proxy on sockets needs beside the module: names as they stand in headers and lists, and the
 /// figures of connections.
 #[derive(Clone, Debug)]
-pub struct Network {
+pub struct NetworkSettings {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// A connection that is not up by then counts as failed.
-    pub dial_within: Micros,
+    pub dial_timeout: Micros,
     /// A cache node closes a connection that has been idle for this long.
-    pub idle_most: Micros,
+    pub idle_timeout: Micros,
     /// From when a drain counts as told until nothing new may go there.
     pub drain_grace: Micros,
     /// The longest time in which a client waits for one answer.
-    pub longest: Micros,
+    pub max_deadline: Micros,
 }
 
-pub fn decode_network(conf: &Value) -> Result<Network, String> {
+pub fn decode_network(conf: &Value) -> Result<NetworkSettings, String> {
     let names = |path: &str, name: &str| -> Vec<String> {
         list(conf, path).iter().map(|entry| text(entry, name).unwrap_or_default().to_owned()).collect()
     };
     let need = |path: &str| {
-        let span = number(conf, path).filter(|&span| span > 0.0).map(micros);
+        let span = number(conf, path).filter(|&span| span > 0.0).map(seconds_to_micros);
         span.ok_or_else(|| format!("settings: {} is missing or not above 0", &path[1..].replace('/', ".")))
     };
     let classes = names("/use_cases", "/name");
     if classes.is_empty() || classes.iter().any(String::is_empty) {
         return Err("settings: use_cases is empty, or one has no name".into());
     }
-    Ok(Network {
+    Ok(NetworkSettings {
         classes,
         tenants: names("/realms", "/name"),
         zones: names("/zones", ""),
         kinds: names("/flavors", ""),
-        dial_within: need("/limits/dial_timeout")?,
-        idle_most: need("/limits/keepalive")?,
-        drain_grace: number(conf, "/guarantees/stop_sending_within").map_or(0, micros),
-        longest: list(conf, "/use_cases")
+        dial_timeout: need("/limits/dial_timeout")?,
+        idle_timeout: need("/limits/keepalive")?,
+        drain_grace: number(conf, "/guarantees/stop_sending_within").map_or(0, seconds_to_micros),
+        max_deadline: list(conf, "/use_cases")
             .iter()
             .filter_map(|case| number(case, "/outer_limit"))
-            .map(micros)
+            .map(seconds_to_micros)
             .max()
             .unwrap_or(LONGEST),
     })
--- a/crates/flintwell-settings/src/listing.rs
+++ b/crates/flintwell-settings/src/node_list.rs
@@ -1,12 +1,12 @@
 //! The list of nodes as discovery tells it.
 
-use crate::Network;
-use flintwell_core::interface::{NodeEntry, Micros, NodeId, NodeState};
+use crate::NetworkSettings;
+use flintwell_core::interface::{Micros, NodeEntry, NodeId, NodeState};
 use serde::{Deserialize, Serialize};
 
 /// One entry as it stands on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Line {
+pub struct ListedNode {
     pub id: String,
     pub addr: String,
     #[serde(default)]
@@ -29,23 +29,24 @@
 
 /// A list, or the changes of one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Listing {
+pub struct NodeList {
     pub version: u64,
     pub full: bool,
-    pub servers: Vec<Line>,
+    #[serde(rename = "servers")]
+    pub nodes: Vec<ListedNode>,
 }
 
-impl Listing {
+impl NodeList {
     pub fn len(&self) -> usize {
-        self.servers.len()
+        self.nodes.len()
     }
     pub fn is_empty(&self) -> bool {
-        self.servers.is_empty()
+        self.nodes.is_empty()
     }
 }
 
-impl Line {
-    pub fn entry(&self, network: &Network) -> NodeEntry {
+impl ListedNode {
+    pub fn to_node_entry(&self, network: &NetworkSettings) -> NodeEntry {
         let place = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u32::MAX, |place| place as u32)
         };
--- a/crates/flintwell-settings/src/tests.rs
+++ b/crates/flintwell-settings/src/tests.rs
@@ -15,7 +15,7 @@
 fn what_a_running_proxy_is_built_on_cannot_change_and_names_keep_their_places() {
     let old = json!({"zones": ["a"], "specifics": {"mode": "aside"}, "use_cases": [{"name": "r", "goal_time": 1}],
         "limits": {"dial_timeout": 0.2, "keepalive": 5.0, "max_hand_offs": 4}});
-    let changed = |over: Value| check_change(&old, &laid_over(old.clone(), over));
+    let changed = |over: Value| check_change(&old, &merge_settings(old.clone(), over));
     let more = json!([{"name": "r", "goal_time": 2}, {"name": "w", "goal_time": 1}]);
     assert_eq!(
         changed(json!({"zones": ["a", "b"], "limits": {"max_hand_offs": 2}, "use_cases": more})),
@@ -57,7 +57,7 @@
         (json!({"use_cases": [{"goal_time": "soon"}]}), "use_cases.0.goal_time"),
         (json!({"realms": [{"quota_rps": null}, {"quota_rps": []}]}), "realms.1.quota_rps"),
     ] {
-        let wrong = check(&laid_over(well.clone(), over)).expect_err("one line");
+        let wrong = check(&merge_settings(well.clone(), over)).expect_err("one line");
         assert!(wrong.contains(key) && !wrong.contains('\n'), "{wrong}");
     }
 }
--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -6,7 +6,7 @@
     NodeState, RequestId,
 };
 use flintwell_core::policy::Policy;
-use flintwell_settings::{decode, micros};
+use flintwell_settings::{decode, seconds_to_micros};
 use serde::Deserialize;
 use serde::de::{DeserializeSeed, Error, IgnoredAny, SeqAccess, Visitor};
 use serde_json::Value;
@@ -167,7 +167,7 @@
             reply.extend_from_slice(b"{\"actions\":[");
         }
         let mut events = serde_json::Deserializer::from_str(batch.events.get());
-        EventsVisitor { instances: self, now: micros(batch.clock) }.deserialize(&mut events)?;
+        EventsVisitor { instances: self, now: seconds_to_micros(batch.clock) }.deserialize(&mut events)?;
         self.reply.borrow_mut().extend_from_slice(b"]}\n");
         Ok(self.reply.borrow())
     }
@@ -232,7 +232,7 @@
         Ok(self.required::<Text>(field)?.0.into())
     }
     fn time(&mut self, field: &str) -> Result<Micros, A::Error> {
-        Ok(micros(self.required(field)?))
+        Ok(seconds_to_micros(self.required(field)?))
     }
 }
 
@@ -274,7 +274,7 @@
                     tenant: fields.optional("org")?.unwrap_or(0),
                     key: fields.optional::<Text>("item")?.map(|t| Key::from(t.0)),
                     deadline: fields.time("deadline")?,
-                    expected_work: fields.optional("cost_guess")?.map(micros),
+                    expected_work: fields.optional("cost_guess")?.map(seconds_to_micros),
                     is_write: {
                         fields.optional::<IgnoredAny>("size")?;
                         fields.optional::<u64>("marks")?.unwrap_or(0) & WRITE_FLAG != 0
@@ -358,7 +358,7 @@
                 _ => NodeState::Draining,
             },
             weight: self.5.unwrap_or(1.0),
-            started_at: self.6.map_or(0, micros),
+            started_at: self.6.map_or(0, seconds_to_micros),
         }
     }
 }
--- a/crates/flintwell-state/src/lib.rs
+++ b/crates/flintwell-state/src/lib.rs
@@ -10,16 +10,16 @@
 
 const RECORD: &str = "settings-in-force"; // the file's name
 
-pub struct Disk {
+pub struct RecordStore {
     folder: PathBuf,
 }
 
-impl Disk {
+impl RecordStore {
     /// Below this folder, which is made where it is not there.
     pub fn open(state: &Path) -> Result<Self, String> {
         let opened = fs::create_dir_all(state);
         opened.map_err(|error| format!("state {}: {error}", state.display()))?;
-        Ok(Disk { folder: state.into() })
+        Ok(RecordStore { folder: state.into() })
     }
 
     /// What was in force last; none at first. What is not whole is no record, and why.
--- a/crates/flintwell-state/src/tests.rs
+++ b/crates/flintwell-state/src/tests.rs
@@ -6,7 +6,7 @@
 fn a_record_is_found_as_written_and_one_that_is_cut_or_changed_is_left_out() {
     let folder = tempfile::tempdir().expect("a folder");
     let state = folder.path().join("state");
-    let disk = Disk::open(&state).expect("a folder");
+    let disk = RecordStore::open(&state).expect("a folder");
     assert_eq!(disk.read(), Ok(None));
     let record = Member::start("f", None, &json!({"a": 1.5})).record().clone();
     disk.write(&record).expect("written");
--- a/crates/flintwell-supervise/src/keeper.rs
+++ b/crates/flintwell-supervise/src/keeper.rs
@@ -4,7 +4,7 @@
 use crate::speech::{Call, ask, hear};
 use flintwell_rollout::member::{Member, Refusal, Step, Version};
 use flintwell_rollout::wire::{Figures, Named, Stage, Status};
-use flintwell_state::Disk;
+use flintwell_state::RecordStore;
 use hyper::{Method, StatusCode};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -49,7 +49,7 @@
 struct Keeper {
     settings: Settings,
     socket: OwnedFd,
-    disk: Disk,
+    disk: RecordStore,
     member: Member,
     began: Instant,
     runs: Option<Run>,
@@ -359,7 +359,7 @@
     let socket = bound.map_err(|error| format!("listen {}: {error}", settings.listen))?;
     let control = TcpListener::bind(settings.control).await;
     let control = control.map_err(|error| format!("control {}: {error}", settings.control))?;
-    let disk = Disk::open(&settings.state)?;
+    let disk = RecordStore::open(&settings.state)?;
     let first = json!({"program": settings.program});
     check(&first, &first)?;
     let member = Member::start(&settings.fleet, disk.read().map_err(|why| say(&why)).ok().flatten(), &first);
--- a/crates/flintwell-supervise/src/speech.rs
+++ b/crates/flintwell-supervise/src/speech.rs
@@ -66,6 +66,7 @@
 
 /// What the process says to a GET, if it says yes.
 pub async fn ask(at: SocketAddr, path: &str) -> Option<Bytes> {
-    let (status, text) = flintwell_call::send_request(at, Method::GET, path, Bytes::new(), ASKED).await.ok()?;
+    let (status, text) =
+        flintwell_call::send_request(at, Method::GET, path, Bytes::new(), ASKED).await.ok()?;
     status.is_success().then_some(text)
 }
--- a/crates/flintwell/src/clients/decode.rs
+++ b/crates/flintwell/src/clients/decode.rs
@@ -5,7 +5,7 @@
 use crate::clients::framing::Framing;
 use crate::clients::malformed::Malformed;
 use flintwell_core::interface::{IncomingRequest, Key, Micros, RequestId};
-use flintwell_settings::Network;
+use flintwell_settings::NetworkSettings;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::http::request::Parts;
@@ -42,7 +42,7 @@
     pub async fn decode(
         request: Request<Incoming>,
         framing: Framing,
-        network: &Network,
+        network: &NetworkSettings,
         budget: &Rc<BufferBudget>,
         client: ClientSocket,
     ) -> Result<Self, Malformed> {
@@ -59,7 +59,7 @@
     fn from_parts(
         head: Parts,
         body: ReceivedBody,
-        network: &Network,
+        network: &NetworkSettings,
         client: ClientSocket,
     ) -> Result<Self, Malformed> {
         let Parts { method, uri: path, headers, .. } = head;
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -11,7 +11,7 @@
 use crate::requests::dispatcher::Dispatcher;
 use flintwell_core::interface::{ListUpdateKind, Micros};
 use flintwell_list_watch::Watch;
-use flintwell_settings::listing::Listing;
+use flintwell_settings::node_list::NodeList;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
@@ -80,7 +80,7 @@
     }
 
     /// Publishes the list that is known at startup.
-    pub fn load_initial(&mut self, known: &Listing) {
+    pub fn load_initial(&mut self, known: &NodeList) {
         self.publish(known, ListUpdateKind::Restored);
     }
 
@@ -262,7 +262,7 @@
         self.status.on_lease_change(lease);
     }
 
-    fn publish(&mut self, listing: &Listing, kind: ListUpdateKind) {
+    fn publish(&mut self, listing: &NodeList, kind: ListUpdateKind) {
         self.version = Some(listing.version);
         self.registry.update(listing, kind);
     }
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -7,7 +7,7 @@
 use crate::process::clock::Clock;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::Failure;
-use flintwell_settings::listing::Listing;
+use flintwell_settings::node_list::NodeList;
 use futures_util::future::select_all;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, StatusCode};
@@ -60,7 +60,7 @@
 
 /// A response with the connection on which it was received.
 pub struct Answer {
-    pub listing: Listing,
+    pub listing: NodeList,
     pub connection: Connection,
     /// When its first byte was read.
     pub first_byte_at: Micros,
@@ -179,7 +179,7 @@
     connection: &mut Connection,
     since: Option<u64>,
     wait: Micros,
-) -> Result<Listing, CallError> {
+) -> Result<NodeList, CallError> {
     let progress = Progress::default();
     let invalid = |why| CallError {
         failure: Failure::Broken,
--- a/crates/flintwell/src/fleet/list_status.rs
+++ b/crates/flintwell/src/fleet/list_status.rs
@@ -5,7 +5,7 @@
 use crate::log_line;
 use flintwell_core::interface::Micros;
 use flintwell_list_watch::{Basis, Lease};
-use flintwell_settings::listing::Listing;
+use flintwell_settings::node_list::NodeList;
 use serde::Serialize;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -54,7 +54,7 @@
 
 impl ListStatus {
     /// Status of a process that starts with this list; logs the list.
-    pub fn new(lease: Rc<ListLease>, now: Micros, source: ListSource, list: &Listing) -> Rc<Self> {
+    pub fn new(lease: Rc<ListLease>, now: Micros, source: ListSource, list: &NodeList) -> Rc<Self> {
         let (version, nodes) = (list.version, list.len());
         let age = lease.age().map_or("age unknown".to_owned(), |age| format!("{:.3} s old", seconds(age)));
         log_line!("starting with node list {version}: {nodes} nodes, source {source:?}, {age}");
--- a/crates/flintwell/src/fleet/list_store.rs
+++ b/crates/flintwell/src/fleet/list_store.rs
@@ -5,7 +5,7 @@
 use crate::log_line;
 use crate::process::store::Store;
 use flintwell_core::interface::Micros;
-use flintwell_settings::listing::{Line, Listing};
+use flintwell_settings::node_list::{ListedNode, NodeList};
 use std::cell::Cell;
 use std::io;
 
@@ -14,7 +14,7 @@
 
 /// The list that an earlier process stored.
 pub struct StoredList {
-    pub listing: Listing,
+    pub listing: NodeList,
     /// How long ago discovery confirmed it; none if unknown.
     pub age: Option<Micros>,
 }
@@ -48,7 +48,7 @@
 
     /// Reads the list that an earlier process of this proxy stored.
     pub fn load(&self) -> Option<StoredList> {
-        let read = serde_json::from_slice::<Listing>(&self.store.read(LIST_FILE)?);
+        let read = serde_json::from_slice::<NodeList>(&self.store.read(LIST_FILE)?);
         let read = read.map_err(|error| log_line!("cannot decode the stored node list: {error}"));
         let listing = read.ok().filter(|listing| listing.full)?;
         let confirmation = self.store.read(CONFIRMATION_FILE);
@@ -66,7 +66,7 @@
 
     /// Writes what has changed. Danger: after a moment with a full disk, the stored list would lack its last
     /// changes; so a failed write is repeated until it succeeds.
-    pub fn write(&self, lines: impl FnOnce() -> Vec<Line>, lease: &ListLease) {
+    pub fn write(&self, lines: impl FnOnce() -> Vec<ListedNode>, lease: &ListLease) {
         let written = self.write_list(lines).and_then(|()| self.write_confirmation(lease));
         let is_failing = written.is_err();
         if self.is_failing.replace(is_failing) == is_failing {
@@ -78,9 +78,9 @@
         }
     }
 
-    fn write_list(&self, lines: impl FnOnce() -> Vec<Line>) -> io::Result<()> {
+    fn write_list(&self, lines: impl FnOnce() -> Vec<ListedNode>) -> io::Result<()> {
         let Some(version) = self.version.get().filter(|_| self.is_dirty.get()) else { return Ok(()) };
-        let text = serde_json::to_vec(&Listing { version, full: true, servers: lines() })?;
+        let text = serde_json::to_vec(&NodeList { version, full: true, nodes: lines() })?;
         self.store.write(LIST_FILE, &text)?;
         self.is_dirty.set(false);
         Ok(())
--- a/crates/flintwell/src/fleet/list_store/tests.rs
+++ b/crates/flintwell/src/fleet/list_store/tests.rs
@@ -3,7 +3,7 @@
 use flintwell_list_watch::{Basis, Lease};
 use std::path::Path;
 
-fn line(id: &str) -> Line {
+fn line(id: &str) -> ListedNode {
     serde_json::from_value(serde_json::json!({"id": id, "addr": "127.0.0.1:1"})).expect("a line")
 }
 
@@ -26,7 +26,7 @@
     store.mark_changed(3);
     store.write(|| vec![line("a")], &lease_confirmed_ago(2_000_000));
     let stored = store_in(folder.path()).load().expect("a list");
-    assert_eq!((stored.listing.version, stored.listing.servers[0].id.as_str()), (3, "a"));
+    assert_eq!((stored.listing.version, stored.listing.nodes[0].id.as_str()), (3, "a"));
     let age = stored.age.expect("an age");
     assert!((2_000_000..4_000_000).contains(&age), "{age} us");
     // A process killed between the two writes leaves a new list with the confirmation of the old one.
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -3,7 +3,7 @@
 
 use crate::log_line;
 use crate::process::store::{Store, escape_file_name};
-use flintwell_settings::listing::Line;
+use flintwell_settings::node_list::ListedNode;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -62,7 +62,7 @@
     }
 
     /// Applies the override of a node to its list entry.
-    pub fn apply(&self, line: &mut Line) {
+    pub fn apply(&self, line: &mut ListedNode) {
         match self.nodes.borrow().get(&line.id) {
             // Danger: a node under maintenance that is listed as ready would receive requests.
             Some(Override { included_ms: None, .. }) if line.state == "ready" => {
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -11,8 +11,8 @@
 use crate::requests::dispatcher::Dispatcher;
 use flintwell_core::interface::{ListUpdateKind, Micros, NodeId, NodeState};
 use flintwell_list_watch::NodeStarts;
-use flintwell_settings::Network;
-use flintwell_settings::listing::{Line, Listing};
+use flintwell_settings::NetworkSettings;
+use flintwell_settings::node_list::{ListedNode, NodeList};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -23,12 +23,12 @@
 
 /// The current node list, and the overrides that apply to it.
 pub struct Registry {
-    network: Rc<Reloadable<Network>>,
+    network: Rc<Reloadable<NetworkSettings>>,
     origin_kind: Option<u32>,
     pool: Rc<Pool>,
     dispatcher: Rc<Dispatcher>,
     store: Store,
-    lines: RefCell<BTreeMap<String, Line>>,
+    lines: RefCell<BTreeMap<String, ListedNode>>,
     starts: RefCell<NodeStarts>,
     /// When the previous list was last confirmed.
     confirmed_at: Cell<Option<Micros>>,
@@ -41,7 +41,7 @@
 
 impl Registry {
     pub fn new(
-        network: Rc<Reloadable<Network>>,
+        network: Rc<Reloadable<NetworkSettings>>,
         origin_kind: Option<u32>,
         pool: Rc<Pool>,
         dispatcher: Rc<Dispatcher>,
@@ -69,13 +69,13 @@
     }
 
     /// Applies a list, or changes to it, and publishes them.
-    pub fn update(&self, listing: &Listing, kind: ListUpdateKind) {
+    pub fn update(&self, listing: &NodeList, kind: ListUpdateKind) {
         {
             let mut lines = self.lines.borrow_mut();
             if kind != ListUpdateKind::Delta {
                 lines.clear();
             }
-            for line in &listing.servers {
+            for line in &listing.nodes {
                 match &*line.state {
                     "gone" => drop(lines.remove(&line.id)),
                     _ => drop(lines.insert(line.id.clone(), line.clone())),
@@ -94,14 +94,14 @@
             log_line!("node list is up to date again; sending requests");
             self.publish_all(&[]);
         }
-        self.publish(&listing.servers, kind);
+        self.publish(&listing.nodes, kind);
     }
 
-    fn record_starts(&self, listing: &Listing, kind: ListUpdateKind) {
+    fn record_starts(&self, listing: &NodeList, kind: ListUpdateKind) {
         // The list at process start has no earlier list: its confirmation precedes its publication.
         let since = if kind == ListUpdateKind::Restored { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
-        for line in &listing.servers {
+        for line in &listing.nodes {
             starts.record(&line.id, (line.started_ms * 1e3) as Micros, since, now);
         }
         starts.prune(|node| self.lines.borrow().contains_key(node));
@@ -135,14 +135,14 @@
         self.publish_all(&[]);
     }
 
-    fn publish(&self, lines: &[Line], kind: ListUpdateKind) {
+    fn publish(&self, lines: &[ListedNode], kind: ListUpdateKind) {
         if kind != ListUpdateKind::Delta {
             self.pool.retain_listed(|node| lines.iter().any(|line| *line.id == **node));
         }
         let mut entries = Vec::with_capacity(lines.len());
         for line in lines {
             let line = self.effective_line(line);
-            let mut entry = line.entry(&self.network.get());
+            let mut entry = line.to_node_entry(&self.network.get());
             // Danger: one address that can't be parsed would block the publication of all other nodes.
             match line.addr.parse() {
                 Ok(addr) if entry.state != NodeState::Gone => {
@@ -162,7 +162,7 @@
     }
 
     /// A list entry with its known start time, the state of the lease and the operators' override applied.
-    fn effective_line(&self, line: &Line) -> Line {
+    fn effective_line(&self, line: &ListedNode) -> ListedNode {
         let mut line = line.clone();
         if let Some(started_at) = self.starts.borrow().started_at(&line.id) {
             line.started_ms = started_at as f64 / 1e3;
@@ -183,9 +183,9 @@
     }
 
     /// The list as published now.
-    pub fn effective_list(&self) -> Listing {
+    pub fn effective_list(&self) -> NodeList {
         let servers = self.lines.borrow().values().map(|line| self.effective_line(line)).collect();
-        Listing { version: 0, full: true, servers }
+        NodeList { version: 0, full: true, nodes: servers }
     }
 
     /// Publishes the whole list again after the settings that give meaning to its names and sizes have
@@ -196,7 +196,7 @@
 
     /// Publishes the whole current list again, and closes idle connections to the `changed` nodes.
     fn publish_all(&self, changed: &[NodeId]) {
-        let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
+        let lines: Vec<ListedNode> = self.lines.borrow().values().cloned().collect();
         // As a restored list: nothing new came from discovery.
         self.publish(&lines, ListUpdateKind::Restored);
         changed.iter().for_each(|node| self.pool.close_idle(node));
@@ -255,7 +255,7 @@
         self.lines.borrow().get(node).is_some_and(|line| self.is_cache(line))
     }
 
-    fn is_cache(&self, line: &Line) -> bool {
+    fn is_cache(&self, line: &ListedNode) -> bool {
         let kind = self.network.get().kinds.iter().position(|kind| *kind == line.kind);
         kind.is_none_or(|kind| self.origin_kind != Some(kind as u32))
     }
--- a/crates/flintwell/src/management/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -8,7 +8,7 @@
 use flintwell_rollout::member::{Member, Refusal};
 use flintwell_rollout::wire::{Named, Stage, Status};
 use flintwell_settings::check_change;
-use flintwell_state::Disk;
+use flintwell_state::RecordStore;
 use hyper::StatusCode;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -26,7 +26,7 @@
     pub clock: Clock,
     pub started_ms: u64,
     pub member: RefCell<Member>,
-    pub disk: Disk,
+    pub disk: RecordStore,
     pub metrics: Rc<Metrics>,
     /// Wakes `run` when the next deadline may have changed.
     pub changed: Notify,
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -1,8 +1,8 @@
 //! Configuration file: read at start (and again on SIGHUP) and validated completely before any socket is opened.
 
 use flintwell_core::interface::Settings;
-use flintwell_settings::listing::Listing;
-use flintwell_settings::{Network, check, decode, decode_network, laid_over};
+use flintwell_settings::node_list::NodeList;
+use flintwell_settings::{NetworkSettings, check, decode, decode_network, merge_settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
     seed: String,
     #[serde(default)]
     limits: Option<Limits>,
-    known: Listing,
+    known: NodeList,
     settings: Value,
     /// Settings cannot be changed at run time without it.
     #[serde(default)]
@@ -100,11 +100,11 @@
     pub request_body_bytes: usize,
     /// Bytes of streamed responses that may be read ahead of their clients.
     pub read_ahead_bytes: usize,
-    pub initial_nodes: Listing,
+    pub initial_nodes: NodeList,
     pub settings: Settings,
     /// Settings of the shadow policy, `watch_with` laid over `settings`.
     pub shadow_settings: Option<Settings>,
-    pub network: Network,
+    pub network: NetworkSettings,
     pub rollout: Option<RolloutConfig>,
     pub peer_messaging: Option<PeerMessagingConfig>,
     /// The settings as JSON, unchanged from the file.
@@ -139,7 +139,7 @@
     let peer_messaging =
         file.words.map(|section| peer_messaging(section, &settings, &file.settings)).transpose()?;
     let shadow_settings = file.watch_with.map(|other| {
-        let both = laid_over(file.settings.clone(), other);
+        let both = merge_settings(file.settings.clone(), other);
         check(&both).and_then(|()| decode(&both)).map_err(|e| format!("watch_with: {e}"))
     });
     Ok(Config {
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -32,7 +32,7 @@
 use flintwell_list_watch::{Lease, Watch as ListWatch, WatchConfig};
 use flintwell_rollout::member::Member;
 use flintwell_settings::{decode, decode_network};
-use flintwell_state::Disk;
+use flintwell_state::RecordStore;
 use futures_util::FutureExt;
 use rustix::io::fcntl_dupfd_cloexec;
 use rustix::process::{Resource, getrlimit};
@@ -120,7 +120,7 @@
     let store = store.map_err(|e| format!("directory for temporary files: {e}"))?;
     let rollout_state = match &config.rollout {
         Some(rollout) => {
-            let disk = Disk::open(&rollout.state)?;
+            let disk = RecordStore::open(&rollout.state)?;
             let record = disk.read().unwrap_or_else(|why| {
                 log_line!("{why}");
                 None
@@ -135,7 +135,7 @@
         None => None,
     };
     let metrics = Metrics::new(&config.network.classes, rollout_state.is_some());
-    let pool = Pool::new(connections, config.network.dial_within, config.network.idle_most);
+    let pool = Pool::new(connections, config.network.dial_timeout, config.network.idle_timeout);
     let network = Reloadable::new(config.network);
     let (index, fleet_size) = (config.settings.proxy_index, config.settings.fleet_size);
     let (pushed, drain_grace) = (!config.settings.list_on_request, network.get().drain_grace);
@@ -306,7 +306,7 @@
     let accepting = spawn_local(restart_on_panic("accept", async move || {
         accept::accept_connections(&listener, &accept_permits, &service).await
     }));
-    let max_request_time = || to_duration(current_network.get().longest);
+    let max_request_time = || to_duration(current_network.get().max_deadline);
     let has_successor = || is_inherited && succession.has_successor();
     let successor = async || handover::connect(succession.successor_socket().as_deref()).await;
     let result = controller
--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -13,7 +13,7 @@
     let settings = flintwell_settings::decode(&conf).expect("settings");
     let shadow = other.map(|other| {
         let other =
-            flintwell_settings::decode(&flintwell_settings::laid_over(conf, other)).expect("settings");
+            flintwell_settings::decode(&flintwell_settings::merge_settings(conf, other)).expect("settings");
         Rc::new(ShadowPolicy::new(0, other, 1))
     });
     Rc::new(Dispatcher::new(Clock::start(), settings, 1, Pool::new(1, 1, 1), shadow))
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -13,7 +13,7 @@
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use crate::requests::request;
-use flintwell_settings::Network;
+use flintwell_settings::NetworkSettings;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use hyper::body::Incoming;
@@ -30,7 +30,7 @@
     pub dispatcher: Rc<Dispatcher>,
     pub attempts: AttemptService,
     pub counts: Rc<Metrics>,
-    pub network: Rc<Reloadable<Network>>,
+    pub network: Rc<Reloadable<NetworkSettings>>,
     pub budget: Rc<BufferBudget>,
     pub lease: Rc<ListLease>,
     pub shutdown: Shutdown,
