--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -236,9 +236,8 @@
         let Some(case) = self.settings.classes.get(arrival.class) else {
             return self.host.fail(&arrival.id);
         };
-        let target = now
-            + case.latency_target
-            + (case.target_work_factor * arrival.expected_work.unwrap_or(0) as f64) as Micros;
+        let target =
+            now + case.latency_target + (case.target_work_factor * arrival.expected_work.unwrap_or(0) as f64) as Micros;
         let useful = if case.late_worth > 0.0 { arrival.deadline } else { target.min(arrival.deadline) };
         let (id, tenant, write) = (arrival.id.clone(), arrival.tenant, arrival.is_write);
         let request = Request::new(arrival, now, useful, self.settings.max_attempts, self.rng.random());
@@ -263,13 +262,7 @@
     }
 
     /// Learns from an attempt that has ended, and decides how its request goes on.
-    pub fn on_attempt_outcome(
-        &mut self,
-        now: Micros,
-        id: &RequestId,
-        node: &NodeId,
-        outcome: AttemptOutcome,
-    ) {
+    pub fn on_attempt_outcome(&mut self, now: Micros, id: &RequestId, node: &NodeId, outcome: AttemptOutcome) {
         let Some(node) = self.nodes.find(node) else { return };
         let target = self.requests.get(id).map(|a| self.settings.classes[a.class].latency_target as f64);
         self.observe(now, node, &outcome, target);
@@ -284,10 +277,7 @@
         // If the list does not reflect speed, nodes of a slow kind are overloaded by their share while those
         // of a fast kind idle. Steps are coarse, so that all proxies build the same table and homes rarely
         // move.
-        if outcome.status == AttemptStatus::Served
-            && !self.of_origin(node)
-            && self.settings.weight_mode != WeightMode::Live
-        {
+        if outcome.status == AttemptStatus::Served && !self.of_origin(node) && self.settings.weight_mode != WeightMode::Live {
             let all = self.speeds.learn(outcome.latency, SPEED_SMOOTHING);
             let kind = self.kinds.entry(self.nodes[node].entry.kind).or_default();
             let steps = kind.faster(all, outcome.latency, SPEED_SMOOTHING) * SPEED_STEPS;
@@ -300,18 +290,12 @@
         // A late answer to a finished request only updates estimates and frees capacity at the origin.
         if attempt.is_some_and(|h| h.ending.replace(outcome.status).is_none()) {
             match outcome.status {
-                ending if outcome.request_finished => {
-                    self.finish(now, id, ending == AttemptStatus::Served, node)
-                }
+                ending if outcome.request_finished => self.finish(now, id, ending == AttemptStatus::Served, node),
                 AttemptStatus::Miss => self.missed(now, id, node),
                 // Repeating every failed fetch would overload an origin at its limit. An invalid response or
                 // a reset does not indicate overload.
-                AttemptStatus::InvalidResponse | AttemptStatus::Reset if Some(node) == self.origin.node => {
-                    self.fetch(now, id)
-                }
-                AttemptStatus::Full if Some(node) == self.origin.node => {
-                    self.fetch_again(now, id, outcome.first_on_connection)
-                }
+                AttemptStatus::InvalidResponse | AttemptStatus::Reset if Some(node) == self.origin.node => self.fetch(now, id),
+                AttemptStatus::Full if Some(node) == self.origin.node => self.fetch_again(now, id, outcome.first_on_connection),
                 _ if Some(node) == self.origin.node => self.give_up(now, id),
                 _ => self.ask_cache(now, id),
             }
@@ -765,9 +749,7 @@
             Idempotency::Safe => true,
             Idempotency::Unsafe => false,
             // A repeat that waits for its connection could be sent after the deduplication window has ended.
-            Idempotency::Keyed if now + self.settings.dial_timeout >= first.sent_at + case.dedup_window => {
-                false
-            }
+            Idempotency::Keyed if now + self.settings.dial_timeout >= first.sent_at + case.dedup_window => false,
             Idempotency::Keyed => node.in_group(&self.nodes[first.node], case.dedup_scope),
         }
     }
@@ -777,9 +759,7 @@
         let case = &self.settings.classes[request.class];
         match request.may_have_run() {
             Some(first) if case.idempotency == Idempotency::Keyed => {
-                case.dedup_scope == DedupScope::All
-                    && first.ending.is_some()
-                    && now < first.sent_at + case.dedup_window
+                case.dedup_scope == DedupScope::All && first.ending.is_some() && now < first.sent_at + case.dedup_window
             }
             Some(_) => case.idempotency == Idempotency::Safe,
             None => true,
@@ -890,15 +870,9 @@
         let (mean, thin) = (self.caches.times.mean, self.thin(now));
         let node = &mut self.nodes[n];
         node.in_flight = node.in_flight.saturating_sub(1);
-        let silent = matches!(
-            outcome.status,
-            AttemptStatus::TimedOut | AttemptStatus::Reset | AttemptStatus::ConnectFailed
-        );
-        let fault = silent
-            || matches!(
-                (outcome.status, at_origin),
-                (AttemptStatus::Error, _) | (AttemptStatus::InvalidResponse, false)
-            );
+        let silent = matches!(outcome.status, AttemptStatus::TimedOut | AttemptStatus::Reset | AttemptStatus::ConnectFailed);
+        let fault =
+            silent || matches!((outcome.status, at_origin), (AttemptStatus::Error, _) | (AttemptStatus::InvalidResponse, false));
         if fault || matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss) {
             node.faults.learn(now, f64::from(u8::from(fault)), SMOOTHING, ESTIMATE_AGE);
         }
@@ -918,20 +892,12 @@
         }
         match outcome.status {
             _ if struck => node.strike(now, SKIP_FIRST, SKIP_DOUBLINGS),
-            AttemptStatus::Served
-            | AttemptStatus::Miss
-            | AttemptStatus::Full
-            | AttemptStatus::Error
-            | AttemptStatus::InvalidResponse => {
+            AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Full | AttemptStatus::Error | AttemptStatus::InvalidResponse => {
                 (node.heard_at, node.strikes, node.skip_until) = (now, 0, 0);
                 match outcome.status {
                     AttemptStatus::Full => node.full_until = now + (mean * FULL_SHARE) as Micros,
-                    AttemptStatus::Served if !at_origin => {
-                        self.caches.taken.add(now, self.settings.cold_overload_window)
-                    }
-                    AttemptStatus::Miss if thin => {
-                        self.caches.taken.add(now, self.settings.cold_overload_window)
-                    }
+                    AttemptStatus::Served if !at_origin => self.caches.taken.add(now, self.settings.cold_overload_window),
+                    AttemptStatus::Miss if thin => self.caches.taken.add(now, self.settings.cold_overload_window),
                     _ => {}
                 }
             }
@@ -953,9 +919,7 @@
         node.target_used.learn(now, used, NODE_SMOOTHING, age);
         // Time-outs at unreachable nodes would raise the mean answer time, and with it the time-out of all
         // attempts.
-        if matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::TimedOut)
-            && !struck
-        {
+        if matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::TimedOut) && !struck {
             node.time.learn(now, wait as f64, NODE_SMOOTHING, age);
             node.learn_least(wait as f64, BEST_DRIFT);
             self.caches.times.learn(wait, SMOOTHING);
@@ -1005,11 +969,7 @@
         }
         let strained = match outcome.status {
             AttemptStatus::Served => self.origin.slow(FETCH_SLOW),
-            AttemptStatus::Miss
-            | AttemptStatus::Cancelled
-            | AttemptStatus::NotSent
-            | AttemptStatus::InvalidResponse
-            | AttemptStatus::Unknown => return,
+            AttemptStatus::Miss | AttemptStatus::Cancelled | AttemptStatus::NotSent | AttemptStatus::InvalidResponse | AttemptStatus::Unknown => return,
             // Refusals do not reduce the limit. Single ones occur by chance, and each reduced the limit of
             // one proxy among a hundred to one fetch per second. They already use up credit, and a limit
             // reduced as well would take long to recover.
--- a/crates/flintwell-core/src/state.rs
+++ b/crates/flintwell-core/src/state.rs
@@ -1,8 +1,7 @@
 //! State of the policy: requests, nodes, estimates and the slot table. Decisions are made in `policy`.
 
 use crate::interface::{
-    AttemptStatus, Class, DedupScope, IncomingRequest, Key, Micros, NodeEntry, NodeId, NodeState, RequestId,
-    Settings,
+    IncomingRequest, Class, AttemptStatus, NodeEntry, DedupScope, Key, Micros, NodeId, RequestId, Settings, NodeState,
 };
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/flintwell-core/src/state/tests.rs
+++ b/crates/flintwell-core/src/state/tests.rs
@@ -33,10 +33,6 @@
             "{caches} caches: {none} without slots, standard deviation {:.2}, largest share {most:.2} times the mean",
             off.sqrt()
         );
-        assert!(
-            none <= without && off.sqrt() < spread,
-            "{caches} caches: {none} without slots, standard deviation {:.2}",
-            off.sqrt()
-        );
+        assert!(none <= without && off.sqrt() < spread, "{caches} caches: {none} without slots, standard deviation {:.2}", off.sqrt());
     }
 }
--- a/crates/flintwell-core/tests/module/cases.rs
+++ b/crates/flintwell-core/tests/module/cases.rs
@@ -613,9 +613,8 @@
             let mut play = Play::new(Settings { weight_mode: sizes, ..hundreds() }, 0);
             play.list(ListUpdateKind::Snapshot, live(|n| if n == 3 || n % 2 == 0 { weight } else { 1.0 }));
             let homes = homes(&mut play);
-            let part = |n| {
-                homes.iter().flatten().filter(|node| **node == entry(n, NodeState::Ready, 0).node).count()
-            };
+            let part =
+                |n| homes.iter().flatten().filter(|node| **node == entry(n, NodeState::Ready, 0).node).count();
             assert!((1..7).all(|n| (8..80).contains(&part(n))), "{sizes:?} {weight}: {homes:?}");
         }
     }
@@ -668,9 +667,7 @@
         let (node, id) = to(&mut play, 5, &format!("k{n}"));
         assert!(open.contains(&node), "{node:?}");
         // The rest goes by the model.
-        [AttemptStatus::Full, AttemptStatus::Error, AttemptStatus::Served]
-            .iter()
-            .for_each(|&ending| play.end(&id, ending));
+        [AttemptStatus::Full, AttemptStatus::Error, AttemptStatus::Served].iter().for_each(|&ending| play.end(&id, ending));
         play.pass(SECOND);
     }
     // A leader that may go anywhere misses at a node that is closed to its follower.
--- a/crates/flintwell-core/tests/module/world.rs
+++ b/crates/flintwell-core/tests/module/world.rs
@@ -137,11 +137,7 @@
             class(Idempotency::Unsafe, DedupScope::All),
             // Bound: to the second zone, and to a kind there.
             Class { zones: Some(vec![1]), ..class(Idempotency::Safe, DedupScope::All) },
-            Class {
-                kinds: Some(vec![2]),
-                zones: Some(vec![1]),
-                ..class(Idempotency::Keyed, DedupScope::Zone)
-            },
+            Class { kinds: Some(vec![2]), zones: Some(vec![1]), ..class(Idempotency::Keyed, DedupScope::Zone) },
         ],
         quotas: Vec::new(),
         cache_aside: true,
@@ -244,15 +240,7 @@
             r.requests.insert(id.clone(), Held { case, most, deadline, sent: Vec::new(), answer: None });
         }
         let key = Some(Key::from(key));
-        let arrival = IncomingRequest {
-            id: id.clone(),
-            class,
-            tenant: 0,
-            key,
-            deadline,
-            expected_work: None,
-            is_write: write,
-        };
+        let arrival = IncomingRequest { id: id.clone(), class, tenant: 0, key, deadline, expected_work: None, is_write: write };
         self.policy.on_request(self.now(), arrival);
         id
     }
@@ -275,13 +263,7 @@
             }
             (node, number, wait, request.answer.is_some())
         };
-        let outcome = AttemptOutcome {
-            attempt_index: number,
-            status: ending,
-            latency: wait,
-            request_finished: settled,
-            first_on_connection: first,
-        };
+        let outcome = AttemptOutcome { attempt_index: number, status: ending, latency: wait, request_finished: settled, first_on_connection: first };
         self.policy.on_attempt_outcome(now, id, &node, outcome);
     }
     /// Lets time pass; timers and time-outs come when due.
--- a/crates/flintwell-core/tests/ramp.rs
+++ b/crates/flintwell-core/tests/ramp.rs
@@ -95,11 +95,7 @@
             let out = Out::default();
             let mut policy = Policy::new(BEGIN, settings(n, fleet), rng.random(), out.clone());
             let caches = (0..fleet.servers).map(|n| entry(n, 0, 0));
-            policy.on_list_update(
-                BEGIN,
-                ListUpdateKind::Snapshot,
-                caches.chain([entry(9_999, 1, 0)]).collect(),
-            );
+            policy.on_list_update(BEGIN, ListUpdateKind::Snapshot, caches.chain([entry(9_999, 1, 0)]).collect());
             (out, policy)
         })
         .unzip();
@@ -120,22 +116,17 @@
         now += (-(1.0 - rng.random::<f64>()).ln() / pace * 1e6) as Micros + 1;
         while let Some((&(at, number), _)) = ends.first_key_value().filter(|(at, _)| at.0 <= now) {
             let (proxy, id, node) = ends.remove(&(at, number)).expect("it");
-            let outcome = AttemptOutcome {
-                attempt_index: 0,
-                status: AttemptStatus::Served,
-                latency: ANSWER,
-                request_finished: true,
-                first_on_connection: false,
-            };
+            let outcome =
+                AttemptOutcome { attempt_index: 0, status: AttemptStatus::Served, latency: ANSWER, request_finished: true, first_on_connection: false };
             policies[proxy].on_attempt_outcome(at, &id, &node, outcome);
         }
         if now >= told && !is_told {
             is_told = true;
             cold = (0..fleet.servers).max_by_key(|&n| (hot[n], n == cold)).unwrap_or(cold);
             cold_id = entry(cold, 0, 0).node;
-            policies.iter_mut().for_each(|policy| {
-                policy.on_list_update(now, ListUpdateKind::Delta, vec![entry(cold, 0, now)])
-            });
+            policies
+                .iter_mut()
+                .for_each(|policy| policy.on_list_update(now, ListUpdateKind::Delta, vec![entry(cold, 0, now)]));
         }
         let mut lot = rng.random::<f64>() * total;
         let proxy = weights.iter().position(|weight| {
@@ -148,15 +139,7 @@
         let id: RequestId = format!("r{count}").into();
         let named = Some(Key::from(format!("key-{seed}-{key}")));
         let deadline = now + SECOND;
-        let arrival = IncomingRequest {
-            id,
-            class: 0,
-            tenant: 0,
-            key: named,
-            deadline,
-            expected_work: None,
-            is_write: false,
-        };
+        let arrival = IncomingRequest { id, class: 0, tenant: 0, key: named, deadline, expected_work: None, is_write: false };
         policies[proxy].on_request(now, arrival);
         for (id, node) in outs[proxy].0.borrow_mut().drain(..) {
             if node == cold_id && is_told {
--- a/crates/flintwell-emulator/src/run.rs
+++ b/crates/flintwell-emulator/src/run.rs
@@ -3,14 +3,14 @@
 use crate::node::Node;
 use crate::plan::{Fault, Outcome, Second, Shape};
 use flintwell_core::interface::{
-    AttemptStatus, Class, DedupScope, Host, Idempotency, IncomingRequest, Key, ListUpdateKind, Micros,
-    NodeEntry, NodeId, NodeState, RequestId, Settings, WeightMode,
+    IncomingRequest, Class, Idempotency, AttemptStatus, NodeEntry, DedupScope, Host, Key, ListUpdateKind, Micros, NodeId, RequestId, Settings,
+    WeightMode, NodeState,
 };
 use flintwell_core::policy::Policy;
-use flintwell_membership::member::{self, BufferedTransport, Member, MemberId};
-use flintwell_shared_limits::limit::{FetchCounts, LimitMessage, ROUND_MS, SharedLimit};
+use flintwell_membership::member::{self, MemberId, BufferedTransport, Member};
 use flintwell_shared_limits::loans::UNITS_PER_MEMBER;
-use flintwell_shared_probes::{ProbeCoordinator, ProbeHint, ProbeMessage as Probed};
+use flintwell_shared_limits::limit::{FetchCounts, ROUND_MS, SharedLimit, LimitMessage};
+use flintwell_shared_probes::{ProbeHint, ProbeCoordinator, ProbeMessage as Probed};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -236,11 +236,7 @@
             state: NodeState::Ready,
             ..NodeEntry::default()
         };
-        policy.on_list_update(
-            self.now,
-            ListUpdateKind::Snapshot,
-            self.nodes.iter().enumerate().map(entry).collect(),
-        );
+        policy.on_list_update(self.now, ListUpdateKind::Snapshot, self.nodes.iter().enumerate().map(entry).collect());
         let ms = (self.now / 1_000) as u64;
         let speaks = self.shape.words.then(|| {
             let settings = member::Settings {
@@ -474,15 +470,7 @@
         self.at(at + PATH, Event::Ends { proxy, id, node, number, sent, ending });
     }
 
-    fn ends(
-        &mut self,
-        n: usize,
-        id: &RequestId,
-        node: usize,
-        number: usize,
-        sent: Micros,
-        ending: AttemptStatus,
-    ) {
+    fn ends(&mut self, n: usize, id: &RequestId, node: usize, number: usize, sent: Micros, ending: AttemptStatus) {
         let now = self.now;
         let origin = node + 1 == self.nodes.len();
         let Some(request) = self.proxies[n].requests.get_mut(id) else { return };
@@ -508,13 +496,7 @@
             second.in_time += u64::from(now <= came + TARGET);
         }
         let (name, wait) = (self.nodes[node].0.clone(), now - sent);
-        let outcome = flintwell_core::interface::AttemptOutcome {
-            attempt_index: number,
-            status: ending,
-            latency: wait,
-            request_finished: settled,
-            first_on_connection: false,
-        };
+        let outcome = flintwell_core::interface::AttemptOutcome { attempt_index: number, status: ending, latency: wait, request_finished: settled, first_on_connection: false };
         self.proxies[n].policy.on_attempt_outcome(now, id, &name, outcome);
         if settled {
             self.proxies[n].requests.remove(id);
@@ -571,8 +553,7 @@
         let ms = (self.now / 1_000) as u64;
         let in_use = |proxy: &Proxy| proxy.speaks.as_ref().map_or(0, |(_, share, _)| share.usable_units(ms));
         let all: u32 = self.proxies.iter().map(in_use).sum();
-        self.outcome.excess =
-            self.outcome.excess.max(all.saturating_sub(UNITS_PER_MEMBER * self.proxies.len() as u32));
+        self.outcome.excess = self.outcome.excess.max(all.saturating_sub(UNITS_PER_MEMBER * self.proxies.len() as u32));
     }
 
     /// Sends what a member says, and lets its share hear what came.
@@ -585,8 +566,7 @@
                     probes.handle_message(ms, from.number, &word);
                     continue;
                 }
-                let answer =
-                    LimitMessage::decode(&bytes).and_then(|word| share.handle_message(ms, from.number, word));
+                let answer = LimitMessage::decode(&bytes).and_then(|word| share.handle_message(ms, from.number, word));
                 answer.into_iter().for_each(|word| member.send_message(&from, &word.encode(), &mut answers));
             }
         }
--- a/crates/flintwell-emulator/tests/fuzz.rs
+++ b/crates/flintwell-emulator/tests/fuzz.rs
@@ -2,10 +2,10 @@
 //! understood is counted, and no number that comes out of it is none. The corpus lies beside; `cargo test -p
 //! flintwell-emulator --test fuzz -- --ignored` makes it anew. `FUZZ=100000` plays more.
 
-use flintwell_membership::datagram::{DatagramCodec, PayloadKind};
-use flintwell_membership::member::{BufferedTransport, Member, MemberId, Settings};
-use flintwell_shared_limits::limit::{FetchCounts, LimitMessage, ROUND_MS, SharedLimit};
+use flintwell_membership::member::{MemberId, BufferedTransport, Member, Settings};
+use flintwell_membership::datagram::{PayloadKind, DatagramCodec};
 use flintwell_shared_limits::loans::UNITS_PER_MEMBER;
+use flintwell_shared_limits::limit::{FetchCounts, ROUND_MS, SharedLimit, LimitMessage};
 use flintwell_shared_probes::{ProbeCoordinator, ProbeMessage as Probed};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,14 +24,7 @@
     let seeds = vec![addr(0)];
     Member::new(
         0,
-        Settings {
-            cluster: "c".into(),
-            key: Vec::new(),
-            id,
-            seeds,
-            fleet_size: FLEET,
-            rng_seed: number.into(),
-        },
+        Settings { cluster: "c".into(), key: Vec::new(), id, seeds, fleet_size: FLEET, rng_seed: number.into() },
     )
 }
 
@@ -60,8 +53,8 @@
             for (from, bytes) in std::mem::take(&mut mail.delivered) {
                 if let Some(word) = Probed::decode(&bytes) {
                     probes[n].handle_message(now, from.number, &word);
-                } else if let Some(answer) = LimitMessage::decode(&bytes)
-                    .and_then(|word| shares[n].handle_message(now, from.number, word))
+                } else if let Some(answer) =
+                    LimitMessage::decode(&bytes).and_then(|word| shares[n].handle_message(now, from.number, word))
                 {
                     members[n].send_message(&from, &answer.encode(), &mut mail);
                 }
@@ -79,10 +72,7 @@
                 let counted = FetchCounts { demanded: busy, accepted: now / 20, refused: now / 10 };
                 let mut words: Vec<(u32, Vec<u8>)> = Vec::new();
                 words.extend(
-                    shares[n]
-                        .run_round(now, counted, &numbers)
-                        .into_iter()
-                        .map(|(to, word)| (to, word.encode())),
+                    shares[n].run_round(now, counted, &numbers).into_iter().map(|(to, word)| (to, word.encode())),
                 );
                 let probed = probes[n].run_round(now, &["x", "y"], &numbers).1;
                 words.extend(probed.into_iter().map(|(to, word)| (to, word.encode())));
@@ -121,10 +111,8 @@
     assert!(known.len() > 20, "{} datagrams", known.len());
     let played = std::env::var("FUZZ").ok().and_then(|told| told.parse().ok()).unwrap_or(PLAYED);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut one, mut share, mut probes) =
-        (member(0), SharedLimit::new(0, 1, FLEET, 1), ProbeCoordinator::new(0, 1));
-    let mut seals: Vec<DatagramCodec> =
-        (0..FLEET).map(|n| DatagramCodec::new("c", b"", FLEET, n, 1)).collect();
+    let (mut one, mut share, mut probes) = (member(0), SharedLimit::new(0, 1, FLEET, 1), ProbeCoordinator::new(0, 1));
+    let mut seals: Vec<DatagramCodec> = (0..FLEET).map(|n| DatagramCodec::new("c", b"", FLEET, n, 1)).collect();
     let mut understood = 0;
     for n in 0..u64::from(played) {
         let now = 10_000 + n * 5;
--- a/crates/flintwell-rig/src/days.rs
+++ b/crates/flintwell-rig/src/days.rs
@@ -145,8 +145,7 @@
 
 /// What a proxy says that it knows of the fleet.
 pub async fn knows(at: SocketAddr) -> Option<Value> {
-    let called =
-        flintwell_call::send_request(at, Method::GET, "/api/fleet", Default::default(), ANSWERS).await;
+    let called = flintwell_call::send_request(at, Method::GET, "/api/fleet", Default::default(), ANSWERS).await;
     serde_json::from_slice(&called.ok()?.1).ok()
 }
 
--- a/crates/flintwell-rig/src/soak.rs
+++ b/crates/flintwell-rig/src/soak.rs
@@ -271,8 +271,7 @@
 
 /// What a proxy tells at this path; none if that can't be had.
 async fn asked<T: for<'de> Deserialize<'de>>(staff: SocketAddr, path: &str) -> Option<T> {
-    let (_, text) =
-        flintwell_call::send_request(staff, Method::GET, path, Default::default(), ANSWERS).await.ok()?;
+    let (_, text) = flintwell_call::send_request(staff, Method::GET, path, Default::default(), ANSWERS).await.ok()?;
     serde_json::from_slice(&text).ok()
 }
 
@@ -293,8 +292,7 @@
     let began = Instant::now();
     while Instant::now() < struck && began.elapsed().as_secs_f64() <= READY * 2.0 {
         let called =
-            flintwell_call::send_request(listen, Method::GET, "/health/ready", Default::default(), ANSWERS)
-                .await;
+            flintwell_call::send_request(listen, Method::GET, "/health/ready", Default::default(), ANSWERS).await;
         if called.is_ok_and(|(status, _)| status == 200) {
             return Some(began.elapsed().as_secs_f64());
         }
