--- a/crates/flintwell-conduct/src/homes.rs
+++ b/crates/flintwell-conduct/src/key_homes.rs
@@ -1,4 +1,4 @@
-//! Which cache a key goes to first, under settings: asked of the decision module itself.
+//! Estimates how many keys get another home cache when settings change, by running the policy with both settings.
 
 use flintwell_core::interface::{
     AttemptOutcome, AttemptStatus, Host, IncomingRequest, Key, ListUpdateKind, Micros, NodeId, RequestId,
@@ -11,13 +11,17 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-const KEYS: usize = 2_000; // sampled; a share is known to some two in a hundred
-const APART: Micros = 10_000; // us between sampled requests; no cache looks busy
-const LONG_AGO: Micros = 3_600_000_000; // us; past every ramp
+/// Gives a share to within about two percentage points.
+const SAMPLED_KEYS: usize = 2_000;
+/// Between sampled requests; long enough that no cache looks busy.
+const REQUEST_INTERVAL_US: Micros = 10_000;
+/// Start of the simulated clock, later than the end of any slow start.
+const START_US: Micros = 3_600_000_000;
 
-struct First(Rc<RefCell<Option<NodeId>>>);
+/// Host that records the node of a request's first attempt.
+struct FirstAttempt(Rc<RefCell<Option<NodeId>>>);
 
-impl Host for First {
+impl Host for FirstAttempt {
     fn start_attempt(&mut self, _: &RequestId, node: &NodeId, _: Micros) {
         self.0.borrow_mut().get_or_insert_with(|| node.clone());
     }
@@ -28,36 +32,36 @@
     fn subscribe_to_list(&mut self) {}
 }
 
-fn homes(
+fn home_nodes(
     settings: Settings,
-    case: usize,
-    listing: &NodeList,
+    class: usize,
+    list: &NodeList,
     network: &flintwell_settings::NetworkSettings,
 ) -> Vec<Option<NodeId>> {
     let first = Rc::new(RefCell::new(None));
-    let mut now = LONG_AGO;
-    let mut policy = Policy::new(now, settings, 1, First(first.clone()));
-    let entries = listing.nodes.iter().map(|line| flintwell_core::interface::NodeEntry {
-        // Where keys belong, not what is cold today.
+    let mut now = START_US;
+    let mut policy = Policy::new(now, settings, 1, FirstAttempt(first.clone()));
+    let entries = list.nodes.iter().map(|node| flintwell_core::interface::NodeEntry {
+        // Ignores slow start, which diverts keys only for a while.
         started_at: 0,
-        ..line.to_node_entry(network)
+        ..node.to_node_entry(network)
     });
     policy.on_list_update(now, ListUpdateKind::Snapshot, entries.collect());
     let home = |n: usize| {
-        now += APART;
+        now += REQUEST_INTERVAL_US;
         first.replace(None);
         let id = RequestId::from(format!("a{n}"));
         let (key, deadline) = (Some(Key::from(format!("k{n}"))), now + 1_000_000);
-        let arrival = IncomingRequest {
+        let request = IncomingRequest {
             id: id.clone(),
-            class: case,
+            class,
             tenant: 0,
             key,
             deadline,
             expected_work: None,
             is_write: false,
         };
-        policy.on_request(now, arrival);
+        policy.on_request(now, request);
         let node = first.borrow().clone();
         if let Some(node) = &node {
             let outcome = AttemptOutcome {
@@ -71,22 +75,22 @@
         }
         node
     };
-    (0..KEYS).map(home).collect()
+    (0..SAMPLED_KEYS).map(home).collect()
 }
 
-/// The share of keys that go to another cache first.
-pub fn moved(old: &Value, new: &Value, listing: &NodeList) -> Result<f64, String> {
-    let of = |settings: &Value| -> Result<_, String> {
+/// The share of keys, 0 to 1, that get another home cache under the new settings.
+pub fn moved_key_share(old: &Value, new: &Value, list: &NodeList) -> Result<f64, String> {
+    let homes = |settings: &Value| -> Result<_, String> {
         let decoded = decode(settings)?;
-        let case = decoded
+        let class = decoded
             .classes
             .iter()
-            .position(|case| case.idempotency == flintwell_core::interface::Idempotency::Safe);
-        Ok(homes(decoded, case.unwrap_or(0), listing, &decode_network(settings)?))
+            .position(|class| class.idempotency == flintwell_core::interface::Idempotency::Safe);
+        Ok(home_nodes(decoded, class.unwrap_or(0), list, &decode_network(settings)?))
     };
-    let (old, new) = (of(old)?, of(new)?);
+    let (old, new) = (homes(old)?, homes(new)?);
     let moved = old.iter().zip(&new).filter(|(old, new)| old != new).count();
-    Ok(moved as f64 / KEYS as f64)
+    Ok(moved as f64 / SAMPLED_KEYS as f64)
 }
 
 #[cfg(test)]
--- a/crates/flintwell-conduct/src/lib.rs
+++ b/crates/flintwell-conduct/src/lib.rs
@@ -1,54 +1,56 @@
-//! `flintwell rollout`: the commands, the words to the members, the journal on disk. What is decided, is in
-//! `flintwell-rollout`.
+//! The `flintwell rollout` commands: runs a rollout, calls the members over HTTP and keeps the journal on disk. The
+//! decisions are made in `flintwell-rollout`.
 
-mod book;
-mod homes;
-mod line;
+mod key_homes;
+mod member_client;
 mod run;
+mod store;
 
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 
+/// Subcommands of `flintwell rollout`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Says what a rollout would do, and changes nothing
+    /// Show what a rollout would do without changing anything
     Plan { plan: PathBuf },
-    /// Rolls out, or goes on where it was left; stays until it is over
+    /// Start a rollout, or resume an interrupted one, and run it to its end
     Start { plan: PathBuf },
-    /// Where a rollout stands
+    /// Show the state of a rollout
     Status {
         plan: PathBuf,
-        /// One JSON object
+        /// Print the state as a JSON object
         #[arg(long)]
         json: bool,
     },
-    /// No further stage; what has the change keeps it
+    /// Start no further stage; members that have the change keep it
     Pause { plan: PathBuf },
-    /// Goes on after a pause
+    /// Resume a paused rollout
     Resume { plan: PathBuf },
-    /// Back everywhere, while it is under way
+    /// Revert the change on all members while the rollout is in progress
     Abort { plan: PathBuf },
-    /// Back everywhere after it was done
+    /// Revert the change on all members after the rollout is done
     Undo { plan: PathBuf },
 }
 
-/// How it ended: 0 done, 1 undone or refused, 2 nothing touched.
+/// Runs a command and returns its exit code: 0 done, 1 reverted or rejected. After an error, for which the program exits
+/// with 2, nothing has changed unless the journal could not be written during a rollout.
 pub fn run(command: Command) -> Result<u8, Vec<String>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| vec![error.to_string()])?;
     match command {
         Command::Plan { plan } => runtime.block_on(run::plan(&plan)),
         Command::Start { plan } => runtime.block_on(run::start(&plan)),
-        Command::Status { plan, json } => book::status(&folder(&plan), json),
-        Command::Pause { plan } => book::order(&folder(&plan), book::Order::Pause),
-        Command::Resume { plan } => book::order(&folder(&plan), book::Order::Resume),
-        Command::Abort { plan } => book::order(&folder(&plan), book::Order::Abort),
+        Command::Status { plan, json } => store::print_status(&state_folder(&plan), json),
+        Command::Pause { plan } => store::submit_order(&state_folder(&plan), store::Order::Pause),
+        Command::Resume { plan } => store::submit_order(&state_folder(&plan), store::Order::Resume),
+        Command::Abort { plan } => store::submit_order(&state_folder(&plan), store::Order::Abort),
         Command::Undo { plan } => runtime.block_on(run::undo(&plan)),
     }
 }
 
-/// Where a rollout's journal lies: beside its plan.
-fn folder(plan: &Path) -> PathBuf {
+/// The folder with the state of a rollout, next to its plan file.
+fn state_folder(plan: &Path) -> PathBuf {
     let mut name = plan.file_name().unwrap_or_default().to_owned();
     name.push(".state");
     plan.with_file_name(name)
--- a/crates/flintwell-conduct/src/run.rs
+++ b/crates/flintwell-conduct/src/run.rs
@@ -1,9 +1,10 @@
-//! The loop of one who rolls out: hears all members, lets the state machine decide, writes, then speaks.
+//! The rollout loop: polls all members, lets the conductor's state machine decide, records each decision on disk and
+//! then sends the resulting messages.
 
-use crate::book::{Book, Order, Report, Standing};
-use crate::folder;
-use crate::homes::moved;
-use crate::line::{Failed, ask, say};
+use crate::key_homes::moved_key_share;
+use crate::member_client::{CallError, get, post};
+use crate::state_folder;
+use crate::store::{MemberReport, Order, Report, RolloutStore};
 use flintwell_rollout::conductor::{Conductor, Journal, Phase, Place, Word};
 use flintwell_rollout::judge::Verdict;
 use flintwell_rollout::plan::Plan;
@@ -17,267 +18,295 @@
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval};
 
-const TURN: Duration = Duration::from_millis(250); // between rounds; a verdict is undone in two or three
-const KEPT: u64 = 1_000; // ms between writes of a stage's evidence
-const SAMPLED: Duration = Duration::from_secs(2); // over which `plan` looks at the traffic
+/// Between iterations of the loop. Reverting after a bad verdict takes two or three of them.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Between writes of the evidence of a stage.
+const EVIDENCE_SAVE_INTERVAL_MS: u64 = 1_000;
+/// How long `plan` measures the traffic.
+const TRAFFIC_SAMPLE_TIME: Duration = Duration::from_secs(2);
 
-type Wrong = Vec<String>;
+type Errors = Vec<String>;
 
-fn read(file: &Path) -> Result<(Plan, Value), Wrong> {
+/// Reads a plan and the settings file that it names.
+fn load_plan(file: &Path) -> Result<(Plan, Value), Errors> {
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{}: {e}", file.display())])?;
     let plan = Plan::read(&file.display().to_string(), &text)?;
-    let beside = file.parent().unwrap_or(Path::new(".")).join(&plan.settings);
-    let told = |error: &dyn std::fmt::Display| vec![format!("{}: {error}", beside.display())];
-    let over = std::fs::read(&beside).map_err(|e| told(&e))?;
-    let over: Value = serde_json::from_slice(&over).map_err(|e| told(&e))?;
-    if over.is_object() { Ok((plan, over)) } else { Err(told(&"an object with settings is needed")) }
+    let settings_file = file.parent().unwrap_or(Path::new(".")).join(&plan.settings);
+    let with_path = |error: &dyn std::fmt::Display| vec![format!("{}: {error}", settings_file.display())];
+    let changes = std::fs::read(&settings_file).map_err(|e| with_path(&e))?;
+    let changes: Value = serde_json::from_slice(&changes).map_err(|e| with_path(&e))?;
+    if changes.is_object() {
+        Ok((plan, changes))
+    } else {
+        Err(with_path(&"expected a JSON object of settings"))
+    }
 }
 
-/// All at once, in the members' order.
-async fn all<T, F>(members: &[(Place, SocketAddr)], call: impl Fn(SocketAddr) -> F) -> Vec<Result<T, Failed>>
+/// Calls all members concurrently; the results are in the order of the members.
+async fn call_all<T, F>(
+    members: &[(Place, SocketAddr)],
+    call: impl Fn(SocketAddr) -> F,
+) -> Vec<Result<T, CallError>>
 where
     T: Send + 'static,
-    F: Future<Output = Result<T, Failed>> + Send + 'static,
+    F: Future<Output = Result<T, CallError>> + Send + 'static,
 {
     let mut calls = JoinSet::new();
-    for (n, (_, at)) in members.iter().enumerate() {
-        let call = call(*at);
+    for (n, (_, addr)) in members.iter().enumerate() {
+        let call = call(*addr);
         calls.spawn(async move { (n, call.await) });
     }
-    let mut said: Vec<_> = members.iter().map(|_| Err(Failed::Unheard("no answer".into()))).collect();
+    let mut results: Vec<_> =
+        members.iter().map(|_| Err(CallError::NoResponse("call did not complete".into()))).collect();
     while let Some(done) = calls.join_next().await {
         if let Ok((n, result)) = done {
-            said[n] = result;
+            results[n] = result;
         }
     }
-    said
+    results
 }
 
-/// What each member would get, and under what number.
+/// A checked change: its epoch and each member's settings before and after it.
 struct Prepared {
     epoch: u64,
     old: Vec<Value>,
     new: Vec<(String, Value)>,
 }
 
-async fn prepare(plan: &Plan, over: &Value) -> Result<Prepared, Wrong> {
+async fn prepare(plan: &Plan, changes: &Value) -> Result<Prepared, Errors> {
     let members = &plan.members;
-    let told: Vec<Result<Status, Failed>> = all(members, |at| async move { ask(at, "status").await }).await;
-    let settings: Vec<Result<Value, Failed>> =
-        all(members, |at| async move { ask(at, "settings").await }).await;
-    let (mut wrong, mut fence, mut old, mut new) = (Vec::new(), 0, Vec::new(), Vec::new());
-    for (((place, at), status), settings) in members.iter().zip(told).zip(settings) {
+    let statuses: Vec<Result<Status, CallError>> =
+        call_all(members, |addr| async move { get(addr, "status").await }).await;
+    let settings: Vec<Result<Value, CallError>> =
+        call_all(members, |addr| async move { get(addr, "settings").await }).await;
+    let (mut errors, mut fence, mut old, mut new) = (Vec::new(), 0, Vec::new(), Vec::new());
+    for (((place, addr), status), settings) in members.iter().zip(statuses).zip(settings) {
         let name = &place.name;
         match (status, settings) {
             (Ok(status), Ok(settings)) => {
                 fence = fence.max(status.fence).max(status.epoch);
                 if status.fleet != plan.fleet {
-                    wrong.push(format!("{name} at {at} is of fleet {:?}", status.fleet));
+                    errors.push(format!("{name} at {addr} belongs to fleet {:?}", status.fleet));
                 } else if status.name != *name {
-                    wrong.push(format!("at {at} is {:?}, not {name:?}", status.name));
+                    errors.push(format!("member at {addr} is {:?}, expected {name:?}", status.name));
                 }
                 if status.unconfirmed {
-                    wrong.push(format!("{name}: epoch {} is in force and not confirmed", status.epoch));
+                    errors.push(format!("{name}: epoch {} is in force but not confirmed", status.epoch));
                 }
-                let changed = merge_settings(settings.clone(), over.clone());
-                // A supervisor checks a program itself: it lies on its own machine.
+                let changed = merge_settings(settings.clone(), changes.clone());
+                // A change of program is checked by each supervisor, since the file is on the supervisor's machine.
                 if let (false, Err(why)) = (plan.programs, check_change(&settings, &changed)) {
-                    wrong.push(format!("{name}: {why}"));
+                    errors.push(format!("{name}: {why}"));
                 }
                 new.push((name.clone(), changed));
                 old.push(settings);
             }
-            (Err(failed), _) | (_, Err(failed)) => wrong.push(format!("{name} at {at} {failed}")),
+            (Err(error), _) | (_, Err(error)) => errors.push(format!("{name} at {addr}: {error}")),
         }
     }
     let epoch = plan.epoch.unwrap_or(fence + 1);
     if epoch <= fence {
-        wrong.push(format!("epoch {epoch} is not above {fence}, which the fleet knows"));
+        errors.push(format!("epoch {epoch} is not above {fence}, the highest epoch known to the fleet"));
     }
-    if wrong.is_empty() && old.iter().zip(&new).all(|(old, new)| *old == new.1) {
-        wrong.push("nothing would change".into());
+    if errors.is_empty() && old.iter().zip(&new).all(|(old, new)| *old == new.1) {
+        errors.push("the settings would not change on any member".into());
     }
-    if wrong.is_empty() { Ok(Prepared { epoch, old, new }) } else { Err(wrong) }
+    if errors.is_empty() { Ok(Prepared { epoch, old, new }) } else { Err(errors) }
 }
 
-/// Requests and fetches a second of all members.
-async fn traffic(members: &[(Place, SocketAddr)]) -> (f64, f64) {
-    let look = || all::<Figures, _>(members, |at| async move { ask(at, "figures").await });
-    let sum = |figures: Vec<Result<Figures, Failed>>| {
-        let of = |figures: &Figures| {
-            let all: u64 = figures.cases.values().map(flintwell_rollout::wire::Ends::all).sum();
-            (all, figures.fetches)
+/// Requests and origin fetches per second, summed over all members.
+async fn measure_traffic(members: &[(Place, SocketAddr)]) -> (f64, f64) {
+    let sample = || call_all::<Figures, _>(members, |addr| async move { get(addr, "figures").await });
+    let sum = |figures: Vec<Result<Figures, CallError>>| {
+        let counts = |figures: &Figures| {
+            let requests: u64 = figures.cases.values().map(flintwell_rollout::wire::Ends::all).sum();
+            (requests, figures.fetches)
         };
-        figures.iter().flatten().map(of).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
+        figures.iter().flatten().map(counts).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     };
-    let before = sum(look().await);
-    tokio::time::sleep(SAMPLED).await;
-    let after = sum(look().await);
-    let rate = |after: u64, before: u64| after.saturating_sub(before) as f64 / SAMPLED.as_secs_f64();
+    let before = sum(sample().await);
+    tokio::time::sleep(TRAFFIC_SAMPLE_TIME).await;
+    let after = sum(sample().await);
+    let rate =
+        |after: u64, before: u64| after.saturating_sub(before) as f64 / TRAFFIC_SAMPLE_TIME.as_secs_f64();
     (rate(after.0, before.0), rate(after.1, before.1))
 }
 
-pub async fn plan(file: &Path) -> Result<u8, Wrong> {
-    let (plan, over) = read(file)?;
-    let prepared = prepare(&plan, &over).await?;
-    println!("epoch {} for {} members of {}", prepared.epoch, plan.members.len(), plan.fleet);
+/// Prints the stages of a rollout and, for a change of settings, its expected load on the origin.
+pub async fn plan(file: &Path) -> Result<u8, Errors> {
+    let (plan, changes) = load_plan(file)?;
+    let prepared = prepare(&plan, &changes).await?;
+    println!("epoch {} for {} members of fleet {}", prepared.epoch, plan.members.len(), plan.fleet);
     let mut from = 0;
     for (n, &to) in plan.stages.iter().enumerate() {
         let names: Vec<&str> = plan.members[from..to].iter().map(|member| &*member.0.name).collect();
-        println!("stage {}: {to} in all, new {}", n + 1, names.join(" "));
+        println!("stage {}: {to} members in total, added: {}", n + 1, names.join(" "));
         from = to;
     }
     if plan.programs {
-        println!("nothing was changed; `flintwell rollout start {}` begins", file.display());
+        println!("nothing has changed; start with `flintwell rollout start {}`", file.display());
         return Ok(0);
     }
-    let lists: Vec<Result<NodeList, Failed>> =
-        all(&plan.members, |at| async move { ask(at, "nodes").await }).await;
+    let lists: Vec<Result<NodeList, CallError>> =
+        call_all(&plan.members, |addr| async move { get(addr, "nodes").await }).await;
     let mut shares = Vec::new();
     for ((old, new), list) in prepared.old.iter().zip(&prepared.new).zip(lists) {
         if let Ok(list) = list {
-            shares.push(moved(old, &new.1, &list).map_err(|why| vec![why])?);
+            shares.push(moved_key_share(old, &new.1, &list).map_err(|why| vec![why])?);
         }
     }
     let share = shares.iter().sum::<f64>() / shares.len().max(1) as f64;
-    let (requests, fetches) = traffic(&plan.members).await;
-    println!("keys that go to another cache first: {:.1} %", share * 100.0);
-    println!("now {requests:.0} requests a second, {fetches:.0} fetches");
+    let (requests, fetches) = measure_traffic(&plan.members).await;
+    println!("keys with a new home cache: {:.1} %", share * 100.0);
+    println!("current traffic: {requests:.0} requests/s, {fetches:.0} origin fetches/s");
     for (n, &to) in plan.stages.iter().enumerate() {
-        let part = to as f64 / plan.members.len() as f64;
-        let asked = fetches + requests * part * share;
-        println!("stage {}: at most {asked:.0} fetches a second until the moved keys are warm", n + 1);
+        let changed = to as f64 / plan.members.len() as f64;
+        let max_fetches = fetches + requests * changed * share;
+        println!(
+            "stage {}: at most {max_fetches:.0} origin fetches/s until the moved keys are cached",
+            n + 1
+        );
     }
-    println!("nothing was changed; `flintwell rollout start {}` begins", file.display());
+    println!("nothing has changed; start with `flintwell rollout start {}`", file.display());
     Ok(0)
 }
 
-pub async fn start(file: &Path) -> Result<u8, Wrong> {
-    let (plan, over) = read(file)?;
-    let mut book = Book::open(&folder(file)).map_err(|why| vec![why])?;
-    let journal = match book.last.clone().filter(|journal| !journal.over()) {
+/// Starts a rollout, or resumes one that is not finished, and runs it to its end.
+pub async fn start(file: &Path) -> Result<u8, Errors> {
+    let (plan, changes) = load_plan(file)?;
+    let mut store = RolloutStore::open(&state_folder(file)).map_err(|why| vec![why])?;
+    let journal = match store.last_state.clone().filter(|journal| !journal.over()) {
         Some(journal) => {
-            println!("goes on with epoch {}, {:?}", journal.epoch, journal.phase);
+            println!("resuming epoch {}, {:?}", journal.epoch, journal.phase);
             journal
         }
         None => {
-            let prepared = prepare(&plan, &over).await?;
+            let prepared = prepare(&plan, &changes).await?;
             let journal = Journal::new(prepared.epoch);
-            book.begin(&journal, &prepared.new).map_err(|why| vec![why])?;
+            store.begin(&journal, &prepared.new).map_err(|why| vec![why])?;
             journal
         }
     };
-    conduct(&plan, book, journal).await
+    conduct(&plan, store, journal).await
 }
 
-pub async fn undo(file: &Path) -> Result<u8, Wrong> {
-    let (plan, _) = read(file)?;
-    let mut book = Book::open(&folder(file)).map_err(|why| vec![why])?;
-    let Some(mut journal) = book.last.clone().filter(|journal| journal.phase == Phase::Done) else {
-        return Err(vec!["nothing was rolled out to its end by this plan; abort one under way".into()]);
+/// Reverts a finished rollout on all members.
+pub async fn undo(file: &Path) -> Result<u8, Errors> {
+    let (plan, _) = load_plan(file)?;
+    let mut store = RolloutStore::open(&state_folder(file)).map_err(|why| vec![why])?;
+    let Some(mut journal) = store.last_state.clone().filter(|journal| journal.phase == Phase::Done) else {
+        return Err(vec!["this plan has no finished rollout; use `abort` for one in progress".into()]);
     };
-    (journal.phase, journal.why) = (Phase::Undoing, "undone by the staff".into());
-    book.write(&journal).map_err(|why| vec![why])?;
-    conduct(&plan, book, journal).await
+    (journal.phase, journal.why) = (Phase::Undoing, "undone by the operator".into());
+    store.append(&journal).map_err(|why| vec![why])?;
+    conduct(&plan, store, journal).await
 }
 
-/// Until it is over.
-async fn conduct(plan: &Plan, mut book: Book, journal: Journal) -> Result<u8, Wrong> {
+/// Runs a rollout until it is done or undone.
+async fn conduct(plan: &Plan, mut store: RolloutStore, journal: Journal) -> Result<u8, Errors> {
     let began = Instant::now();
     let now = || began.elapsed().as_millis() as u64;
     let places: Vec<Place> = plan.members.iter().map(|member| member.0.clone()).collect();
     let mut settings = Vec::new();
     for place in &places {
-        settings.push(book.settings(&place.name).map_err(|why| vec![why])?);
+        settings.push(store.member_settings(&place.name).map_err(|why| vec![why])?);
     }
     let members = places.into_iter().zip(settings.iter().map(hash)).collect();
     let epoch = journal.epoch;
     let mut conductor = Conductor::new(now(), plan.rules.clone(), members, plan.stages.clone(), journal);
-    book.evidence().into_iter().for_each(|kept| conductor.recalls(kept));
-    let mut kept_at = now();
-    let mut turns = interval(TURN);
-    turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut said = String::new();
+    store.load_evidence().into_iter().for_each(|evidence| conductor.recalls(evidence));
+    let mut evidence_saved_at = now();
+    let mut ticks = interval(POLL_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_line = String::new();
     loop {
-        turns.tick().await;
-        let heard: Vec<Result<(Status, Figures), Failed>> = all(&plan.members, |at| async move {
-            let (status, figures) = tokio::join!(ask(at, "status"), ask(at, "figures"));
-            Ok((status?, figures?))
-        })
-        .await;
-        for (n, heard) in heard.into_iter().enumerate() {
-            if let Ok((status, figures)) = heard {
+        ticks.tick().await;
+        let responses: Vec<Result<(Status, Figures), CallError>> =
+            call_all(&plan.members, |addr| async move {
+                let (status, figures) = tokio::join!(get(addr, "status"), get(addr, "figures"));
+                Ok((status?, figures?))
+            })
+            .await;
+        for (n, response) in responses.into_iter().enumerate() {
+            if let Ok((status, figures)) = response {
                 conductor.hears(now(), n, status, Some(figures));
             }
         }
-        match book.ordered() {
+        match store.take_order() {
             Some(Order::Pause) => conductor.pause(true),
             Some(Order::Resume) => conductor.pause(false),
             Some(Order::Abort) if conductor.journal().phase != Phase::Confirming => {
-                conductor.undo("aborted by the staff")
+                conductor.undo("aborted by the operator")
             }
             Some(Order::Abort) => {
-                println!("every stage has passed; it is confirmed first, then undone by `undo`")
+                println!(
+                    "not aborted: all stages have passed; revert with `undo` once the change is confirmed"
+                )
             }
             None => {}
         }
-        let words = conductor.step(now());
-        // Danger: a word spoken before its decision lies on disk would be forgotten by whoever goes on after us.
-        if book.last.as_ref() != Some(conductor.journal()) {
-            book.write(conductor.journal()).map_err(|why| vec![why])?;
+        let messages = conductor.step(now());
+        // Danger: a process that resumes this rollout would not know of messages that were sent before the decision
+        // behind them was on disk.
+        if store.last_state.as_ref() != Some(conductor.journal()) {
+            store.append(conductor.journal()).map_err(|why| vec![why])?;
         }
-        if conductor.journal().phase == Phase::Rolling && now() >= kept_at + KEPT {
-            kept_at = now();
-            book.keeps(&conductor.evidence()).map_err(|why| vec![why])?;
+        if conductor.journal().phase == Phase::Rolling
+            && now() >= evidence_saved_at + EVIDENCE_SAVE_INTERVAL_MS
+        {
+            evidence_saved_at = now();
+            store.save_evidence(&conductor.evidence()).map_err(|why| vec![why])?;
         }
         let report = report(plan, &conductor);
-        book.shows(&report);
+        store.write_report(&report);
         let line = format!("{}", report).lines().take(3).collect::<Vec<_>>().join("; ");
-        if line != said {
+        if line != last_line {
             println!("{line}");
-            said = line;
+            last_line = line;
         }
         if conductor.journal().over() {
             return Ok(u8::from(conductor.journal().phase != Phase::Done));
         }
-        speak(plan, &settings, epoch, &mut conductor, words, &now).await;
+        send_messages(plan, &settings, epoch, &mut conductor, messages, &now).await;
     }
 }
 
-async fn speak(
+/// Sends messages to members concurrently and passes their responses to the conductor.
+async fn send_messages(
     plan: &Plan,
     settings: &[Value],
     epoch: u64,
     conductor: &mut Conductor,
-    words: Vec<(usize, Word)>,
+    messages: Vec<(usize, Word)>,
     now: &impl Fn() -> u64,
 ) {
     let stage = conductor.journal().stages;
-    let mut calls: JoinSet<(usize, Word, Result<Status, Failed>)> = JoinSet::new();
-    for (n, word) in words {
-        let (at, fleet) = (plan.members[n].1, plan.fleet.clone());
+    let mut calls: JoinSet<(usize, Word, Result<Status, CallError>)> = JoinSet::new();
+    for (n, message) in messages {
+        let (addr, fleet) = (plan.members[n].1, plan.fleet.clone());
         let (settings, hash, within_ms) = (settings[n].clone(), hash(&settings[n]), plan.rules.within);
         let named =
             Named { protocol: PROTOCOL, fleet: fleet.clone(), epoch, hash: hash.clone(), within_ms, stage };
         calls.spawn(async move {
-            let said = match word {
+            let result = match message {
                 Word::Stage => {
-                    say(at, "stage", &Stage { protocol: PROTOCOL, fleet, epoch, hash, settings }).await
+                    post(addr, "stage", &Stage { protocol: PROTOCOL, fleet, epoch, hash, settings }).await
                 }
-                Word::Apply => say(at, "apply", &named).await,
-                Word::Renew => say(at, "renew", &named).await,
-                Word::Confirm => say(at, "confirm", &named).await,
-                Word::Revert => say(at, "revert", &named).await,
-                Word::Again => say(at, "again", &named).await,
+                Word::Apply => post(addr, "apply", &named).await,
+                Word::Renew => post(addr, "renew", &named).await,
+                Word::Confirm => post(addr, "confirm", &named).await,
+                Word::Revert => post(addr, "revert", &named).await,
+                Word::Again => post(addr, "again", &named).await,
             };
-            (n, word, said)
+            (n, message, result)
         });
     }
     while let Some(done) = calls.join_next().await {
         match done {
             Ok((n, _, Ok(status))) => conductor.stands(now(), n, status),
-            // What is refused on the way there is refused for good; later words are asked for anew by where it stands.
-            Ok((n, Word::Stage, Err(Failed::Refused(why)))) => conductor.refuses(n, why),
+            // Rejected settings stay rejected. Any later message that fails is sent again according to the status that
+            // the member reports.
+            Ok((n, Word::Stage, Err(CallError::Rejected(why)))) => conductor.refuses(n, why),
             _ => {}
         }
     }
@@ -285,15 +314,17 @@
 
 fn report(plan: &Plan, conductor: &Conductor) -> Report {
     let verdict = match conductor.verdict() {
-        Verdict::Quiet(judged) => format!("no sign of harm in {judged} requests of the new"),
-        Verdict::Worse(measure, by) => format!("the new are worse: {measure}, by {:.1} %", by * 100.0),
+        Verdict::Quiet(judged) => format!("no regression found in {judged} requests to changed members"),
+        Verdict::Worse(measure, by) => {
+            format!("changed members perform worse: {measure}, by {:.1} %", by * 100.0)
+        }
     };
-    let standing = |(n, (place, _)): (usize, &(Place, SocketAddr))| {
+    let member_report = |(n, (place, _)): (usize, &(Place, SocketAddr))| {
         let status = conductor.status(n);
-        Standing {
+        MemberReport {
             name: place.name.clone(),
             zone: place.zone.clone(),
-            heard: status.is_some(),
+            has_answered: status.is_some(),
             epoch: status.map(|status| status.epoch),
             unconfirmed: status.is_some_and(|status| status.unconfirmed),
             program: status.map(|status| status.program.clone()).unwrap_or_default(),
@@ -305,6 +336,6 @@
         stages: plan.stages.clone(),
         hold: conductor.hold().map(str::to_owned),
         verdict,
-        members: plan.members.iter().enumerate().map(standing).collect(),
+        members: plan.members.iter().enumerate().map(member_report).collect(),
     }
 }
--- a/crates/flintwell/tests/process/rollout.rs
+++ b/crates/flintwell/tests/process/rollout.rs
@@ -148,7 +148,7 @@
     let mut stand = Stand::new(shape());
     let plan = stand.plan("good", &harmless());
     let (code, said) = Rolls::start("plan", &plan).ends();
-    assert!(code == 0 && said.contains("go to another cache first: 0.0 %"), "{said}");
+    assert!(code == 0 && said.contains("keys with a new home cache: 0.0 %"), "{said}");
     assert_eq!(stand.epochs(), [0; 6], "a plan changes nothing");
     let (code, said) = Rolls::start("start", &plan).ends();
     assert_eq!((code, stand.epochs()), (0, vec![1; 6]), "{said}");
@@ -168,7 +168,7 @@
     stand.fleet().excused_until(3, until);
     assert_eq!(stand.epochs(), [1; 6]);
     let (code, said) = Rolls::start("undo", &plan).ends();
-    assert!(code == 1 && said.contains("undone by the staff"), "{said}");
+    assert!(code == 1 && said.contains("undone by the operator"), "{said}");
     assert_eq!(stand.epochs(), [0; 6]);
     stand.nothing_lost();
 }
@@ -199,7 +199,7 @@
     drop(rolls);
     stand.until("all went back by themselves", |epochs| epochs == [0; 6]);
     let (code, said) = Rolls::start("start", &plan).ends();
-    assert!(code == 0 && said.contains("goes on with epoch 1"), "{said}");
+    assert!(code == 0 && said.contains("resuming epoch 1"), "{said}");
     assert_eq!(stand.epochs(), [1; 6]);
     stand.nothing_lost();
 }
