--- a/crates/flintwell-settings/src/node_list.rs
+++ b/crates/flintwell-settings/src/node_list.rs
@@ -1,10 +1,10 @@
-//! The list of nodes as discovery tells it.
+//! The node list as received from discovery.
 
 use crate::NetworkSettings;
 use flintwell_core::interface::{Micros, NodeEntry, NodeId, NodeState};
 use serde::{Deserialize, Serialize};
 
-/// One entry as it stands on the wire.
+/// One node of the list, as on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedNode {
     pub id: String,
@@ -17,20 +17,21 @@
     pub cell: u32,
     #[serde(default)]
     pub state: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     #[serde(default)]
     pub started_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// A list, or the changes of one.
+/// A complete node list, or only its changed entries.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct NodeList {
     pub version: u64,
+    /// Whether the list is complete.
     pub full: bool,
     #[serde(rename = "servers")]
     pub nodes: Vec<ListedNode>,
@@ -46,16 +47,17 @@
 }
 
 impl ListedNode {
+    /// Converts to the policy's form, with indices in place of the names of zone and kind.
     pub fn to_node_entry(&self, network: &NetworkSettings) -> NodeEntry {
-        let place = |names: &[String], name: &str| {
-            names.iter().position(|n| n == name).map_or(u32::MAX, |place| place as u32)
+        let index = |names: &[String], name: &str| {
+            names.iter().position(|n| n == name).map_or(u32::MAX, |index| index as u32)
         };
         NodeEntry {
             node: NodeId::from(&*self.id),
-            zone: place(&network.zones, &self.zone),
-            kind: place(&network.kinds, &self.kind),
+            zone: index(&network.zones, &self.zone),
+            kind: index(&network.kinds, &self.kind),
             cell: self.cell,
-            // A standing that is not known is no leave to send.
+            // An unknown state does not permit sending, so it counts as draining.
             state: match &*self.state {
                 "ready" => NodeState::Ready,
                 "gone" => NodeState::Gone,
--- a/crates/flintwell-state/src/lib.rs
+++ b/crates/flintwell-state/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings in force on disk: written whole under another name, told to lie there, then renamed, so that a process
-//! that ends at any point finds the last one whole. The first line is the hash of the rest.
+//! Stores the settings in force on disk. They are written to a temporary file, synced and renamed, so that a process
+//! that ends at any point leaves the last complete record. The first line of the file is the hash of the rest.
 
 use flintwell_rollout::member::Record;
 use flintwell_rollout::wire::hash;
@@ -8,48 +8,51 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-const RECORD: &str = "settings-in-force"; // the file's name
+const RECORD_FILE: &str = "settings-in-force";
 
+/// Store of one record in a folder.
 pub struct RecordStore {
     folder: PathBuf,
 }
 
 impl RecordStore {
-    /// Below this folder, which is made where it is not there.
+    /// Opens the store in the folder `state`, which is created if it does not exist.
     pub fn open(state: &Path) -> Result<Self, String> {
         let opened = fs::create_dir_all(state);
         opened.map_err(|error| format!("state {}: {error}", state.display()))?;
         Ok(RecordStore { folder: state.into() })
     }
 
-    /// What was in force last; none at first. What is not whole is no record, and why.
+    /// Reads the record last in force; `None` if none was written yet. A truncated or altered record is an error.
     pub fn read(&self) -> Result<Option<Record>, String> {
-        let text = match fs::read_to_string(self.folder.join(RECORD)) {
+        let text = match fs::read_to_string(self.folder.join(RECORD_FILE)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-            text => text.map_err(|error| format!("{RECORD}: {error}"))?,
+            text => text.map_err(|error| format!("{RECORD_FILE}: {error}"))?,
         };
-        let told =
+        let parsed =
             text.split_once('\n').and_then(|(sum, rest)| Some((sum, serde_json::from_str(rest).ok()?)));
-        let whole = told.filter(|(sum, value): &(&str, Value)| hash(value) == *sum);
-        let (_, value) = whole.ok_or_else(|| format!("{RECORD} is not whole, and is left out"))?;
-        serde_json::from_value(value).map(Some).map_err(|error| format!("{RECORD}: {error}"))
+        let valid = parsed.filter(|(sum, value): &(&str, Value)| hash(value) == *sum);
+        let (_, value) =
+            valid.ok_or_else(|| format!("{RECORD_FILE} is truncated or altered and is ignored"))?;
+        serde_json::from_value(value).map(Some).map_err(|error| format!("{RECORD_FILE}: {error}"))
     }
 
+    /// Replaces the record; it is durable when this returns.
     pub fn write(&self, record: &Record) -> io::Result<()> {
         let value = serde_json::to_value(record)?;
-        let unfinished = self.folder.join(format!("new-{}", std::process::id()));
-        let written = File::create(&unfinished).and_then(|mut file| {
+        let temporary = self.folder.join(format!("new-{}", std::process::id()));
+        let written = File::create(&temporary).and_then(|mut file| {
             write!(file, "{}\n{value}", hash(&value))?;
             file.sync_all()
         });
-        // Danger: without the folder's own sync a power cut may forget the new name.
-        let named = written.and_then(|()| fs::rename(&unfinished, self.folder.join(RECORD)));
-        let done = named.and_then(|()| File::open(&self.folder)?.sync_all());
-        if done.is_err() {
-            // What is half there would take room.
-            let _ = fs::remove_file(&unfinished);
+        let renamed = written.and_then(|()| fs::rename(&temporary, self.folder.join(RECORD_FILE)));
+        // Danger: a power failure can undo the rename unless the folder is synced, too.
+        let synced = renamed.and_then(|()| File::open(&self.folder)?.sync_all());
+        if synced.is_err() {
+            // Frees the space of a partly written file.
+            let _ = fs::remove_file(&temporary);
         }
-        done
+        synced
     }
 }
 
