--- a/crates/flintwell-supervise/src/speech.rs
+++ b/crates/flintwell-supervise/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 either way: the words that come to us, and what we ask of the process that runs.
+//! HTTP/1.1 in both directions: serves the rollout endpoints of the supervisor and queries the supervised process.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -13,17 +13,21 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-const ASKED: Duration = Duration::from_millis(500); // for a call to the process; half of what our caller waits
-const CALL: Duration = Duration::from_secs(5); // a call's whole life
+/// For a request to the supervised process. Half of the time that callers of the supervisor wait.
+const PROCESS_TIMEOUT: Duration = Duration::from_millis(500);
+/// For a connection to the supervisor, from accept to close.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// A request to the supervisor.
 pub struct Call {
     pub method: Method,
+    /// The path below `/api/rollout/`.
     pub path: String,
     pub body: Bytes,
 }
 
-/// Answers calls of `/api/rollout/` until the runtime ends.
-pub fn hear<F>(listener: TcpListener, answer: impl Fn(Call) -> F + Clone + 'static)
+/// Serves requests below `/api/rollout/` until the runtime ends.
+pub fn serve<F>(listener: TcpListener, handler: impl Fn(Call) -> F + Clone + 'static)
 where
     F: Future<Output = (StatusCode, String)> + 'static,
 {
@@ -33,20 +37,20 @@
                 sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let answer = answer.clone();
+            let handler = handler.clone();
             let service = service_fn(move |request: Request<Incoming>| {
-                let answer = answer.clone();
+                let handler = handler.clone();
                 async move {
                     let (head, body) = request.into_parts();
-                    let most = flintwell_rollout::wire::MESSAGE_MOST;
-                    let (status, text) = match Limited::new(body, most).collect().await {
+                    let max_bytes = flintwell_rollout::wire::MESSAGE_MOST;
+                    let (status, text) = match Limited::new(body, max_bytes).collect().await {
                         Ok(body) => {
                             let path = head.uri.path().strip_prefix("/api/rollout/").unwrap_or("").to_owned();
-                            answer(Call { method: head.method, path, body: body.to_bytes() }).await
+                            handler(Call { method: head.method, path, body: body.to_bytes() }).await
                         }
                         Err(_) => (
                             StatusCode::PAYLOAD_TOO_LARGE,
-                            r#"{"error":"the message is too long or not whole"}"#.into(),
+                            r#"{"error":"message is too long or truncated"}"#.into(),
                         ),
                     };
                     let mut response = Response::new(Full::new(Bytes::from(text + "\n")));
@@ -57,16 +61,16 @@
             spawn_local(async move {
                 let connection =
                     http1::Builder::new().keep_alive(false).serve_connection(TokioIo::new(stream), service);
-                // A caller that has left needs no answer.
-                let _ = timeout(CALL, connection).await;
+                // Errors and time-outs are ignored, since the caller is gone or stalled.
+                let _ = timeout(CONNECTION_TIMEOUT, connection).await;
             });
         }
     });
 }
 
-/// What the process says to a GET, if it says yes.
-pub async fn ask(at: SocketAddr, path: &str) -> Option<Bytes> {
+/// Sends a GET request to the supervised process; returns the body of a successful response.
+pub async fn get(addr: SocketAddr, path: &str) -> Option<Bytes> {
     let (status, text) =
-        flintwell_call::send_request(at, Method::GET, path, Bytes::new(), ASKED).await.ok()?;
+        flintwell_call::send_request(addr, Method::GET, path, Bytes::new(), PROCESS_TIMEOUT).await.ok()?;
     status.is_success().then_some(text)
 }
--- a/crates/flintwell-supervise/src/lib.rs
+++ b/crates/flintwell-supervise/src/lib.rs
@@ -1,9 +1,9 @@
-//! `flintwell supervise`: holds the clients' socket and starts the program at it. Another version is started beside the
-//! one that serves and takes over once it is ready; one that does not become ready never has the socket. A version
-//! comes as a change by the same words as settings do, so the same rollout brings it to a fleet.
+//! `flintwell supervise`: holds the listening socket for clients and runs the program on it. A new version is started
+//! next to the running one and takes over once it is ready; if it does not become ready, the running one stays. Versions
+//! are rolled out with the same messages as settings, so one rollout mechanism serves both.
 
-mod keeper;
-mod speech;
+mod http;
+mod supervisor;
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -15,28 +15,30 @@
 pub struct Settings {
     pub name: String,
     pub fleet: String,
-    /// A folder of this supervisor's own that outlives it.
+    /// A persistent folder that only this supervisor uses.
     pub state: PathBuf,
-    /// Where clients come.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where whoever rolls out speaks to it.
+    /// Address for the rollout API of the supervisor.
     pub control: SocketAddr,
-    /// Second addresses that versions take in turn: two live at once while one takes over.
+    /// Management addresses that successive processes alternate between, since two run during a takeover.
     pub management: [SocketAddr; 2],
-    /// The version to begin with.
+    /// The initial version of the program.
     pub program: PathBuf,
-    /// The program's configuration.
+    /// The configuration file of the program.
     pub config: PathBuf,
-    /// How long a version may take to be ready, seconds.
-    #[serde(default = "ready_within")]
+    /// Time limit for a new process to become ready, in seconds.
+    #[serde(default = "default_ready_within_s")]
     pub ready_within_s: f64,
 }
 
-fn ready_within() -> f64 {
-    6.0 // s; what the operators' platform gives a new process
+/// The time that the operators' platform gives a new process.
+fn default_ready_within_s() -> f64 {
+    6.0
 }
 
 impl Settings {
+    /// Reads and validates a configuration file.
     pub fn read(file: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
         let settings: Settings = toml::from_str(&text).map_err(|error| {
@@ -45,20 +47,23 @@
             format!("{}:{line}: {}", file.display(), error.message())
         })?;
         if !(0.1..=600.0).contains(&settings.ready_within_s) {
-            return Err(format!("{}: ready_within_s has to be a number from 0.1 to 600", file.display()));
+            return Err(format!("{}: ready_within_s must be a number from 0.1 to 600", file.display()));
         }
         let addresses = [settings.listen, settings.control, settings.management[0], settings.management[1]];
         if (1..addresses.len()).any(|n| addresses[..n].contains(&addresses[n])) {
-            return Err(format!("{}: listen, control and both of management have to differ", file.display()));
+            return Err(format!(
+                "{}: listen, control and both management addresses must differ",
+                file.display()
+            ));
         }
         Ok(settings)
     }
 }
 
-/// Until SIGTERM.
+/// Runs the supervisor until SIGTERM or SIGINT.
 pub fn supervise(file: &Path) -> Result<(), String> {
     let settings = Settings::read(file)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| error.to_string())?;
-    tokio::task::LocalSet::new().block_on(&runtime, keeper::keep(settings))
+    tokio::task::LocalSet::new().block_on(&runtime, supervisor::run(settings))
 }
