--- a/crates/flintwell-conduct/src/lib.rs
+++ b/crates/flintwell-conduct/src/lib.rs
@@ -33,8 +33,8 @@
     Undo { plan: PathBuf },
 }
 
-/// Runs a command and returns its exit code: 0 done, 1 reverted or rejected. After an error, for which the program exits
-/// with 2, nothing has changed unless the journal could not be written during a rollout.
+/// Runs a command and returns its exit code: 0 done, 1 reverted or rejected by a member. After an error, for which the
+/// program exits with 2, nothing has changed unless the journal could not be written during a rollout.
 pub fn run(command: Command) -> Result<u8, Vec<String>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| vec![error.to_string()])?;
--- a/crates/flintwell-settings/src/lib.rs
+++ b/crates/flintwell-settings/src/lib.rs
@@ -266,7 +266,7 @@
     })
 }
 
-/// Settings that a proxy needs besides the policy's: names as used in headers and node lists, and connection time-outs.
+/// Settings that a proxy needs besides the policy's: names as used in headers and node lists, and time limits.
 #[derive(Clone, Debug)]
 pub struct NetworkSettings {
     pub classes: Vec<String>,
--- a/crates/flintwell-supervise/src/lib.rs
+++ b/crates/flintwell-supervise/src/lib.rs
@@ -1,6 +1,6 @@
 //! `flintwell supervise`: holds the listening socket for clients and runs the program on it. A new version is started
-//! next to the running one and takes over once it is ready; if it does not become ready, the running one stays. Versions
-//! are rolled out with the same messages as settings, so one rollout mechanism serves both.
+//! next to the running one and takes over once it is ready; if it does not become ready, the running one stays.
+//! Versions are rolled out with the same messages as settings, so one rollout mechanism serves both.
 
 mod http;
 mod supervisor;
