--- a/crates/flintwell/tests/process/handover.rs
+++ b/crates/flintwell/tests/process/handover.rs
@@ -48,20 +48,19 @@
         thread::sleep(Duration::from_millis(n * 50));
         reads_once(addr, &format!("{id}-{n}"), pause)
     });
-    tries.find(|read| read.0 != 503).expect("an answer")
+    tries.find(|read| read.0 != 503).expect("response")
 }
 
 fn reads_once(addr: SocketAddr, id: &str, pause: Duration) -> (u16, usize, u64, bool) {
-    let mut client = Client::at(addr);
-    client.begin("read", id);
+    let mut client = Client::connect(addr);
+    client.send_request("read", id);
     let from = &mut client.0;
     let (mut line, mut chunked, mut length, mut status) = (String::new(), false, 0, 0);
     while from.read_line(&mut line).is_ok_and(|bytes| bytes > 2) {
-        status = if status == 0 { line[9..12].parse().expect("a status") } else { status };
+        status = if status == 0 { line[9..12].parse().expect("status") } else { status };
         let head = line.to_lowercase();
         chunked |= head.contains("chunked");
-        length =
-            head.strip_prefix("content-length: ").map_or(length, |n| n.trim().parse().expect("a length"));
+        length = head.strip_prefix("content-length: ").map_or(length, |n| n.trim().parse().expect("length"));
         line.clear();
     }
     let (mut hash, mut came, mut buffer) = (DefaultHasher::new(), 0, vec![0; PIECE]);
@@ -83,7 +82,7 @@
             if from.read_line(&mut line).is_err() || !line.ends_with("\r\n") {
                 break false;
             }
-            let size = usize::from_str_radix(line.trim(), 16).expect("a size");
+            let size = usize::from_str_radix(line.trim(), 16).expect("size");
             if size == 0 {
                 break true;
             }
@@ -101,16 +100,16 @@
     hash.finish()
 }
 
-fn long_answers() -> Server {
-    Server::start(|message, _| match message.first.as_str() {
-        first if first.contains("told") => Does::Writes(told),
-        first if first.contains("chunks") => Does::Writes(in_chunks),
-        _ => Does::Answers(200, "value"),
+fn long_answers() -> StubServer {
+    StubServer::start(|message, _| match message.start_line.as_str() {
+        first if first.contains("told") => Action::Write(told),
+        first if first.contains("chunks") => Action::Write(in_chunks),
+        _ => Action::Respond(200, "value"),
     })
 }
 
-fn settings(cache: &Server) -> Value {
-    let mut config = config(cache.addr, misses().addr);
+fn settings(cache: &StubServer) -> Value {
+    let mut config = config(cache.addr, not_found_server().addr);
     config["limits"]["sockets"] = json!(1_024);
     config
 }
@@ -132,7 +131,7 @@
 fn right(readers: Vec<thread::JoinHandle<(u16, usize, u64, bool)>>) -> usize {
     let mut all_whole = 0;
     for reader in readers {
-        let (status, came, hash, whole) = reader.join().expect("a client");
+        let (status, came, hash, whole) = reader.join().expect("client thread");
         assert!(status == 200 && came <= LONG && (!whole || came == LONG), "{status}, {came}");
         assert_eq!(hash, hash_of(came), "no byte twice, none left out, of {came}");
         all_whole += usize::from(whole);
@@ -143,8 +142,8 @@
 #[test]
 fn long_answers_outlive_the_process_that_began_them() {
     let (cache, folder) = (long_answers(), Folder::new());
-    let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("a socket"));
-    let addr = socket.local_addr().expect("an address");
+    let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
+    let addr = socket.local_addr().expect("local address");
     let (old, _) = served_by(&socket, &config, &folder.0);
     let slow = readers(addr, 66);
     let quick: Vec<_> = (0..134)
@@ -153,10 +152,10 @@
             thread::spawn(move || {
                 (0..).take_while(|_| Instant::now() < until).fold(0, |failed, k| {
                     let answers = |addr| {
-                        let mut client = Client::at(addr);
-                        client.begin("read", &format!("q{n}-{k}"));
+                        let mut client = Client::connect(addr);
+                        client.send_request("read", &format!("q{n}-{k}"));
                         // Turned back is answered.
-                        client.read().is_some_and(|answer| matches!(answer.status(), 200 | 503))
+                        client.read_response().is_some_and(|answer| matches!(answer.status(), 200 | 503))
                     };
                     thread::sleep(Duration::from_millis(20));
                     failed + usize::from(!answers(addr) && !answers(addr))
@@ -170,17 +169,17 @@
     let most = std::cell::Cell::new(0);
     // It ends once nothing is left with it.
     let old = std::cell::RefCell::new(old);
-    soon("all are handed over", || {
+    wait_until("all are handed over", || {
         most.set(most.get().max(descriptors(&old.borrow()) + descriptors(&new)));
-        old.borrow_mut().child.try_wait().expect("to ask").is_some_and(|status| status.success())
+        old.borrow_mut().child.try_wait().expect("query state").is_some_and(|status| status.success())
     });
     assert!(most.get() <= 1_024, "both within the limit");
     assert!(slow.iter().any(|reader| !reader.is_finished()), "their clients read on");
     assert_eq!(right(slow), 66);
-    assert_eq!(quick.into_iter().map(|one| one.join().expect("a client")).sum::<usize>(), 0);
-    soon("none in hand", || figures(at)["in_progress"] == json!(0));
+    assert_eq!(quick.into_iter().map(|one| one.join().expect("client thread")).sum::<usize>(), 0);
+    wait_until("none in hand", || metrics(at)["in_progress"] == json!(0));
     assert!(
-        figures(at)["passed"]["read"].as_u64().is_some_and(|passed| passed >= 60),
+        metrics(at)["passed"]["read"].as_u64().is_some_and(|passed| passed >= 60),
         "counted where they end"
     );
 }
@@ -192,7 +191,7 @@
     for (n, id) in ["told", "chunks"].into_iter().enumerate() {
         let (at, slow) = (proxy.addr, format!("{id}-slow"));
         let reader = thread::spawn(move || reads(at, &slow, Duration::from_millis(15)));
-        soon("the node has given all of it", || cache.ended() == n + 1);
+        wait_until("the node has given all of it", || cache.closed() == n + 1);
         assert!(!reader.is_finished(), "its client reads on");
         assert_eq!(right(vec![reader]), 1);
     }
@@ -213,14 +212,14 @@
 fn whichever_process_is_killed_while_they_are_handed_over_no_byte_comes_twice() {
     let kills = [(false, 1), (false, 6), (true, 1), (true, 6)];
     let rounds = kills.map(|(kill_old, after)| thread::spawn(move || killed(kill_old, after)));
-    rounds.into_iter().for_each(|round| round.join().expect("a round"));
+    rounds.into_iter().for_each(|round| round.join().expect("test thread"));
 }
 
 fn killed(kill_old: bool, after: u64) {
     let (cache, folder) = (long_answers(), Folder::new());
-    let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("a socket"));
+    let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let (old, _) = served_by(&socket, &config, &folder.0);
-    let slow = readers(socket.local_addr().expect("an address"), 24);
+    let slow = readers(socket.local_addr().expect("local address"), 24);
     thread::sleep(Duration::from_millis(400));
     let (new, _) = served_by(&socket, &config, &folder.0);
     old.signal("-TERM");
@@ -235,24 +234,24 @@
 
 /// A process that is ready, and what it will have logged at its end.
 fn logged(socket: &TcpListener, config: Value, folder: &Path) -> (Proxy, thread::JoinHandle<Vec<String>>) {
-    let (config, at) = managed(config);
+    let (config, at) = with_management(config);
     let (proxy, log) = inheriting(socket, &config, folder);
     let lines = thread::spawn(move || log.lines().map_while(Result::ok).collect());
-    soon("ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
+    wait_until("ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
     (proxy, lines)
 }
 
 /// In a runtime of its own.
 fn runs<T>(work: impl Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(work)
+    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build runtime").block_on(work)
 }
 
 /// A successor that only seems to be one.
 fn seems_to_serve(folder: &Path) -> (std::fs::File, PathBuf) {
     let name = "process-09999999999999999999-1";
-    let mut file = std::fs::File::create(folder.join("flintwell-n0").join(name)).expect("a file");
-    file.try_lock().expect("a lock");
-    file.write_all(b"serves").expect("written");
+    let mut file = std::fs::File::create(folder.join("flintwell-n0").join(name)).expect("write file");
+    file.try_lock().expect("lock file");
+    file.write_all(b"serves").expect("write");
     (file, folder.join("flintwell-n0").join(format!("takes-{name}")))
 }
 
@@ -260,18 +259,18 @@
 fn with_a_successor_that_does_not_take_over_the_old_one_goes_on_as_ever() {
     for version in [None, Some("flintwell hand-over 2"), Some("")] {
         let (cache, folder) = (long_answers(), Folder::new());
-        let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("a socket"));
+        let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
         let (old, lines) = logged(&socket, config, &folder.0);
-        let slow = readers(socket.local_addr().expect("an address"), 6);
+        let slow = readers(socket.local_addr().expect("local address"), 6);
         thread::sleep(Duration::from_millis(300));
         let (_lock, path) = seems_to_serve(&folder.0);
         let successor = thread::spawn(move || {
             runs(async move {
                 let Some(version) = version else { return };
-                let mut listener = UnixSeqpacketListener::bind(path).expect("a listener");
-                let forerunner = listener.accept().await.expect("the old one");
+                let mut listener = UnixSeqpacketListener::bind(path).expect("bind handover socket");
+                let forerunner = listener.accept().await.expect("predecessor connects");
                 if !version.is_empty() {
-                    forerunner.send(version.as_bytes()).await.expect("said");
+                    forerunner.send(version.as_bytes()).await.expect("send message");
                 }
                 tokio::time::sleep(Duration::from_secs(2)).await;
             });
@@ -279,9 +278,9 @@
         thread::sleep(Duration::from_millis(100));
         old.signal("-TERM");
         assert_eq!(right(slow), 6, "{version:?}");
-        successor.join().expect("the other one");
+        successor.join().expect("successor thread");
         drop(old);
-        let lines = lines.join().expect("its log");
+        let lines = lines.join().expect("stderr");
         assert_eq!(lines.iter().filter(|line| line.contains("takes over no long")).count(), 1, "{lines:?}");
     }
 }
@@ -289,41 +288,41 @@
 #[test]
 fn what_is_no_hand_over_is_refused_with_a_line_and_nothing_else_is_harmed() {
     let (cache, folder) = (long_answers(), Folder::new());
-    let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("a socket"));
+    let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let (proxy, lines) = logged(&socket, config, &folder.0);
-    let named = std::fs::read_dir(folder.0.join("flintwell-n0")).expect("its folder").flatten();
+    let named = std::fs::read_dir(folder.0.join("flintwell-n0")).expect("read state directory").flatten();
     let takes = named.map(|entry| entry.path()).find(|path| path.to_string_lossy().contains("takes-"));
-    let takes = takes.expect("where it takes over");
-    let (file, listening) = (std::fs::File::open("/proc/self/stat").expect("a file"), &socket);
-    let peer = TcpStream::connect(cache.addr).expect("a connection");
+    let takes = takes.expect("handover socket path");
+    let (file, listening) = (std::fs::File::open("/proc/self/stat").expect("write file"), &socket);
+    let peer = TcpStream::connect(cache.addr).expect("connect");
     let note = |unwritten: usize| {
         json!({"case": 0, "rest": null, "chunked": false, "open": true, "left": 0, "unwritten": unwritten, "kept": 0})
             .to_string()
             + "\n"
     };
-    assert_eq!(proxy.client().ask("read", "before").status(), 200);
+    assert_eq!(proxy.client().request("read", "before").status(), 200);
     thread::sleep(Duration::from_millis(300));
     let before = descriptors(&proxy);
     runs(async {
         let meet = async |hello: &[u8]| {
-            let meets = UnixSeqpacket::connect(&takes).await.expect("its socket");
-            meets.send(hello).await.expect("said");
+            let meets = UnixSeqpacket::connect(&takes).await.expect("connect to handover socket");
+            meets.send(hello).await.expect("send message");
             let mut word = [0; 64];
-            let said = meets.recv(&mut word).await.expect("a word").bytes_read();
+            let said = meets.recv(&mut word).await.expect("receive reply").bytes_read();
             assert_eq!(&word[..said], b"flintwell hand-over 1");
             meets
         };
         // Of another version: it hears ours, and nothing more.
         let other = meet(b"flintwell hand-over 7").await;
-        assert_eq!(other.recv(&mut [0; 16]).await.expect("the end").bytes_read(), 0);
+        assert_eq!(other.recv(&mut [0; 16]).await.expect("end of stream").bytes_read(), 0);
         let meets = meet(b"flintwell hand-over 1").await;
         let offer = async |words: &[u8], sockets: &[std::os::fd::BorrowedFd<'_>]| {
             let mut ancillary = [0; 256];
             let mut ancillary = AncillaryMessageWriter::new(&mut ancillary);
-            ancillary.add_fds(sockets.iter()).expect("room");
-            meets.send_with_ancillary(words, &mut ancillary).await.expect("sent");
+            ancillary.add_fds(sockets.iter()).expect("room for descriptors");
+            meets.send_with_ancillary(words, &mut ancillary).await.expect("send datagram");
             let mut word = [0; 16];
-            let said = meets.recv(&mut word).await.expect("a word").bytes_read();
+            let said = meets.recv(&mut word).await.expect("receive reply").bytes_read();
             String::from_utf8_lossy(&word[..said]).into_owned()
         };
         let (whole, cut) = (note(0), note(9));
@@ -342,12 +341,12 @@
         }
         assert_eq!(offer(whole.as_bytes(), &[peer]).await, "taken", "a good one after all these");
     });
-    soon("its descriptors are closed", || descriptors(&proxy) <= before + 1);
-    assert_eq!(proxy.client().ask("read", "after").status(), 200);
+    wait_until("its descriptors are closed", || descriptors(&proxy) <= before + 1);
+    assert_eq!(proxy.client().request("read", "after").status(), 200);
     // Its log is written by a thread of its own, which a kill would cut short.
     thread::sleep(Duration::from_millis(300));
     drop(proxy);
-    let lines = lines.join().expect("its log");
+    let lines = lines.join().expect("stderr");
     let refused = |line: &&String| line.contains("was not taken over") || line.contains("another version");
     assert_eq!(lines.iter().filter(refused).count(), 9, "{lines:#?}");
 }
--- a/crates/flintwell/tests/process/overload.rs
+++ b/crates/flintwell/tests/process/overload.rs
@@ -49,15 +49,15 @@
 
 impl Discovery {
     fn start(queue: Queue, servers: Vec<(String, SocketAddr, &'static str)>) -> (Arc<Discovery>, SocketAddr) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind listener");
+        let addr = listener.local_addr().expect("local address");
         let told = Mutex::new(Told { version: 1, ..Told::default() });
         let open = Mutex::default();
         let discovery = Arc::new(Discovery { queue, servers, told, changed: Condvar::new(), open });
         let serving = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                serving.open.lock().expect("no panic").push(stream.try_clone().expect("a clone"));
+                serving.open.lock().expect("not poisoned").push(stream.try_clone().expect("clone socket"));
                 let serving = serving.clone();
                 thread::spawn(move || serving.converse(&stream));
             }
@@ -75,7 +75,7 @@
                 return;
             }
             watches = true;
-            let text = self.answer(&message.first);
+            let text = self.answer(&message.start_line);
             let head = format!("HTTP/1.1 200 -\r\nContent-Length: {}\r\n\r\n", text.len());
             if writer.write_all((head + &text).as_bytes()).is_err() {
                 return;
@@ -87,7 +87,7 @@
     fn waits_its_turn(&self) -> bool {
         let now = Instant::now();
         let (wait, taken) = {
-            let mut told = self.told.lock().expect("no panic");
+            let mut told = self.told.lock().expect("not poisoned");
             told.calls += 1;
             let ends = told.busy_until.map_or(now, |busy| busy.max(now)) + self.queue.each;
             let taken = ends - now <= self.queue.longest;
@@ -110,9 +110,9 @@
             text.parse::<u64>().ok()
         };
         let wait = Duration::from_millis(number("timeout_ms=").unwrap_or(0));
-        let told = self.told.lock().expect("no panic");
+        let told = self.told.lock().expect("not poisoned");
         let nothing_new = |told: &mut Told| number("since=").is_some_and(|since| since >= told.version);
-        let (mut told, _) = self.changed.wait_timeout_while(told, wait, nothing_new).expect("no panic");
+        let (mut told, _) = self.changed.wait_timeout_while(told, wait, nothing_new).expect("not poisoned");
         if nothing_new(&mut told) {
             return json!({"version": told.version, "full": false, "servers": []}).to_string();
         }
@@ -121,13 +121,13 @@
         }
         let state = |id: &String| if told.draining.contains(id) { "draining" } else { "ready" };
         let entries: Vec<Value> =
-            self.servers.iter().map(|(id, addr, kind)| entry(id, *addr, kind, state(id))).collect();
+            self.servers.iter().map(|(id, addr, kind)| node_entry(id, *addr, kind, state(id))).collect();
         json!({"version": told.version, "full": true, "servers": entries}).to_string()
     }
 
     /// A server begins to drain.
     fn drains(&self, id: &str) -> Instant {
-        let mut told = self.told.lock().expect("no panic");
+        let mut told = self.told.lock().expect("not poisoned");
         told.version += 1;
         told.draining.push(id.to_owned());
         self.changed.notify_all();
@@ -136,13 +136,13 @@
 
     /// Resets every connection, so that all watches end.
     fn resets_all(&self) {
-        for stream in self.open.lock().expect("no panic").drain(..) {
+        for stream in self.open.lock().expect("not poisoned").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
     fn told(&self) -> usize {
-        self.told.lock().expect("no panic").answered.len()
+        self.told.lock().expect("not poisoned").answered.len()
     }
 }
 
@@ -157,12 +157,14 @@
 /// So many proxies start as one; at `resets`, if given, all watches end; at `drains` a server begins to drain.
 fn plays(fleet: usize, queue: Queue, resets: Option<Duration>, drains: Duration, ends: Duration) -> Day {
     let _alone = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
-    let caches: Vec<Server> = (0..4).map(|_| Server::start(|_, _| Does::Answers(200, "value"))).collect();
-    let origin = Server::start(|_, _| Does::Answers(200, "value"));
+    let caches: Vec<StubServer> =
+        (0..4).map(|_| StubServer::start(|_, _| Action::Respond(200, "value"))).collect();
+    let origin = StubServer::start(|_, _| Action::Respond(200, "value"));
     let mut servers: Vec<(String, SocketAddr, &'static str)> =
         caches.iter().enumerate().map(|(n, cache)| (format!("c{n}"), cache.addr, "cache")).collect();
     servers.push(("o".into(), origin.addr, "origin"));
-    let listed: Vec<Value> = servers.iter().map(|(id, addr, kind)| entry(id, *addr, kind, "ready")).collect();
+    let listed: Vec<Value> =
+        servers.iter().map(|(id, addr, kind)| node_entry(id, *addr, kind, "ready")).collect();
     let (discovery, at) = Discovery::start(queue, servers);
     let proxies: Vec<Proxy> = (0..fleet)
         .map(|n| {
@@ -182,12 +184,12 @@
         .map(|n| {
             let addr = proxies[n].addr;
             thread::spawn(move || {
-                let mut client = Client::at(addr);
+                let mut client = Client::connect(addr);
                 for request in 0.. {
                     if start.elapsed() > ends {
                         return;
                     }
-                    client.ask("read", &format!("{n}-{request}"));
+                    client.request("read", &format!("{n}-{request}"));
                     thread::sleep(Duration::from_millis(150));
                 }
             })
@@ -201,15 +203,15 @@
     let changed = discovery.drains("c0");
     let allowed = changed + TOLD + GRACE + SLACK;
     thread::sleep(allowed.saturating_duration_since(Instant::now()));
-    let before = caches[0].heard().len();
+    let before = caches[0].requests().len();
     let mut late = Vec::new();
     while start.elapsed() < ends {
         thread::sleep(Duration::from_millis(10));
-        let heard = caches[0].heard().len() - before;
+        let heard = caches[0].requests().len() - before;
         late.resize(heard, (Instant::now() - allowed).as_secs_f64());
     }
-    clients.into_iter().for_each(|client| client.join().expect("no panic"));
-    let calls = discovery.told.lock().expect("no panic").calls;
+    clients.into_iter().for_each(|client| client.join().expect("thread panicked"));
+    let calls = discovery.told.lock().expect("not poisoned").calls;
     Day { late, told: discovery.told(), calls }
 }
 
@@ -250,11 +252,11 @@
 fn days_of_overlapping_faults_round_a_busy_discovery_break_no_rule() {
     let _alone = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("build runtime");
     for seed in 0..2 {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("create directory");
         let day = runtime.block_on(soak::play(seed, 24, Path::new(PROGRAM), folder.path()));
-        let day = day.expect("it was played");
+        let day = day.expect("run scenario");
         assert!(day.broken.is_empty(), "seed {seed}: {:#?}", day.broken);
         assert!(day.served * 10 > day.requests * 7, "seed {seed}: {} of {}", day.served, day.requests);
     }
--- a/crates/flintwell/tests/process/plans.rs
+++ b/crates/flintwell/tests/process/plans.rs
@@ -6,11 +6,11 @@
 
 fn played(name: &str) -> Outcome {
     let plans = Path::new(env!("CARGO_MANIFEST_DIR")).join("../flintwell-rig/plans");
-    let plan = Plan::read(&plans.join(name)).expect("a plan");
-    let folder = tempfile::tempdir().expect("a folder");
+    let plan = Plan::read(&plans.join(name)).expect("read plan");
+    let folder = tempfile::tempdir().expect("create directory");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let played = runtime.expect("a runtime").block_on(plan.run(Path::new(PROGRAM), folder.path()));
-    let outcome = played.expect("it was played");
+    let played = runtime.expect("build runtime").block_on(plan.run(Path::new(PROGRAM), folder.path()));
+    let outcome = played.expect("run scenario");
     assert!(outcome.breaches.is_empty(), "{:#?}", outcome.breaches);
     outcome
 }
@@ -36,7 +36,7 @@
 fn watches_that_fall_silent_all_at_once_send_nothing_to_what_drains_meanwhile() {
     let (asked, pushed) = ("watches-silent-asked.toml", "watches-silent-pushed.toml");
     let plays = [asked, pushed].map(|plan| std::thread::spawn(|| played(plan)));
-    for outcome in plays.map(|play| play.join().expect("no rule broken")) {
+    for outcome in plays.map(|play| play.join().expect("scenario thread")) {
         let all: usize = outcome.seconds.iter().map(|one| one.requests).sum();
         assert!(all > 2_000, "{all}");
     }
--- a/crates/flintwell/tests/process/rollout.rs
+++ b/crates/flintwell/tests/process/rollout.rs
@@ -1,6 +1,6 @@
 //! Changes of settings on several real processes under traffic, with faults on the paths between them.
 
-use crate::support::{get, says, soon};
+use crate::support::{get, raw_call, wait_until};
 use flintwell_rig::fleet::{Fleet, Shape};
 use flintwell_rig::relay::Way;
 use flintwell_standins::world::Fault;
@@ -24,11 +24,12 @@
 
 impl Stand {
     pub fn new(shape: Shape) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("create directory");
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-        let runtime = runtime.expect("a runtime");
+        let runtime = runtime.expect("build runtime");
         let fleet = runtime.block_on(async {
-            let mut fleet = Fleet::start(shape, Path::new(PROGRAM), folder.path()).await.expect("a fleet");
+            let mut fleet =
+                Fleet::start(shape, Path::new(PROGRAM), folder.path()).await.expect("running fleet");
             fleet.comes(1, DAY);
             fleet
         });
@@ -36,7 +37,7 @@
     }
 
     pub fn fleet(&mut self) -> &mut Fleet {
-        self.fleet.as_mut().expect("a fleet")
+        self.fleet.as_mut().expect("running fleet")
     }
 
     /// A plan of these settings, with times of seconds.
@@ -54,13 +55,13 @@
             let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.staff);
             text += &format!("[[members]]\nname = \"{name}\"\nzone = \"{zone}\"\nat = \"{at}\"\n");
         }
-        std::fs::write(&file, text).expect("a plan");
+        std::fs::write(&file, text).expect("read plan");
         file
     }
 
     pub fn epochs(&mut self) -> Vec<u64> {
         let staff: Vec<_> = self.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
-        staff.into_iter().map(|at| status(at)["epoch"].as_u64().expect("an epoch")).collect()
+        staff.into_iter().map(|at| status(at)["epoch"].as_u64().expect("epoch")).collect()
     }
 
     /// Waits until it holds of the epochs in force.
@@ -75,7 +76,7 @@
     /// Every request so far had its answer, and no rule is broken.
     pub fn nothing_lost(&mut self) {
         let book = self.fleet().book.clone();
-        soon("there is traffic", || book.all().len() > 100);
+        wait_until("there is traffic", || book.all().len() > 100);
         let breaches = self.fleet().breaches();
         assert!(breaches.is_empty(), "{breaches:#?}");
     }
@@ -84,12 +85,12 @@
 impl Drop for Stand {
     fn drop(&mut self) {
         self.fleet.take();
-        self.runtime.take().expect("it").shutdown_background();
+        self.runtime.take().expect("present").shutdown_background();
     }
 }
 
 pub fn status(at: std::net::SocketAddr) -> Value {
-    serde_json::from_str(&get(at, "/api/rollout/status").1).expect("a status")
+    serde_json::from_str(&get(at, "/api/rollout/status").1).expect("status")
 }
 
 fn shape() -> Shape {
@@ -105,21 +106,21 @@
     pub fn start(command: &str, plan: &Path) -> Self {
         let mut program = Command::new(PROGRAM);
         program.args(["rollout", command]).arg(plan).stdout(Stdio::piped()).stderr(Stdio::piped());
-        Rolls(program.spawn().expect("the program"))
+        Rolls(program.spawn().expect("spawn flintwell"))
     }
     /// Its exit code and all that it said.
     pub fn ends(mut self) -> (i32, String) {
         let began = Instant::now();
-        while self.0.try_wait().expect("its state").is_none() {
+        while self.0.try_wait().expect("query state").is_none() {
             assert!(began.elapsed() < ENDS, "it does not end");
             thread::sleep(Duration::from_millis(20));
         }
         let mut said = String::new();
-        let (out, err) = (self.0.stdout.take().expect("out"), self.0.stderr.take().expect("err"));
+        let (out, err) = (self.0.stdout.take().expect("stdout"), self.0.stderr.take().expect("stderr"));
         for mut pipe in [Box::new(out) as Box<dyn std::io::Read>, Box::new(err)] {
-            pipe.read_to_string(&mut said).expect("text");
+            pipe.read_to_string(&mut said).expect("UTF-8");
         }
-        (self.0.wait().expect("its end").code().expect("a code"), said)
+        (self.0.wait().expect("exit status").code().expect("exit code"), said)
     }
 }
 
@@ -163,7 +164,7 @@
     let now = stand.fleet().world.now_ms();
     stand.fleet().excuses(3, now - 1_500.0, f64::MAX);
     stand.fleet().proxies[3].process.kills();
-    stand.fleet().proxies[3].process.starts().expect("started");
+    stand.fleet().proxies[3].process.starts().expect("start proxy");
     let until = stand.fleet().world.now_ms() + 500.0;
     stand.fleet().excused_until(3, until);
     assert_eq!(stand.epochs(), [1; 6]);
@@ -215,7 +216,7 @@
     thread::sleep(Duration::from_millis(1_500));
     assert_eq!(stand.fleet().way("n0", "staff", Way::Cut), 1);
     let report = || -> String { Rolls::start("status", &plan).ends().1 };
-    soon("it is held", || report().contains("not heard: n0"));
+    wait_until("it is held", || report().contains("not heard: n0"));
     thread::sleep(Duration::from_secs(3));
     assert!(report().contains("stage 1 of 3"), "{}", report());
     stand.fleet().way("n0", "staff", Way::Passes);
@@ -233,7 +234,7 @@
     // The origin takes nothing: what is new or written is lost everywhere.
     assert!(stand.fleet().world.fault("origin", Fault::Full));
     let report = || -> String { Rolls::start("status", &plan).ends().1 };
-    soon("it is held", || report().contains("both worse"));
+    wait_until("it is held", || report().contains("both worse"));
     thread::sleep(Duration::from_secs(1));
     assert!(stand.fleet().world.fault("origin", Fault::None));
     let (code, said) = rolls.ends();
@@ -259,13 +260,13 @@
     let (at, state) = (stand.fleet().proxies[0].staff, stand.fleet().proxies[0].state.clone());
     let before = status(at);
     let settings = get(at, "/api/rollout/settings").1;
-    let hash = flintwell_rollout::wire::hash(&serde_json::from_str(&settings).expect("JSON"));
+    let hash = flintwell_rollout::wire::hash(&serde_json::from_str(&settings).expect("valid JSON"));
     let stage = |fleet: &str, hash: &str| {
         format!(r#"{{"protocol":1,"fleet":"{fleet}","epoch":1,"hash":"{hash}","settings":{settings}}}"#)
     };
     let post = |path: &str, body: &str| {
         let length = body.len();
-        says(at, &format!("POST {path} HTTP/1.1\r\nHost: m\r\nContent-Length: {length}\r\n\r\n{body}"))
+        raw_call(at, &format!("POST {path} HTTP/1.1\r\nHost: m\r\nContent-Length: {length}\r\n\r\n{body}"))
     };
     let path = "/api/rollout/stage";
     let long = format!(r#"{{"fleet":"{}"}}"#, "x".repeat(300_000));
@@ -285,7 +286,7 @@
     assert_eq!(get(at, "/api/rollout/nothing").0, 404);
     assert_eq!(status(at), before);
     // The disk takes nothing: no step is taken that it does not know of.
-    std::fs::remove_dir_all(&state).expect("its folder gone");
+    std::fs::remove_dir_all(&state).expect("remove state directory");
     let (told, said, _) = post(path, &stage("rig", &hash));
     assert!(told == 507 && said.contains("nothing has changed"), "{told}: {said}");
     assert_eq!(status(at), before);
@@ -298,8 +299,8 @@
     let plan = stand.plan("wrong", &json!({"specifics": {"mode": "through"}}));
     let (code, said) = Rolls::start("start", &plan).ends();
     assert!(code == 2 && said.matches("specifics can't change without a restart").count() == 2, "{said}");
-    let text = std::fs::read_to_string(&plan).expect("it").replace("observe_s", "observed_s");
-    std::fs::write(&plan, text.replace("n1", "n0")).expect("written");
+    let text = std::fs::read_to_string(&plan).expect("present").replace("observe_s", "observed_s");
+    std::fs::write(&plan, text.replace("n1", "n0")).expect("write");
     let (code, said) = Rolls::start("start", &plan).ends();
     assert!(
         code == 2 && said.contains(":6: unknown key \"observed_s\"") && said.contains("is there twice"),
--- a/crates/flintwell/tests/process/stale_list.rs
+++ b/crates/flintwell/tests/process/stale_list.rs
@@ -12,24 +12,26 @@
 
 /// A cache that has left, an origin, and a discovery that knows of it but answers its first call only after a while.
 struct World {
-    cache: Server,
-    origin: Server,
-    discovery: Server,
+    cache: StubServer,
+    origin: StubServer,
+    discovery: StubServer,
 }
 
 impl World {
     fn start(answers_after: Duration) -> World {
         let (cache, origin) = (
-            Server::start(|_, _| Does::Answers(200, "kept")),
-            Server::start(|_, _| Does::Answers(200, "fetched")),
+            StubServer::start(|_, _| Action::Respond(200, "kept")),
+            StubServer::start(|_, _| Action::Respond(200, "fetched")),
         );
         let list: &'static str = json!({"version": 9, "full": true, "servers": [
-            entry("c", cache.addr, "cache", "draining"), entry("o", origin.addr, "origin", "ready")]})
+            node_entry("c", cache.addr, "cache", "draining"), node_entry("o", origin.addr, "origin", "ready")]})
         .to_string()
         .leak();
-        let discovery = Server::start(move |message, _| match message.first.contains("since=9&") {
-            true => Does::Waits(Duration::from_secs(2), r#"{"version":9,"full":false,"servers":[]}"#),
-            false => Does::Waits(answers_after, list),
+        let discovery = StubServer::start(move |message, _| match message.start_line.contains("since=9&") {
+            true => {
+                Action::RespondAfter(Duration::from_secs(2), r#"{"version":9,"full":false,"servers":[]}"#)
+            }
+            false => Action::RespondAfter(answers_after, list),
         });
         World { cache, origin, discovery }
     }
@@ -52,8 +54,8 @@
         if start.elapsed() > ends {
             break;
         }
-        let answer = client.ask("read", &format!("k{request}"));
-        assert!(matches!(answer.status(), 200 | 503), "{}", answer.first);
+        let answer = client.request("read", &format!("k{request}"));
+        assert!(matches!(answer.status(), 200 | 503), "{}", answer.start_line);
         served += usize::from(answer.body == "fetched");
         thread::sleep(Duration::from_millis(20));
     }
@@ -67,7 +69,7 @@
         let world = World::start(Duration::from_millis(1_500));
         let proxy = Proxy::start(&world.config(pushed));
         let served = served(&proxy, Duration::from_secs(3));
-        assert_eq!(world.cache.heard().len(), 0, "pushed {pushed}: sent to the cache that had left");
+        assert_eq!(world.cache.requests().len(), 0, "pushed {pushed}: sent to the cache that had left");
         assert!(served > 10, "pushed {pushed}: {served} served once discovery had answered");
     }
 }
@@ -78,32 +80,33 @@
 fn restarted_processes_of_a_large_fleet_send_nothing_to_a_server_that_left_while_they_were_dead() {
     let (fleet, told_fleet) = (32, 300);
     let left = Arc::new(AtomicBool::new(false));
-    let caches: Vec<Server> = (0..4).map(|_| Server::start(|_, _| Does::Answers(200, "kept"))).collect();
-    let origin = Server::start(|_, _| Does::Answers(200, "fetched"));
+    let caches: Vec<StubServer> =
+        (0..4).map(|_| StubServer::start(|_, _| Action::Respond(200, "kept"))).collect();
+    let origin = StubServer::start(|_, _| Action::Respond(200, "fetched"));
     let list = |version: u64, first: &str| -> &'static str {
         let mut servers: Vec<Value> = caches
             .iter()
             .enumerate()
             .map(|(n, cache)| {
-                entry(&format!("c{n}"), cache.addr, "cache", if n == 0 { first } else { "ready" })
+                node_entry(&format!("c{n}"), cache.addr, "cache", if n == 0 { first } else { "ready" })
             })
             .collect();
-        servers.push(entry("o", origin.addr, "origin", "ready"));
+        servers.push(node_entry("o", origin.addr, "origin", "ready"));
         json!({"version": version, "full": true, "servers": servers}).to_string().leak()
     };
     let (before, after) = (list(1, "ready"), list(2, "draining"));
     let leaves = left.clone();
-    let discovery = Server::start(move |message, _| {
-        let has = |version: &str| message.first.contains(&format!("since={version}&"));
+    let discovery = StubServer::start(move |message, _| {
+        let has = |version: &str| message.start_line.contains(&format!("since={version}&"));
         match leaves.load(Ordering::SeqCst) {
             false if has("1") => {
-                Does::Waits(Duration::from_millis(300), r#"{"version":1,"full":false,"servers":[]}"#)
+                Action::RespondAfter(Duration::from_millis(300), r#"{"version":1,"full":false,"servers":[]}"#)
             }
-            false => Does::Answers(200, before),
+            false => Action::Respond(200, before),
             true if has("2") => {
-                Does::Waits(Duration::from_millis(300), r#"{"version":2,"full":false,"servers":[]}"#)
+                Action::RespondAfter(Duration::from_millis(300), r#"{"version":2,"full":false,"servers":[]}"#)
             }
-            true => Does::Answers(200, after),
+            true => Action::Respond(200, after),
         }
     });
     let config = |n: usize| {
@@ -111,7 +114,7 @@
         config["name"] = json!(format!("n{n}"));
         config["discovery"] = json!(discovery.addr.to_string());
         config["seed"] = json!(format!("{n:016x}"));
-        config["known"] = serde_json::from_str(before).expect("JSON");
+        config["known"] = serde_json::from_str(before).expect("valid JSON");
         config["settings"]["index"] = json!(n * told_fleet / fleet);
         config["settings"]["fleet_size"] = json!(told_fleet);
         config["settings"]["guarantees"]["stop_sending_within"] = json!(GRACE.as_secs_f64());
@@ -133,88 +136,89 @@
                 for request in 0..300 {
                     let late = Instant::now() > allowed;
                     let id = format!("late-{n}-{request}");
-                    client.ask("read", &id);
+                    client.request("read", &id);
                     let heard =
-                        || cache.heard().iter().any(|message| message.header("x-request-id") == Some(&id));
+                        || cache.requests().iter().any(|message| message.header("x-request-id") == Some(&id));
                     if late && heard() {
-                        *heard_late.lock().expect("no panic") += 1;
+                        *heard_late.lock().expect("not poisoned") += 1;
                     }
                     thread::sleep(Duration::from_millis(20));
                 }
             });
         }
     });
-    let late = *heard_late.lock().expect("no panic");
+    let late = *heard_late.lock().expect("not poisoned");
     assert_eq!(late, 0, "requests to the server that had left, by processes younger than its end");
 }
 
 /// What an earlier process of this proxy left, with its age, is acted on at once, and for no longer than its age allows.
 #[test]
 fn a_list_left_by_an_earlier_process_serves_at_once_for_what_is_left_of_its_time() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (cache, origin) = (Server::start(|_, _| Does::Answers(200, "kept")), misses());
+    let folder = tempfile::tempdir().expect("create directory");
+    let (cache, origin) = (StubServer::start(|_, _| Action::Respond(200, "kept")), not_found_server());
     let silent = Arc::new(AtomicBool::new(false));
     let falls_silent = silent.clone();
-    let discovery = Server::start(move |_, _| match falls_silent.load(Ordering::SeqCst) {
-        true => Does::Hangs,
-        false => Does::HasNothingNew,
+    let discovery = StubServer::start(move |_, _| match falls_silent.load(Ordering::SeqCst) {
+        true => Action::Hang,
+        false => Action::RespondUnchanged,
     });
     let mut config = config(cache.addr, origin.addr);
     config["discovery"] = json!(discovery.addr.to_string());
     let first = Proxy::start_in(&config, folder.path());
-    assert_eq!(first.client().ask("read", "k0").body, "kept");
+    assert_eq!(first.client().request("read", "k0").body, "kept");
     thread::sleep(Duration::from_millis(500));
     silent.store(true, Ordering::SeqCst);
     drop(first);
     let dead = Instant::now();
     let second = Proxy::start_in(&config, folder.path());
-    assert_eq!(second.client().ask("read", "k1").body, "kept", "while what it may lack does not count");
+    assert_eq!(second.client().request("read", "k1").body, "kept", "while what it may lack does not count");
     thread::sleep(Duration::from_millis(6_200).saturating_sub(dead.elapsed()));
-    assert_eq!(second.client().ask("read", "k2").status(), 503, "older than any lease");
+    assert_eq!(second.client().request("read", "k2").status(), 503, "older than any lease");
     drop(second);
     let third = Proxy::start_in(&config, folder.path());
-    assert_eq!(third.client().ask("read", "k3").status(), 503, "a start makes no list younger");
+    assert_eq!(third.client().request("read", "k3").status(), 503, "a start makes no list younger");
 }
 
 #[test]
 fn a_new_configuration_makes_no_list_younger() {
-    let (cache, origin) = (Server::start(|_, _| Does::Answers(200, "kept")), misses());
-    let silent = Server::start(|_, _| Does::Hangs);
+    let (cache, origin) = (StubServer::start(|_, _| Action::Respond(200, "kept")), not_found_server());
+    let silent = StubServer::start(|_, _| Action::Hang);
     let mut config = config(cache.addr, origin.addr);
-    let discovery = Server::start(|_, number| if number == 0 { Does::HasNothingNew } else { Does::Hangs });
+    let discovery =
+        StubServer::start(|_, number| if number == 0 { Action::RespondUnchanged } else { Action::Hang });
     config["discovery"] = json!(discovery.addr.to_string());
     let proxy = Proxy::start(&config);
-    assert_eq!(proxy.client().ask("read", "k0").body, "kept");
+    assert_eq!(proxy.client().request("read", "k0").body, "kept");
     let confirmed = Instant::now();
     thread::sleep(Duration::from_secs(3));
     config["discovery"] = json!(silent.addr.to_string());
-    std::fs::write(&proxy.file, config.to_string()).expect("written");
+    std::fs::write(&proxy.config_path, config.to_string()).expect("write");
     proxy.signal("-HUP");
-    soon("asked at the new place", || !silent.heard().is_empty());
-    assert_eq!(proxy.client().ask("read", "k1").body, "kept");
+    wait_until("asked at the new place", || !silent.requests().is_empty());
+    assert_eq!(proxy.client().request("read", "k1").body, "kept");
     thread::sleep(Duration::from_millis(6_100).saturating_sub(confirmed.elapsed()));
-    assert_eq!(proxy.client().ask("read", "k2").status(), 503);
+    assert_eq!(proxy.client().request("read", "k2").status(), 503);
 }
 
 /// Clients are told to come once they can be served, and in any case soon enough for whoever waits for a restart.
 #[test]
 fn a_new_process_is_ready_once_it_has_a_list_or_has_waited_for_some_seconds() {
-    let (cache, origin) = (misses(), misses());
-    let slow = Server::start(|_, number| match number {
-        0 => Does::Waits(Duration::from_secs(1), r#"{"version":1,"full":false,"servers":[]}"#),
-        _ => Does::HasNothingNew,
+    let (cache, origin) = (not_found_server(), not_found_server());
+    let slow = StubServer::start(|_, number| match number {
+        0 => Action::RespondAfter(Duration::from_secs(1), r#"{"version":1,"full":false,"servers":[]}"#),
+        _ => Action::RespondUnchanged,
     });
-    let silent = Server::start(|_, _| Does::Hangs);
+    let silent = StubServer::start(|_, _| Action::Hang);
     for (discovery, from, to) in [(slow.addr, 900, 2_000), (silent.addr, 4_500, 6_000)] {
         let mut config = config(cache.addr, origin.addr);
         config["discovery"] = json!(discovery.to_string());
-        let (config, at) = managed(config);
+        let (config, at) = with_management(config);
         let start = Instant::now();
         let proxy = Proxy::start(&config);
         let mut probe = proxy.client();
         let mut ready = || {
             probe.send("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
-            probe.read().expect("an answer").status() == 200
+            probe.read_response().expect("response").status() == 200
         };
         while !ready() {
             assert!(start.elapsed() < Duration::from_secs(20), "never ready");
--- a/crates/flintwell/tests/process/streams.rs
+++ b/crates/flintwell/tests/process/streams.rs
@@ -61,32 +61,33 @@
 fn head(client: &mut Client) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        assert!(client.0.read_line(&mut head).expect("a line") > 0, "{head}");
+        assert!(client.0.read_line(&mut head).expect("line") > 0, "{head}");
     }
     head.to_lowercase()
 }
 
 /// Memory of a process, in MB.
 pub fn memory(proxy: &Proxy) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("its status");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
-    line.trim().split(' ').next().and_then(|kb| kb.parse::<usize>().ok()).expect("a number") / 1_024
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("read /proc status");
+    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("line");
+    line.trim().split(' ').next().and_then(|kb| kb.parse::<usize>().ok()).expect("number") / 1_024
 }
 
 fn with_cache(act: fn(&TcpStream) -> std::io::Result<()>) -> Value {
-    config(Server::start(move |_, _| Does::Writes(act)).addr, misses().addr)
+    config(StubServer::start(move |_, _| Action::Write(act)).addr, not_found_server().addr)
 }
 
 #[test]
 fn long_answers_begin_at_once_and_slow_readers_cost_little_memory() {
-    let (mut config, at) = managed(with_cache(long));
+    let (mut config, at) = with_management(with_cache(long));
     // What is read ahead has a part of this, in which none of them fits.
     config["limits"]["memory_mb"] = json!(48);
     let proxy = Proxy::start(&config);
     let mut readers: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
     let start = Instant::now();
     for (n, reader) in readers.iter_mut().enumerate() {
-        reader.begin("read", &format!("k{n}"));
+        reader.send_request("read", &format!("k{n}"));
     }
     for reader in &mut readers {
         assert!(head(reader).contains(&format!("content-length: {LONG}")));
@@ -94,23 +95,23 @@
     assert!(start.elapsed() < Duration::from_millis(900), "{:?}", start.elapsed());
     thread::sleep(Duration::from_millis(1_500));
     assert!(memory(&proxy) < 32, "{} MB with 256 MB on the way", memory(&proxy));
-    assert_eq!(figures(at)["in_progress"], json!(8), "past their deadline, and not cut off");
+    assert_eq!(metrics(at)["in_progress"], json!(8), "past their deadline, and not cut off");
     let reading: Vec<_> = readers
         .into_iter()
         .map(|mut reader| {
             thread::spawn(move || {
                 let mut block = vec![0; 65_536];
                 for n in 0..LONG / 65_536 {
-                    reader.0.read_exact(&mut block).expect("a block");
+                    reader.0.read_exact(&mut block).expect("read block");
                     assert!(block.iter().all(|byte| *byte == n as u8), "block {n}");
                 }
             })
         })
         .collect();
-    reading.into_iter().for_each(|reader| reader.join().expect("read whole"));
+    reading.into_iter().for_each(|reader| reader.join().expect("reader thread"));
     assert!(memory(&proxy) < 32, "{} MB", memory(&proxy));
-    soon("all passed", || figures(at)["passed"]["read"] == json!(8));
-    assert_eq!(figures(at)["in_progress"], json!(0));
+    wait_until("all passed", || metrics(at)["passed"]["read"] == json!(8));
+    assert_eq!(metrics(at)["in_progress"], json!(0));
 }
 
 #[test]
@@ -118,11 +119,11 @@
     let proxy = Proxy::start(&with_cache(slowly));
     let mut client = proxy.client();
     let start = Instant::now();
-    client.begin("read", "k");
+    client.send_request("read", "k");
     assert!(head(&mut client).contains("transfer-encoding: chunked"));
     assert!(start.elapsed() < Duration::from_millis(500), "{:?}", start.elapsed());
     let mut came = Vec::new();
-    client.0.get_mut().set_read_timeout(Some(Duration::from_millis(500))).expect("a limit");
+    client.0.get_mut().set_read_timeout(Some(Duration::from_millis(500))).expect("set read timeout");
     let _ = client.0.read_to_end(&mut came);
     assert!(came.ends_with(b"\r\n0\r\n\r\n") && came.len() > 20 * 0x1000, "{} bytes", came.len());
 }
@@ -130,27 +131,27 @@
 /// Patience with a cache may be shorter than the moment for which such an answer is held.
 #[test]
 fn an_answer_that_has_begun_is_not_cut_off_by_patience() {
-    let cache = Server::start(|_, _| Does::Writes(slowly));
-    let (mut config, at) = managed(config(cache.addr, misses().addr));
+    let cache = StubServer::start(|_, _| Action::Write(slowly));
+    let (mut config, at) = with_management(config(cache.addr, not_found_server().addr));
     config["settings"]["use_cases"][0]["goal_time"] = json!(0.1);
     let proxy = Proxy::start(&config);
     let mut client = proxy.client();
-    client.begin("read", "k");
+    client.send_request("read", "k");
     assert!(head(&mut client).starts_with("http/1.1 200"));
-    client.0.get_mut().set_read_timeout(Some(Duration::from_millis(500))).expect("a limit");
+    client.0.get_mut().set_read_timeout(Some(Duration::from_millis(500))).expect("set read timeout");
     let mut came = Vec::new();
     let _ = client.0.read_to_end(&mut came);
     assert!(came.ends_with(b"\r\n0\r\n\r\n"), "{} bytes", came.len());
-    assert_eq!((figures(at)["passed"]["read"].clone(), cache.heard().len()), (json!(1), 1));
+    assert_eq!((metrics(at)["passed"]["read"].clone(), cache.requests().len()), (json!(1), 1));
 }
 
 #[test]
 fn a_head_that_comes_slowly_is_answered_though_we_stop() {
-    let cache = Server::start(|_, _| Does::Answers(200, "value"));
-    let mut proxy = Proxy::start(&config(cache.addr, misses().addr));
+    let cache = StubServer::start(|_, _| Action::Respond(200, "value"));
+    let mut proxy = Proxy::start(&config(cache.addr, not_found_server().addr));
     // One on a new connection, one on a used one.
     let (mut new, mut used) = (proxy.client(), proxy.client());
-    assert_eq!(used.ask("read", "first").status(), 200);
+    assert_eq!(used.request("read", "first").status(), 200);
     for part in
         ["GET /api/k HTTP/1.1\r\nX-Reque", "st-Id: ", "X-Class: read\r\n", "X-Deadline: 1\r\n", "\r\n"]
     {
@@ -166,24 +167,24 @@
         thread::sleep(Duration::from_millis(300));
     }
     for client in [&mut new, &mut used] {
-        let answer = client.read().expect("an answer");
+        let answer = client.read_response().expect("response");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
-    assert!(proxy.child.wait().expect("its end").success());
+    assert!(proxy.child.wait().expect("exit status").success());
 }
 
 /// Its last bytes stood in the connection's hands while it counted as idle, and a stop closed it.
 #[test]
 fn the_end_of_an_answer_that_is_read_slowly_is_not_lost_at_a_stop() {
-    let (config, at) = managed(with_cache(long));
+    let (config, at) = with_management(with_cache(long));
     let mut proxy = Proxy::start(&config);
     let mut client = proxy.client();
-    client.begin("read", "k");
+    client.send_request("read", "k");
     head(&mut client);
     let (mut block, mut came) = (vec![0; 16_384], 0);
     // Until all has come from its node, and what the kernel does not take stands in our hands.
-    while came < LONG - (10 << 20) || figures(at)["in_progress"] == json!(1) {
-        client.0.read_exact(&mut block).expect("a block");
+    while came < LONG - (10 << 20) || metrics(at)["in_progress"] == json!(1) {
+        client.0.read_exact(&mut block).expect("read block");
         came += block.len();
     }
     proxy.signal("-TERM");
@@ -191,35 +192,35 @@
     let mut rest = Vec::new();
     let _ = client.0.read_to_end(&mut rest);
     assert_eq!(came + rest.len(), LONG);
-    assert!(proxy.child.wait().expect("its end").success());
+    assert!(proxy.child.wait().expect("exit status").success());
 }
 
 #[test]
 fn a_planned_stop_waits_for_a_long_answer_that_is_still_read() {
     let mut proxy = Proxy::start(&with_cache(long));
     let mut client = proxy.client();
-    client.begin("read", "k");
+    client.send_request("read", "k");
     head(&mut client);
     proxy.signal("-TERM");
     let mut block = vec![0; 4 << 20];
     for _ in 0..LONG / block.len() {
         thread::sleep(Duration::from_millis(400));
-        client.0.read_exact(&mut block).expect("what its node still gives");
+        client.0.read_exact(&mut block).expect("rest of the response");
     }
-    assert!(proxy.child.wait().expect("its end").success());
+    assert!(proxy.child.wait().expect("exit status").success());
 }
 
 #[test]
 fn an_answer_broken_half_way_is_never_taken_for_whole() {
-    let (config, at) = managed(with_cache(cut_off));
+    let (config, at) = with_management(with_cache(cut_off));
     let proxy = Proxy::start(&config);
     let mut client = proxy.client();
-    client.begin("read", "k");
+    client.send_request("read", "k");
     assert!(head(&mut client).starts_with("http/1.1 200"));
     let mut came = Vec::new();
     let _ = client.0.read_to_end(&mut came);
     assert!(came.len() < LONG, "the connection ends before the length");
-    soon("counted", || figures(at)["bad_gateway"]["read"] == json!(1));
+    wait_until("counted", || metrics(at)["bad_gateway"]["read"] == json!(1));
     for (act, whole) in [
         ((|to| chunked(to, "0\r\n\r\n")) as fn(&TcpStream) -> std::io::Result<()>, true),
         (|to| chunked(to, ""), false),
@@ -228,7 +229,7 @@
     ] {
         let proxy = Proxy::start(&with_cache(act));
         let mut client = proxy.client();
-        client.begin("read", "k");
+        client.send_request("read", "k");
         assert!(head(&mut client).contains("transfer-encoding: chunked"));
         let mut came = Vec::new();
         let _ = client.0.get_mut().set_read_timeout(Some(Duration::from_millis(700)));
@@ -240,10 +241,11 @@
 
 #[test]
 fn an_answer_said_to_be_longer_than_any_is_tried_elsewhere() {
-    let spoilt = Server::start(|_, _| Does::Says("HTTP/1.1 200 -\r\nContent-Length: 3000000000\r\n\r\nx"));
-    let good = Server::start(|_, _| Does::Answers(200, "value"));
+    let spoilt =
+        StubServer::start(|_, _| Action::SendRaw("HTTP/1.1 200 -\r\nContent-Length: 3000000000\r\n\r\nx"));
+    let good = StubServer::start(|_, _| Action::Respond(200, "value"));
     let proxy = Proxy::start(&config(spoilt.addr, good.addr));
-    assert_eq!(proxy.client().ask("read", "k").body, "value");
+    assert_eq!(proxy.client().request("read", "k").body, "value");
 }
 
 /// A write of a body that comes as this has it, the id being its key too.
@@ -255,33 +257,33 @@
 }
 
 /// A proxy that may keep 1 MB of bodies, and its origin.
-fn small(answers: fn() -> Does) -> (Proxy, Server) {
-    let origin = Server::start(move |_, _| answers());
-    let mut config = config(misses().addr, origin.addr);
+fn small(answers: fn() -> Action) -> (Proxy, StubServer) {
+    let origin = StubServer::start(move |_, _| answers());
+    let mut config = config(not_found_server().addr, origin.addr);
     config["limits"]["memory_mb"] = json!(4);
     (Proxy::start(&config), origin)
 }
 
 #[test]
 fn a_slow_body_is_waited_for_and_counts_from_its_last_byte() {
-    let (proxy, origin) = small(|| Does::Answers(200, "done"));
+    let (proxy, origin) = small(|| Action::Respond(200, "done"));
     let mut client = proxy.client();
     write(&mut client, "slow", "Content-Length: 192000");
     for _ in 0..30 {
         thread::sleep(Duration::from_millis(100));
         client.send(&"x".repeat(6_400));
     }
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    assert_eq!(origin.heard()[0].body.len(), 192_000);
+    assert_eq!(client.read_response().expect("response").status(), 200);
+    assert_eq!(origin.requests()[0].body.len(), 192_000);
     write(&mut client, "still", "Content-Length: 192000");
     let start = Instant::now();
-    assert_eq!(client.read().expect("an answer").status(), 408);
+    assert_eq!(client.read_response().expect("response").status(), 408);
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
 }
 
 #[test]
 fn bodies_beyond_the_memory_for_them_are_passed_on_as_they_come() {
-    let (proxy, origin) = small(|| Does::Answers(200, "done"));
+    let (proxy, origin) = small(|| Action::Respond(200, "done"));
     let writers: Vec<_> = (0..6)
         .map(|n| {
             let mut client = proxy.client();
@@ -291,17 +293,18 @@
                     client.send(&n.to_string().repeat(1 << 20));
                     thread::sleep(Duration::from_millis(30));
                 }
-                client.read().expect("an answer").status()
+                client.read_response().expect("response").status()
             })
         })
         .collect();
-    let statuses: Vec<u16> = writers.into_iter().map(|writer| writer.join().expect("a writer")).collect();
+    let statuses: Vec<u16> =
+        writers.into_iter().map(|writer| writer.join().expect("writer thread")).collect();
     assert_eq!(statuses, [200; 6]);
     assert!(memory(&proxy) < 24, "{} MB with 48 MB sent", memory(&proxy));
-    let heard = origin.heard();
+    let heard = origin.requests();
     assert_eq!(heard.len(), 6);
     for message in heard {
-        let first = message.body.bytes().next().expect("a byte");
+        let first = message.body.bytes().next().expect("non-empty body");
         assert!(message.body.len() == 8 << 20 && message.body.bytes().all(|byte| byte == first));
     }
 }
@@ -309,51 +312,51 @@
 #[test]
 fn a_body_that_is_passed_on_has_one_attempt_and_is_refused_when_it_never_ran() {
     for (answers, status) in [
-        ((|| Does::Answers(503, "")) as fn() -> Does, 503),
-        (|| Does::Answers(500, ""), 502),
-        (|| Does::Closes, 502),
+        ((|| Action::Respond(503, "")) as fn() -> Action, 503),
+        (|| Action::Respond(500, ""), 502),
+        (|| Action::Close, 502),
     ] {
         let (proxy, origin) = small(answers);
         let mut client = proxy.client();
         write(&mut client, "long", &format!("Content-Length: {}", 4 << 20));
         client.send(&"x".repeat(4 << 20));
-        assert_eq!(client.read().expect("an answer").status(), status);
-        assert_eq!(origin.heard().len(), 1);
+        assert_eq!(client.read_response().expect("response").status(), status);
+        assert_eq!(origin.requests().len(), 1);
     }
-    let (proxy, origin) = small(|| Does::Answers(200, "done"));
+    let (proxy, origin) = small(|| Action::Respond(200, "done"));
     let mut client = proxy.client();
     write(&mut client, "half", &format!("Content-Length: {}", 4 << 20));
     client.send(&"x".repeat(2 << 20));
-    assert_eq!(client.read().expect("an answer").status(), 408, "it ends late");
+    assert_eq!(client.read_response().expect("response").status(), 408, "it ends late");
     let mut client = proxy.client();
     write(&mut client, "gone", &format!("Content-Length: {}", 4 << 20));
     client.send(&"x".repeat(2 << 20));
     // One whose client leaves before its attempt begins has no connection at all.
-    soon("its connection came", || origin.begun() >= 2);
+    wait_until("its connection came", || origin.accepted() >= 2);
     drop(client);
-    soon("its connection closed", || origin.ended() >= 2);
-    assert!(origin.heard().is_empty(), "no half of a body passes for a whole one");
+    wait_until("its connection closed", || origin.closed() >= 2);
+    assert!(origin.requests().is_empty(), "no half of a body passes for a whole one");
 }
 
 #[test]
 fn chunked_bodies_are_taken_and_what_goes_on_is_framed_by_us() {
-    let (proxy, origin) = small(|| Does::Answers(200, "done"));
+    let (proxy, origin) = small(|| Action::Respond(200, "done"));
     let mut client = proxy.client();
     write(&mut client, "a", "Transfer-Encoding: chunked\r\nExpect: 100-continue");
     assert!(head(&mut client).starts_with("http/1.1 100"));
     client.send("5;ext=\"1\"\r\nhello\r\n");
     thread::sleep(Duration::from_millis(20));
     client.send("6\r\n world\r\n0\r\nTrailer: t\r\n\r\n");
-    let answer = client.read().expect("an answer");
+    let answer = client.read_response().expect("response");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    let heard = origin.heard()[0].clone();
-    assert_eq!((&*heard.first, &*heard.body), ("PUT /api/a?q=1 HTTP/1.1\r\n", "hello world"));
+    let heard = origin.requests()[0].clone();
+    assert_eq!((&*heard.start_line, &*heard.body), ("PUT /api/a?q=1 HTTP/1.1\r\n", "hello world"));
     assert_eq!((heard.header("content-length"), heard.header("transfer-encoding")), (Some("11"), None));
 }
 
 #[test]
 fn a_length_beside_a_transfer_encoding_is_refused_however_it_is_cut() {
-    let (proxy, origin) = small(|| Does::Answers(200, "done"));
+    let (proxy, origin) = small(|| Action::Respond(200, "done"));
     let hidden =
         "0\r\n\r\nPUT /api/hidden HTTP/1.1\r\nX-Request-Id: h\r\nX-Class: once\r\nX-Deadline: 1\r\n\r\n";
     let both = format!(
@@ -364,13 +367,13 @@
     for cut in (1..both.len()).step_by(7) {
         let mut client = proxy.client();
         if cut % 2 == 0 {
-            assert_eq!(client.ask("read", &format!("first{cut}")).status(), 200);
+            assert_eq!(client.request("read", &format!("first{cut}")).status(), 200);
         }
         client.send(&both[..cut]);
         thread::sleep(Duration::from_millis(1));
         let _ = client.0.get_mut().write_all(&both.as_bytes()[cut..]);
-        assert_eq!(client.read().expect("an answer").status(), 400, "cut at {cut}");
-        assert!(client.read().is_none(), "and closed");
+        assert_eq!(client.read_response().expect("response").status(), 400, "cut at {cut}");
+        assert!(client.read_response().is_none(), "and closed");
     }
-    assert!(origin.heard().iter().all(|message| message.first.starts_with("GET /api/first")));
+    assert!(origin.requests().iter().all(|message| message.start_line.starts_with("GET /api/first")));
 }
--- a/crates/flintwell/tests/process/supervise.rs
+++ b/crates/flintwell/tests/process/supervise.rs
@@ -1,7 +1,7 @@
 //! Versions of the program under a supervisor: started beside, put in place, put back.
 
 use crate::rollout::{PROGRAM, Rolls, Stand, status};
-use crate::support::soon;
+use crate::support::wait_until;
 use flintwell_rig::fleet::Shape;
 use serde_json::json;
 use std::os::unix::fs::PermissionsExt;
@@ -24,8 +24,8 @@
 /// A version of the program that does this.
 fn version(stand: &Stand, name: &str, does: &str) -> PathBuf {
     let file = stand.folder.path().join(name);
-    std::fs::write(&file, format!("#!/bin/sh\nREAL={PROGRAM}\n{does}\n")).expect("a script");
-    std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o755)).expect("to be run");
+    std::fs::write(&file, format!("#!/bin/sh\nREAL={PROGRAM}\n{does}\n")).expect("write script");
+    std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o755)).expect("set permissions");
     file
 }
 
@@ -37,7 +37,7 @@
 
 fn started(stand: &mut Stand) -> Vec<u64> {
     let staff: Vec<_> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
-    staff.into_iter().map(|at| status(at)["started_ms"].as_u64().expect("a time")).collect()
+    staff.into_iter().map(|at| status(at)["started_ms"].as_u64().expect("start time")).collect()
 }
 
 #[test]
@@ -108,10 +108,10 @@
     let now = stand.fleet().world.now_ms();
     stand.fleet().excuses(0, now - 1_500.0, now + 2_500.0);
     // Its only child: the program itself.
-    let supervisor = supervisor.expect("an id").to_string();
-    let killed = Command::new("pkill").args(["-KILL", "-P", &supervisor]).status().expect("pkill");
+    let supervisor = supervisor.expect("process id").to_string();
+    let killed = Command::new("pkill").args(["-KILL", "-P", &supervisor]).status().expect("run pkill");
     assert!(killed.success());
-    soon("another runs", || {
+    wait_until("another runs", || {
         let now = status(staff);
         now["started_ms"] != before && now["started_ms"] != 0
     });
--- a/crates/flintwell/tests/process/words.rs
+++ b/crates/flintwell/tests/process/words.rs
@@ -17,13 +17,13 @@
 }
 
 fn knows(at: SocketAddr) -> Value {
-    serde_json::from_str(&get(at, "/api/fleet").1).expect("what it knows of the fleet")
+    serde_json::from_str(&get(at, "/api/fleet").1).expect("valid JSON")
 }
 
 /// How many others each of these takes as there.
 fn there(staff: &[SocketAddr]) -> Vec<usize> {
     let alive = |told: Value| {
-        let members = told["members"].as_array().expect("members").clone();
+        let members = told["members"].as_array().expect("member list").clone();
         members.iter().filter(|member| member["state"] == "alive").count()
     };
     staff.iter().map(|at| alive(knows(*at))).collect()
@@ -47,7 +47,7 @@
     let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
     until(30, "all know all", &staff, |there| there.iter().all(|&there| there == 5));
     let status = Command::new(PROGRAM).args(["fleet", "status", "--at", &staff[0].to_string()]).output();
-    let told = String::from_utf8(status.expect("the program").stdout).expect("a text");
+    let told = String::from_utf8(status.expect("spawn flintwell").stdout).expect("UTF-8");
     assert!(told.contains("number 0: no limit known") && told.matches(" alive").count() == 5, "{told}");
     // Stands still, and accuses nobody when it wakes.
     let now = stand.fleet().world.now_ms();
@@ -65,7 +65,7 @@
     stand.fleet().proxies[2].process.kills();
     let others: Vec<SocketAddr> = [0, 1, 3, 4, 5].map(|n| staff[n]).into();
     until(20, "one is gone", &others, |there| there.iter().all(|&there| there == 4));
-    stand.fleet().proxies[2].process.starts().expect("it starts");
+    stand.fleet().proxies[2].process.starts().expect("start proxy");
     let until_ms = stand.fleet().world.now_ms() + 500.0;
     stand.fleet().excused_until(2, until_ms);
     until(30, "it is back", &staff, |there| there.iter().all(|&there| there == 5));
@@ -83,10 +83,10 @@
     let mut stand = Stand::new(Shape { proxies: 2, ..shape() });
     let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
     until(30, "both know both", &staff, |there| there == [1, 1]);
-    let known = knows(staff[0])["members"][0]["addr"].as_str().expect("an address").to_owned();
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+    let known = knows(staff[0])["members"][0]["addr"].as_str().expect("local address").to_owned();
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind listener");
     for datagram in [&b""[..], b"x", &[1; 100], &[7; 200], &[0; 400], &[255; 1_400]] {
-        socket.send_to(datagram, &known).expect("sent");
+        socket.send_to(datagram, &known).expect("send datagram");
     }
     let dropped = || knows(staff[1])["dropped"].clone();
     let began = Instant::now();
@@ -101,7 +101,8 @@
 
 #[test]
 fn words_that_nobody_can_hear_are_one_line_and_no_start() {
-    let good = config("127.0.0.1:1".parse().expect("one"), "127.0.0.1:2".parse().expect("one"));
+    let good =
+        config("127.0.0.1:1".parse().expect("valid address"), "127.0.0.1:2".parse().expect("valid address"));
     let words = json!({"cluster": "c", "listen": "127.0.0.1:7999", "peers": ["127.0.0.1:7998"]});
     let with = |key: &str, value: Value| {
         let mut words = words.clone();
@@ -119,7 +120,7 @@
         let mut told = good.clone();
         told["words"] = words;
         let (child, path) = run(&["check"], &told.to_string(), Stdio::piped(), None);
-        let output = child.wait_with_output().expect("it ends");
+        let output = child.wait_with_output().expect("exit status");
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && said.contains(why) && said.lines().count() == 1, "{said}");
         let _ = std::fs::remove_file(path);
@@ -129,11 +130,11 @@
 #[test]
 fn days_of_several_faults_at_once_break_no_rule_and_leave_the_fleet_whole() {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("build runtime");
     for seed in [3, 4] {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("create directory");
         let day = runtime.block_on(days::play(seed, &shape(), Path::new(PROGRAM), folder.path()));
-        let day = day.expect("it was played");
+        let day = day.expect("run scenario");
         assert!(day.breaches.is_empty() && day.whole_s.is_some(), "seed {seed}: {day:#?}");
         assert!(day.served * 10 > day.requests * 7, "seed {seed}: {} of {}", day.served, day.requests);
     }
