--- a/crates/flintwell/tests/process/handover.rs
+++ b/crates/flintwell/tests/process/handover.rs
@@ -1,6 +1,6 @@
 //! Long answers handed from one version to the next, between two real processes.
 
-use crate::operations::{Folder, inheriting, served_by};
+use crate::operations::{TempDirectory, inheriting, served_by};
 use crate::streams::memory;
 use crate::support::*;
 use serde_json::{Value, json};
@@ -141,10 +141,10 @@
 
 #[test]
 fn long_answers_outlive_the_process_that_began_them() {
-    let (cache, folder) = (long_answers(), Folder::new());
+    let (cache, directory) = (long_answers(), TempDirectory::new());
     let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let addr = socket.local_addr().expect("local address");
-    let (old, _) = served_by(&socket, &config, &folder.0);
+    let (old, _) = served_by(&socket, &config, &directory.0);
     let slow = readers(addr, 66);
     let quick: Vec<_> = (0..134)
         .map(|n| {
@@ -164,7 +164,7 @@
         })
         .collect();
     thread::sleep(Duration::from_millis(600));
-    let (new, at) = served_by(&socket, &config, &folder.0);
+    let (new, at) = served_by(&socket, &config, &directory.0);
     old.signal("-TERM");
     let most = std::cell::Cell::new(0);
     // It ends once nothing is left with it.
@@ -216,12 +216,12 @@
 }
 
 fn killed(kill_old: bool, after: u64) {
-    let (cache, folder) = (long_answers(), Folder::new());
+    let (cache, directory) = (long_answers(), TempDirectory::new());
     let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
-    let (old, _) = served_by(&socket, &config, &folder.0);
+    let (old, _) = served_by(&socket, &config, &directory.0);
     let slow = readers(socket.local_addr().expect("local address"), 24);
     thread::sleep(Duration::from_millis(400));
-    let (new, _) = served_by(&socket, &config, &folder.0);
+    let (new, _) = served_by(&socket, &config, &directory.0);
     old.signal("-TERM");
     thread::sleep(Duration::from_millis(after));
     let (killed, left) = if kill_old { (old, new) } else { (new, old) };
@@ -233,9 +233,9 @@
 }
 
 /// A process that is ready, and what it will have logged at its end.
-fn logged(socket: &TcpListener, config: Value, folder: &Path) -> (Proxy, thread::JoinHandle<Vec<String>>) {
+fn logged(socket: &TcpListener, config: Value, directory: &Path) -> (Proxy, thread::JoinHandle<Vec<String>>) {
     let (config, at) = with_management(config);
-    let (proxy, log) = inheriting(socket, &config, folder);
+    let (proxy, log) = inheriting(socket, &config, directory);
     let lines = thread::spawn(move || log.lines().map_while(Result::ok).collect());
     wait_until("ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
     (proxy, lines)
@@ -247,23 +247,23 @@
 }
 
 /// A successor that only seems to be one.
-fn seems_to_serve(folder: &Path) -> (std::fs::File, PathBuf) {
+fn seems_to_serve(directory: &Path) -> (std::fs::File, PathBuf) {
     let name = "process-09999999999999999999-1";
-    let mut file = std::fs::File::create(folder.join("flintwell-n0").join(name)).expect("write file");
+    let mut file = std::fs::File::create(directory.join("flintwell-n0").join(name)).expect("write file");
     file.try_lock().expect("lock file");
     file.write_all(b"serves").expect("write");
-    (file, folder.join("flintwell-n0").join(format!("takes-{name}")))
+    (file, directory.join("flintwell-n0").join(format!("takes-{name}")))
 }
 
 #[test]
 fn with_a_successor_that_does_not_take_over_the_old_one_goes_on_as_ever() {
     for version in [None, Some("flintwell hand-over 2"), Some("")] {
-        let (cache, folder) = (long_answers(), Folder::new());
+        let (cache, directory) = (long_answers(), TempDirectory::new());
         let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
-        let (old, lines) = logged(&socket, config, &folder.0);
+        let (old, lines) = logged(&socket, config, &directory.0);
         let slow = readers(socket.local_addr().expect("local address"), 6);
         thread::sleep(Duration::from_millis(300));
-        let (_lock, path) = seems_to_serve(&folder.0);
+        let (_lock, path) = seems_to_serve(&directory.0);
         let successor = thread::spawn(move || {
             runs(async move {
                 let Some(version) = version else { return };
@@ -287,10 +287,10 @@
 
 #[test]
 fn what_is_no_hand_over_is_refused_with_a_line_and_nothing_else_is_harmed() {
-    let (cache, folder) = (long_answers(), Folder::new());
+    let (cache, directory) = (long_answers(), TempDirectory::new());
     let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
-    let (proxy, lines) = logged(&socket, config, &folder.0);
-    let named = std::fs::read_dir(folder.0.join("flintwell-n0")).expect("read state directory").flatten();
+    let (proxy, lines) = logged(&socket, config, &directory.0);
+    let named = std::fs::read_dir(directory.0.join("flintwell-n0")).expect("read state directory").flatten();
     let takes = named.map(|entry| entry.path()).find(|path| path.to_string_lossy().contains("takes-"));
     let takes = takes.expect("handover socket path");
     let (file, listening) = (std::fs::File::open("/proc/self/stat").expect("write file"), &socket);
--- a/crates/flintwell/tests/process/main.rs
+++ b/crates/flintwell/tests/process/main.rs
@@ -1,4 +1,4 @@
-//! The proxy as a process on loopback, between clients, nodes and a discovery that do as each test says.
+//! Tests of the proxy as a process on loopback, between stub clients, nodes and discovery.
 
 mod handover;
 mod operations;
--- a/crates/flintwell/tests/process/operations.rs
+++ b/crates/flintwell/tests/process/operations.rs
@@ -13,20 +13,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A folder for temporary files, gone at the end.
-pub struct Folder(pub PathBuf);
+/// A directory for temporary files, gone at the end.
+pub struct TempDirectory(pub PathBuf);
 
-impl Folder {
-    pub fn new() -> Folder {
-        static FOLDERS: AtomicUsize = AtomicUsize::new(0);
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+impl TempDirectory {
+    pub fn new() -> TempDirectory {
+        static DIRECTORIES: AtomicUsize = AtomicUsize::new(0);
+        let number = DIRECTORIES.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("flintwell-folder-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).expect("create directory");
-        Folder(path)
+        TempDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -212,8 +212,8 @@
     let whole: &'static str = whole.to_string().leak();
     let discovery = StubServer::start(move |_, _| Action::RespondAfter(Duration::from_millis(50), whole));
     config["discovery"] = json!(discovery.addr.to_string());
-    let folder = Folder::new();
-    let proxy = Proxy::start_in(&config, &folder.0);
+    let directory = TempDirectory::new();
+    let proxy = Proxy::start_in(&config, &directory.0);
     read_all(&proxy, 0);
     let before = first.requests().len();
     assert!(before > 0, "in use");
@@ -226,7 +226,7 @@
     let told = metrics(at);
     assert_eq!((&told["known_cache_nodes"], &told["skipped_cache_nodes"]), (&json!(2), &json!(1)));
     drop(proxy);
-    let next = Proxy::start_in(&config, &folder.0);
+    let next = Proxy::start_in(&config, &directory.0);
     read_all(&next, 2);
     assert_eq!(first.requests().len(), before, "out for the one that follows too");
     assert_eq!(post(at, "/api/include", &node_body("c")), 200, "two calls out need one back");
@@ -245,10 +245,10 @@
 fn what_cannot_be_recorded_is_refused_and_changes_nothing() {
     let (first, second) = (not_found_server(), not_found_server());
     let (config, at) = with_management(two_caches(&first, &second));
-    let folder = Folder::new();
-    let _proxy = Proxy::start_in(&config, &folder.0);
+    let directory = TempDirectory::new();
+    let _proxy = Proxy::start_in(&config, &directory.0);
     wait_until_ready(at);
-    std::fs::remove_dir_all(&folder.0).expect("remove directory");
+    std::fs::remove_dir_all(&directory.0).expect("remove directory");
     assert_eq!(post(at, "/api/exclude", &node_body("c")), 507);
     assert_eq!(metrics(at)["skipped_cache_nodes"], json!(0));
 }
@@ -257,8 +257,8 @@
 fn a_torn_or_foreign_mark_counts_for_nothing() {
     let (first, second) = (not_found_server(), not_found_server());
     let (config, at) = with_management(two_caches(&first, &second));
-    let folder = Folder::new();
-    let ours = folder.0.join("flintwell-n0");
+    let directory = TempDirectory::new();
+    let ours = directory.0.join("flintwell-n0");
     std::fs::create_dir_all(&ours).expect("create directory");
     for (file, text) in [
         ("out-c", "{\"who\":\"c\",\"out_"),
@@ -267,7 +267,7 @@
     ] {
         std::fs::write(ours.join(file), text).expect("write file");
     }
-    let _proxy = Proxy::start_in(&config, &folder.0);
+    let _proxy = Proxy::start_in(&config, &directory.0);
     wait_until_ready(at);
     assert_eq!(metrics(at)["skipped_cache_nodes"], json!(0));
     assert_eq!(post(at, "/api/exclude", &node_body("c")), 200);
@@ -275,15 +275,15 @@
 }
 
 /// A process of a proxy whose clients' socket the platform holds.
-pub fn inheriting(socket: &TcpListener, config: &Value, folder: &Path) -> (Proxy, BufReader<ChildStderr>) {
-    let path = folder.join(format!("{}.json", config["mgmt"].as_str().unwrap_or("none")));
+pub fn inheriting(socket: &TcpListener, config: &Value, directory: &Path) -> (Proxy, BufReader<ChildStderr>) {
+    let path = directory.join(format!("{}.json", config["mgmt"].as_str().unwrap_or("none")));
     std::fs::write(&path, config.to_string()).expect("write file");
     let held = socket.try_clone().expect("clone socket");
     let words =
         "exec 3<&0 </dev/null; export EDGE_LISTEN_FD=3 LISTEN_FDS=1 LISTEN_PID=$$; exec \"$0\" \"$@\"";
     let mut shell = Command::new("sh");
     shell.args(["-c", words, PROGRAM, "serve", "--config"]).arg(&path);
-    shell.env("TMPDIR", folder).env_remove("EDGE_MGMT");
+    shell.env("TMPDIR", directory).env_remove("EDGE_MGMT");
     shell.stdin(Stdio::from(OwnedFd::from(held))).stdout(Stdio::null()).stderr(Stdio::piped());
     let mut child = shell.spawn().expect("spawn flintwell");
     let log = BufReader::new(child.stderr.take().expect("stderr"));
@@ -291,9 +291,9 @@
     (Proxy { child, addr, config_path: path }, log)
 }
 
-pub fn served_by(socket: &TcpListener, config: &Value, folder: &Path) -> (Proxy, SocketAddr) {
+pub fn served_by(socket: &TcpListener, config: &Value, directory: &Path) -> (Proxy, SocketAddr) {
     let (config, at) = with_management(config.clone());
-    let (proxy, mut log) = inheriting(socket, &config, folder);
+    let (proxy, mut log) = inheriting(socket, &config, directory);
     thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
     wait_until("ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
     (proxy, at)
@@ -329,9 +329,10 @@
 fn two_versions_at_one_socket_answer_every_request_of_an_upgrade() {
     let cache = StubServer::start(|_, _| Action::RespondAfter(Duration::from_millis(5), "value"));
     let config = config(cache.addr, not_found_server().addr);
-    let (folder, socket) = (Folder::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
+    let (directory, socket) =
+        (TempDirectory::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let addr = socket.local_addr().expect("local address");
-    let (mut old, _) = served_by(&socket, &config, &folder.0);
+    let (mut old, _) = served_by(&socket, &config, &directory.0);
     let done = Arc::new(AtomicBool::new(false));
     let load: Vec<_> = (0..16)
         .map(|name| {
@@ -341,7 +342,7 @@
         .collect();
     thread::sleep(Duration::from_millis(300));
     for _ in 0..2 {
-        let (new, _) = served_by(&socket, &config, &folder.0);
+        let (new, _) = served_by(&socket, &config, &directory.0);
         old.signal("-TERM");
         thread::sleep(Duration::from_millis(1_900));
         let ended = old.child.try_wait().expect("query state");
@@ -358,9 +359,10 @@
 fn with_its_successor_killed_the_old_one_goes_on_and_stops_as_ever() {
     let answers = || StubServer::start(|_, _| Action::Respond(200, "value"));
     let config = config(answers().addr, answers().addr);
-    let (folder, socket) = (Folder::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
-    let (old, at) = served_by(&socket, &config, &folder.0);
-    let (new, there) = served_by(&socket, &config, &folder.0);
+    let (directory, socket) =
+        (TempDirectory::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
+    let (old, at) = served_by(&socket, &config, &directory.0);
+    let (new, there) = served_by(&socket, &config, &directory.0);
     assert_eq!(post(there, "/api/exclude", &node_body("c")), 200);
     wait_until("a call at either is in force at both", || metrics(at)["skipped_cache_nodes"] == json!(1));
     assert_eq!(post(at, "/api/include", &node_body("c")), 200);
@@ -386,28 +388,30 @@
         _ => Action::RespondUnchanged,
     });
     config["discovery"] = json!(discovery.addr.to_string());
-    let (folder, socket) = (Folder::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
-    let (old, at) = served_by(&socket, &config, &folder.0);
+    let (directory, socket) =
+        (TempDirectory::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
+    let (old, at) = served_by(&socket, &config, &directory.0);
     wait_until("told", || metrics(at)["known_cache_nodes"] == json!(1));
     thread::sleep(Duration::from_millis(300));
-    let (_new, there) = served_by(&socket, &config, &folder.0);
+    let (_new, there) = served_by(&socket, &config, &directory.0);
     assert_eq!(metrics(there)["known_cache_nodes"], json!(1));
     wait_until("it asks for what came since", || {
         discovery.requests().iter().any(|m| m.start_line.contains("since=7"))
     });
     drop(old);
-    std::fs::write(folder.0.join("flintwell-n0/list"), "{\"version\":7,").expect("truncate list file");
-    let (_third, third_at) = served_by(&socket, &config, &folder.0);
+    std::fs::write(directory.0.join("flintwell-n0/list"), "{\"version\":7,").expect("truncate list file");
+    let (_third, third_at) = served_by(&socket, &config, &directory.0);
     assert_eq!(metrics(third_at)["known_cache_nodes"], json!(2), "the configuration's list");
 }
 
 #[test]
 fn what_is_no_listening_socket_is_told_in_one_line() {
-    let (folder, socket) = (Folder::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
+    let (directory, socket) =
+        (TempDirectory::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let stream = TcpStream::connect(socket.local_addr().expect("local address")).expect("connect");
     let not_listening = TcpListener::from(OwnedFd::from(stream));
     let (mut proxy, mut log) =
-        inheriting(&not_listening, &config(closed_address(), closed_address()), &folder.0);
+        inheriting(&not_listening, &config(closed_address(), closed_address()), &directory.0);
     let mut said = String::new();
     log.read_to_string(&mut said).expect("stderr");
     assert!(said.lines().count() == 1 && said.contains("EDGE_LISTEN_FD is 3"), "{said}");
--- a/crates/flintwell/tests/process/overload.rs
+++ b/crates/flintwell/tests/process/overload.rs
@@ -254,8 +254,8 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("build runtime");
     for seed in 0..2 {
-        let folder = tempfile::tempdir().expect("create directory");
-        let day = runtime.block_on(soak::play(seed, 24, Path::new(PROGRAM), folder.path()));
+        let directory = tempfile::tempdir().expect("create directory");
+        let day = runtime.block_on(soak::play(seed, 24, Path::new(PROGRAM), directory.path()));
         let day = day.expect("run scenario");
         assert!(day.broken.is_empty(), "seed {seed}: {:#?}", day.broken);
         assert!(day.served * 10 > day.requests * 7, "seed {seed}: {} of {}", day.served, day.requests);
--- a/crates/flintwell/tests/process/rollout.rs
+++ b/crates/flintwell/tests/process/rollout.rs
@@ -1,4 +1,4 @@
-//! Changes of settings on several real processes under traffic, with faults on the paths between them.
+//! Staged rollouts of settings on real processes under traffic, with network faults between them.
 
 use crate::support::{get, raw_call, wait_until};
 use flintwell_rig::fleet::{Fleet, Shape};
@@ -12,38 +12,41 @@
 use tempfile::TempDir;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_flintwell");
-const ENDS: Duration = Duration::from_secs(60); // for a rollout of seconds on a busy machine
-const DAY: Duration = Duration::from_secs(90); // clients come for longer than any test; each ends with its runtime
+/// A rollout takes seconds, but longer on a busy machine.
+const MAX_ROLLOUT_TIME: Duration = Duration::from_secs(60);
+/// Longer than any test; the clients end with the runtime of their test.
+const LOAD_TIME: Duration = Duration::from_secs(90);
 
-/// A fleet under traffic with a plan beside it. Ended whole when dropped.
-pub struct Stand {
+/// A fleet of real processes under traffic, and a directory for rollout plans. All of it ends when dropped.
+pub struct TestFleet {
     fleet: Option<Fleet>,
     runtime: Option<tokio::runtime::Runtime>,
-    pub folder: TempDir,
+    pub directory: TempDir,
 }
 
-impl Stand {
+impl TestFleet {
     pub fn new(shape: Shape) -> Self {
-        let folder = tempfile::tempdir().expect("create directory");
+        let directory = tempfile::tempdir().expect("create directory");
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.expect("build runtime");
         let fleet = runtime.block_on(async {
             let mut fleet =
-                Fleet::start(shape, Path::new(PROGRAM), folder.path()).await.expect("running fleet");
-            fleet.comes(1, DAY);
+                Fleet::start(shape, Path::new(PROGRAM), directory.path()).await.expect("running fleet");
+            fleet.comes(1, LOAD_TIME);
             fleet
         });
-        Stand { fleet: Some(fleet), runtime: Some(runtime), folder }
+        TestFleet { fleet: Some(fleet), runtime: Some(runtime), directory }
     }
 
-    pub fn fleet(&mut self) -> &mut Fleet {
+    /// The running fleet.
+    pub fn rig(&mut self) -> &mut Fleet {
         self.fleet.as_mut().expect("running fleet")
     }
 
-    /// A plan of these settings, with times of seconds.
+    /// Writes a rollout plan for these settings, with times of seconds, and returns its path.
     pub fn plan(&mut self, name: &str, settings: &Value) -> PathBuf {
-        let file = self.folder.path().join(format!("{name}.toml"));
-        let new = self.folder.path().join(format!("{name}.json"));
+        let file = self.directory.path().join(format!("{name}.toml"));
+        let new = self.directory.path().join(format!("{name}.json"));
         std::fs::write(&new, settings.to_string()).expect("settings");
         let what = if settings["program"].is_string() { "programs" } else { "settings" };
         let mut text = format!(
@@ -51,7 +54,7 @@
              observe_s = 1\nsettle_s = 0.3\nwatch_s = 3\nconfirm_within_s = 3\nunheard_s = 1\ndoubt_s = 6\n\
              [limits]\naccesses = 1000\n"
         );
-        for proxy in &self.fleet().proxies {
+        for proxy in &self.rig().proxies {
             let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.staff);
             text += &format!("[[members]]\nname = \"{name}\"\nzone = \"{zone}\"\nat = \"{at}\"\n");
         }
@@ -59,36 +62,38 @@
         file
     }
 
+    /// The epoch that each proxy has in force.
     pub fn epochs(&mut self) -> Vec<u64> {
-        let staff: Vec<_> = self.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
-        staff.into_iter().map(|at| status(at)["epoch"].as_u64().expect("epoch")).collect()
+        let management: Vec<_> = self.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+        management.into_iter().map(|at| status(at)["epoch"].as_u64().expect("epoch")).collect()
     }
 
-    /// Waits until it holds of the epochs in force.
-    pub fn until(&mut self, what: &str, holds: impl Fn(&[u64]) -> bool) {
-        let began = Instant::now();
-        while !holds(&self.epochs()) {
-            assert!(began.elapsed() < ENDS, "{what}: {:?}", self.epochs());
+    /// Waits until the condition holds for the epochs in force.
+    pub fn wait_for_epochs(&mut self, what: &str, condition: impl Fn(&[u64]) -> bool) {
+        let start = Instant::now();
+        while !condition(&self.epochs()) {
+            assert!(start.elapsed() < MAX_ROLLOUT_TIME, "{what}: {:?}", self.epochs());
             thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Every request so far had its answer, and no rule is broken.
-    pub fn nothing_lost(&mut self) {
-        let book = self.fleet().book.clone();
+    /// Asserts that there was traffic, every request was answered and no rule was violated.
+    pub fn assert_no_violations(&mut self) {
+        let book = self.rig().book.clone();
         wait_until("there is traffic", || book.all().len() > 100);
-        let breaches = self.fleet().breaches();
+        let breaches = self.rig().breaches();
         assert!(breaches.is_empty(), "{breaches:#?}");
     }
 }
 
-impl Drop for Stand {
+impl Drop for TestFleet {
     fn drop(&mut self) {
         self.fleet.take();
         self.runtime.take().expect("present").shutdown_background();
     }
 }
 
+/// The rollout status of a proxy.
 pub fn status(at: std::net::SocketAddr) -> Value {
     serde_json::from_str(&get(at, "/api/rollout/status").1).expect("status")
 }
@@ -99,40 +104,40 @@
     shape
 }
 
-/// One who rolls out, ended with this.
-pub struct Rolls(Child);
+/// A running `flintwell rollout` command; killed when dropped.
+pub struct RolloutCommand(Child);
 
-impl Rolls {
+impl RolloutCommand {
     pub fn start(command: &str, plan: &Path) -> Self {
         let mut program = Command::new(PROGRAM);
         program.args(["rollout", command]).arg(plan).stdout(Stdio::piped()).stderr(Stdio::piped());
-        Rolls(program.spawn().expect("spawn flintwell"))
+        RolloutCommand(program.spawn().expect("spawn flintwell"))
     }
-    /// Its exit code and all that it said.
-    pub fn ends(mut self) -> (i32, String) {
-        let began = Instant::now();
+    /// Waits for the end of the command: its exit code, and its output and errors.
+    pub fn finish(mut self) -> (i32, String) {
+        let start = Instant::now();
         while self.0.try_wait().expect("query state").is_none() {
-            assert!(began.elapsed() < ENDS, "it does not end");
+            assert!(start.elapsed() < MAX_ROLLOUT_TIME, "the command does not end");
             thread::sleep(Duration::from_millis(20));
         }
-        let mut said = String::new();
+        let mut text = String::new();
         let (out, err) = (self.0.stdout.take().expect("stdout"), self.0.stderr.take().expect("stderr"));
         for mut pipe in [Box::new(out) as Box<dyn std::io::Read>, Box::new(err)] {
-            pipe.read_to_string(&mut said).expect("UTF-8");
+            pipe.read_to_string(&mut text).expect("UTF-8");
         }
-        (self.0.wait().expect("exit status").code().expect("exit code"), said)
+        (self.0.wait().expect("exit status").code().expect("exit code"), text)
     }
 }
 
-impl Drop for Rolls {
+impl Drop for RolloutCommand {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Reads are given up long before their answer.
-fn harmful() -> Value {
+/// Settings with a latency target for reads that is far shorter than a response takes.
+fn harmful_settings() -> Value {
     let case = |name: &str, effect: &str, goal: f64| {
         json!({"name": name, "effect": effect, "group": "all", "key_ttl": 3.0, "goal_time": goal,
             "overdue_earnings": 0.0, "outer_limit": 1.0})
@@ -140,124 +145,125 @@
     json!({"use_cases": [case("read", "safe", 0.002), case("write", "keyed", 0.5), case("once", "unsafe", 0.5)]})
 }
 
-fn harmless() -> Value {
+fn harmless_settings() -> Value {
     json!({"limits": {"max_hand_offs": 5}})
 }
 
 #[test]
-fn a_good_change_reaches_all_by_stages_survives_a_kill_and_is_undone_by_hand() {
-    let mut stand = Stand::new(shape());
-    let plan = stand.plan("good", &harmless());
-    let (code, said) = Rolls::start("plan", &plan).ends();
-    assert!(code == 0 && said.contains("go to another cache first: 0.0 %"), "{said}");
-    assert_eq!(stand.epochs(), [0; 6], "a plan changes nothing");
-    let (code, said) = Rolls::start("start", &plan).ends();
-    assert_eq!((code, stand.epochs()), (0, vec![1; 6]), "{said}");
-    let proxy = &mut stand.fleet().proxies[3];
-    let told = status(proxy.staff);
-    assert_eq!((&told["unconfirmed"], &told["former"]), (&json!(false), &json!(0)));
+fn staged_change_reaches_all_members_survives_a_restart_and_can_be_undone() {
+    let mut fleet = TestFleet::new(shape());
+    let plan = fleet.plan("good", &harmless_settings());
+    let (code, output) = RolloutCommand::start("plan", &plan).finish();
+    assert!(code == 0 && output.contains("go to another cache first: 0.0 %"), "{output}");
+    assert_eq!(fleet.epochs(), [0; 6], "the plan command changes nothing");
+    let (code, output) = RolloutCommand::start("start", &plan).finish();
+    assert_eq!((code, fleet.epochs()), (0, vec![1; 6]), "{output}");
+    let proxy = &mut fleet.rig().proxies[3];
+    let member = status(proxy.staff);
+    assert_eq!((&member["unconfirmed"], &member["former"]), (&json!(false), &json!(0)));
     let settings: Value =
         serde_json::from_str(&get(proxy.staff, "/api/rollout/settings").1).expect("settings");
     assert_eq!(settings["limits"]["max_hand_offs"], 5);
-    stand.nothing_lost();
-    // Killed and started anew it has what was confirmed.
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(3, now - 1_500.0, f64::MAX);
-    stand.fleet().proxies[3].process.kills();
-    stand.fleet().proxies[3].process.starts().expect("start proxy");
-    let until = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(3, until);
-    assert_eq!(stand.epochs(), [1; 6]);
-    let (code, said) = Rolls::start("undo", &plan).ends();
-    assert!(code == 1 && said.contains("undone by the staff"), "{said}");
-    assert_eq!(stand.epochs(), [0; 6]);
-    stand.nothing_lost();
+    fleet.assert_no_violations();
+    // A restarted process has the settings that were confirmed.
+    let now = fleet.rig().world.now_ms();
+    fleet.rig().excuses(3, now - 1_500.0, f64::MAX);
+    fleet.rig().proxies[3].process.kills();
+    fleet.rig().proxies[3].process.starts().expect("start proxy");
+    let until = fleet.rig().world.now_ms() + 500.0;
+    fleet.rig().excused_until(3, until);
+    assert_eq!(fleet.epochs(), [1; 6]);
+    let (code, output) = RolloutCommand::start("undo", &plan).finish();
+    assert!(code == 1 && output.contains("undone by the staff"), "{output}");
+    assert_eq!(fleet.epochs(), [0; 6]);
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn a_bad_change_is_taken_back_at_its_canaries() {
-    let mut stand = Stand::new(shape());
-    let plan = stand.plan("bad", &harmful());
-    let rolls = Rolls::start("start", &plan);
-    stand.until("the canaries have it", |epochs| epochs.contains(&1));
-    let harmed = Instant::now();
-    let (code, said) = rolls.ends();
-    let took = harmed.elapsed();
-    assert!(code == 1 && said.contains("the new are worse"), "{said}");
-    assert_eq!(stand.epochs(), [0; 6]);
-    assert!(took < Duration::from_secs(15), "undone {took:?} after it began");
-    let status = Rolls::start("status", &plan).ends().1;
+fn harmful_change_is_undone_at_its_canaries() {
+    let mut fleet = TestFleet::new(shape());
+    let plan = fleet.plan("bad", &harmful_settings());
+    let rollout = RolloutCommand::start("start", &plan);
+    fleet.wait_for_epochs("the canaries have the new epoch", |epochs| epochs.contains(&1));
+    let canaries_changed_at = Instant::now();
+    let (code, output) = rollout.finish();
+    let took = canaries_changed_at.elapsed();
+    assert!(code == 1 && output.contains("the new are worse"), "{output}");
+    assert_eq!(fleet.epochs(), [0; 6]);
+    assert!(took < Duration::from_secs(15), "undone {took:?} after the canaries had it");
+    let status = RolloutCommand::start("status", &plan).finish().1;
     assert!(status.contains("Undone, stage 1 of 3"), "{status}");
-    stand.nothing_lost();
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn one_who_rolls_out_is_killed_members_go_back_by_themselves_and_it_goes_on() {
-    let mut stand = Stand::new(shape());
-    let plan = stand.plan("killed", &harmless());
-    let rolls = Rolls::start("start", &plan);
-    stand.until("some have it", |epochs| epochs.contains(&1));
-    drop(rolls);
-    stand.until("all went back by themselves", |epochs| epochs == [0; 6]);
-    let (code, said) = Rolls::start("start", &plan).ends();
-    assert!(code == 0 && said.contains("goes on with epoch 1"), "{said}");
-    assert_eq!(stand.epochs(), [1; 6]);
-    stand.nothing_lost();
+fn members_revert_when_the_rollout_command_is_killed_and_a_new_one_resumes() {
+    let mut fleet = TestFleet::new(shape());
+    let plan = fleet.plan("killed", &harmless_settings());
+    let rollout = RolloutCommand::start("start", &plan);
+    fleet.wait_for_epochs("some members have the new epoch", |epochs| epochs.contains(&1));
+    drop(rollout);
+    fleet.wait_for_epochs("all members reverted on their own", |epochs| epochs == [0; 6]);
+    let (code, output) = RolloutCommand::start("start", &plan).finish();
+    assert!(code == 0 && output.contains("goes on with epoch 1"), "{output}");
+    assert_eq!(fleet.epochs(), [1; 6]);
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn a_member_cut_off_holds_the_rollout_and_has_it_in_the_end() {
-    let mut stand = Stand::new(shape());
-    let plan = stand.plan("cut", &harmless());
-    let rolls = Rolls::start("start", &plan);
-    stand.until("the canaries have it", |epochs| epochs[..2] == [1, 1]);
-    // What it answers is lost; what it is told arrives. Then nothing.
-    assert_eq!(stand.fleet().way("n0", "staff", Way::Deaf), 1);
+fn unreachable_member_holds_the_rollout_until_it_is_reachable_again() {
+    let mut fleet = TestFleet::new(shape());
+    let plan = fleet.plan("cut", &harmless_settings());
+    let rollout = RolloutCommand::start("start", &plan);
+    fleet.wait_for_epochs("the canaries have the new epoch", |epochs| epochs[..2] == [1, 1]);
+    // Its responses are lost while requests arrive, then nothing passes either way.
+    assert_eq!(fleet.rig().way("n0", "staff", Way::Deaf), 1);
     thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(stand.fleet().way("n0", "staff", Way::Cut), 1);
-    let report = || -> String { Rolls::start("status", &plan).ends().1 };
-    wait_until("it is held", || report().contains("not heard: n0"));
+    assert_eq!(fleet.rig().way("n0", "staff", Way::Cut), 1);
+    let report = || -> String { RolloutCommand::start("status", &plan).finish().1 };
+    wait_until("the rollout is on hold", || report().contains("not heard: n0"));
     thread::sleep(Duration::from_secs(3));
     assert!(report().contains("stage 1 of 3"), "{}", report());
-    stand.fleet().way("n0", "staff", Way::Passes);
-    let (code, said) = rolls.ends();
-    assert_eq!((code, stand.epochs()), (0, vec![1; 6]), "{said}");
-    stand.nothing_lost();
+    fleet.rig().way("n0", "staff", Way::Passes);
+    let (code, output) = rollout.finish();
+    assert_eq!((code, fleet.epochs()), (0, vec![1; 6]), "{output}");
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn a_fault_that_meets_old_and_new_alike_holds_and_is_not_blamed_on_the_change() {
-    let mut stand = Stand::new(shape());
-    let plan = stand.plan("both", &harmless());
-    let rolls = Rolls::start("start", &plan);
-    stand.until("the canaries have it", |epochs| epochs.contains(&1));
-    // The origin takes nothing: what is new or written is lost everywhere.
-    assert!(stand.fleet().world.fault("origin", Fault::Full));
-    let report = || -> String { Rolls::start("status", &plan).ends().1 };
-    wait_until("it is held", || report().contains("both worse"));
+fn fault_at_old_and_new_members_alike_holds_the_rollout_without_undoing_it() {
+    let mut fleet = TestFleet::new(shape());
+    let plan = fleet.plan("both", &harmless_settings());
+    let rollout = RolloutCommand::start("start", &plan);
+    fleet.wait_for_epochs("the canaries have the new epoch", |epochs| epochs.contains(&1));
+    // The origin refuses all, so misses and writes fail at old and new members alike.
+    assert!(fleet.rig().world.fault("origin", Fault::Full));
+    let report = || -> String { RolloutCommand::start("status", &plan).finish().1 };
+    wait_until("the rollout is on hold", || report().contains("both worse"));
     thread::sleep(Duration::from_secs(1));
-    assert!(stand.fleet().world.fault("origin", Fault::None));
-    let (code, said) = rolls.ends();
-    assert_eq!((code, stand.epochs()), (0, vec![1; 6]), "{said}");
-    stand.nothing_lost();
+    assert!(fleet.rig().world.fault("origin", Fault::None));
+    let (code, output) = rollout.finish();
+    assert_eq!((code, fleet.epochs()), (0, vec![1; 6]), "{output}");
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn of_two_rollouts_at_once_one_wins_everywhere() {
-    let mut stand = Stand::new(shape());
-    let (first, second) = (stand.plan("first", &harmless()), stand.plan("second", &json!({"fleet_size": 7})));
-    let (first, second) = (Rolls::start("start", &first), Rolls::start("start", &second));
-    let (first, second) = (first.ends(), second.ends());
-    assert!(first.0 != 0 || second.0 != 0, "both won: {} {}", first.1, second.1);
-    let epochs = stand.epochs();
+fn at_most_one_of_two_concurrent_rollouts_succeeds_and_all_members_agree() {
+    let mut fleet = TestFleet::new(shape());
+    let (first, second) =
+        (fleet.plan("first", &harmless_settings()), fleet.plan("second", &json!({"fleet_size": 7})));
+    let (first, second) = (RolloutCommand::start("start", &first), RolloutCommand::start("start", &second));
+    let (first, second) = (first.finish(), second.finish());
+    assert!(first.0 != 0 || second.0 != 0, "both succeeded: {} {}", first.1, second.1);
+    let epochs = fleet.epochs();
     assert!(epochs.iter().all(|epoch| *epoch == epochs[0]), "{epochs:?} {} {}", first.1, second.1);
-    stand.nothing_lost();
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn what_is_foreign_cut_oversized_or_cannot_be_recorded_changes_nothing() {
-    let mut stand = Stand::new(Shape { proxies: 1, ..shape() });
-    let (at, state) = (stand.fleet().proxies[0].staff, stand.fleet().proxies[0].state.clone());
+fn rejected_or_unrecordable_stage_requests_change_nothing() {
+    let mut fleet = TestFleet::new(Shape { proxies: 1, ..shape() });
+    let (at, state) = (fleet.rig().proxies[0].staff, fleet.rig().proxies[0].state.clone());
     let before = status(at);
     let settings = get(at, "/api/rollout/settings").1;
     let hash = flintwell_rollout::wire::hash(&serde_json::from_str(&settings).expect("valid JSON"));
@@ -269,15 +275,15 @@
         raw_call(at, &format!("POST {path} HTTP/1.1\r\nHost: m\r\nContent-Length: {length}\r\n\r\n{body}"))
     };
     let path = "/api/rollout/stage";
-    let long = format!(r#"{{"fleet":"{}"}}"#, "x".repeat(300_000));
-    for (status, why, body) in [
+    let oversized = format!(r#"{{"fleet":"{}"}}"#, "x".repeat(300_000));
+    for (expected, reason, body) in [
         (409, "fleet \\\"other\\\" is not ours", stage("other", &hash)),
         (409, "the hash is not that", stage("rig", "00")),
         (400, "EOF", stage("rig", &hash)[..80].to_owned()),
-        (413, "too long", long),
+        (413, "too long", oversized),
     ] {
-        let (told, said, _) = post(path, &body);
-        assert!(told == status && said.contains(why) && said.lines().count() == 1, "{told}: {said}");
+        let (code, text, _) = post(path, &body);
+        assert!(code == expected && text.contains(reason) && text.lines().count() == 1, "{code}: {text}");
     }
     assert_eq!(
         post("/api/rollout/apply", r#"{"protocol":1,"fleet":"rig","epoch":1,"hash":"","within_ms":9}"#).0,
@@ -285,26 +291,26 @@
     );
     assert_eq!(get(at, "/api/rollout/nothing").0, 404);
     assert_eq!(status(at), before);
-    // The disk takes nothing: no step is taken that it does not know of.
+    // State can't be written: a step that can't be recorded must not be taken.
     std::fs::remove_dir_all(&state).expect("remove state directory");
-    let (told, said, _) = post(path, &stage("rig", &hash));
-    assert!(told == 507 && said.contains("nothing has changed"), "{told}: {said}");
+    let (code, text, _) = post(path, &stage("rig", &hash));
+    assert!(code == 507 && text.contains("nothing has changed"), "{code}: {text}");
     assert_eq!(status(at), before);
-    stand.nothing_lost();
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn a_plan_that_is_wrong_is_told_whole_and_touches_nothing() {
-    let mut stand = Stand::new(Shape { proxies: 2, ..shape() });
-    let plan = stand.plan("wrong", &json!({"specifics": {"mode": "through"}}));
-    let (code, said) = Rolls::start("start", &plan).ends();
-    assert!(code == 2 && said.matches("specifics can't change without a restart").count() == 2, "{said}");
-    let text = std::fs::read_to_string(&plan).expect("present").replace("observe_s", "observed_s");
+fn all_errors_of_an_invalid_plan_are_reported_and_nothing_changes() {
+    let mut fleet = TestFleet::new(Shape { proxies: 2, ..shape() });
+    let plan = fleet.plan("wrong", &json!({"specifics": {"mode": "through"}}));
+    let (code, output) = RolloutCommand::start("start", &plan).finish();
+    assert!(code == 2 && output.matches("specifics can't change without a restart").count() == 2, "{output}");
+    let text = std::fs::read_to_string(&plan).expect("read plan").replace("observe_s", "observed_s");
     std::fs::write(&plan, text.replace("n1", "n0")).expect("write");
-    let (code, said) = Rolls::start("start", &plan).ends();
+    let (code, output) = RolloutCommand::start("start", &plan).finish();
     assert!(
-        code == 2 && said.contains(":6: unknown key \"observed_s\"") && said.contains("is there twice"),
-        "{said}"
+        code == 2 && output.contains(":6: unknown key \"observed_s\"") && output.contains("is there twice"),
+        "{output}"
     );
-    assert_eq!(stand.epochs(), [0, 0]);
+    assert_eq!(fleet.epochs(), [0, 0]);
 }
--- a/crates/flintwell/tests/process/stale_list.rs
+++ b/crates/flintwell/tests/process/stale_list.rs
@@ -154,7 +154,7 @@
 /// What an earlier process of this proxy left, with its age, is acted on at once, and for no longer than its age allows.
 #[test]
 fn a_list_left_by_an_earlier_process_serves_at_once_for_what_is_left_of_its_time() {
-    let folder = tempfile::tempdir().expect("create directory");
+    let directory = tempfile::tempdir().expect("create directory");
     let (cache, origin) = (StubServer::start(|_, _| Action::Respond(200, "kept")), not_found_server());
     let silent = Arc::new(AtomicBool::new(false));
     let falls_silent = silent.clone();
@@ -164,18 +164,18 @@
     });
     let mut config = config(cache.addr, origin.addr);
     config["discovery"] = json!(discovery.addr.to_string());
-    let first = Proxy::start_in(&config, folder.path());
+    let first = Proxy::start_in(&config, directory.path());
     assert_eq!(first.client().request("read", "k0").body, "kept");
     thread::sleep(Duration::from_millis(500));
     silent.store(true, Ordering::SeqCst);
     drop(first);
     let dead = Instant::now();
-    let second = Proxy::start_in(&config, folder.path());
+    let second = Proxy::start_in(&config, directory.path());
     assert_eq!(second.client().request("read", "k1").body, "kept", "while what it may lack does not count");
     thread::sleep(Duration::from_millis(6_200).saturating_sub(dead.elapsed()));
     assert_eq!(second.client().request("read", "k2").status(), 503, "older than any lease");
     drop(second);
-    let third = Proxy::start_in(&config, folder.path());
+    let third = Proxy::start_in(&config, directory.path());
     assert_eq!(third.client().request("read", "k3").status(), 503, "a start makes no list younger");
 }
 
--- a/crates/flintwell/tests/process/supervise.rs
+++ b/crates/flintwell/tests/process/supervise.rs
@@ -1,6 +1,6 @@
-//! Versions of the program under a supervisor: started beside, put in place, put back.
+//! Upgrades under a supervisor: a new version starts beside the old one, takes over, and is rolled back if it fails.
 
-use crate::rollout::{PROGRAM, Rolls, Stand, status};
+use crate::rollout::{PROGRAM, RolloutCommand, TestFleet, status};
 use crate::support::wait_until;
 use flintwell_rig::fleet::Shape;
 use serde_json::json;
@@ -10,112 +10,117 @@
 use std::thread;
 use std::time::Duration;
 
-fn stand(proxies: usize) -> Stand {
+/// A supervised fleet in one zone.
+fn supervised_fleet(proxies: usize) -> TestFleet {
     let mut shape = Shape { proxies, zones: vec!["a".into()], supervised: true, ..Shape::default() };
     shape.load.rate = 120.0;
-    let mut stand = Stand::new(shape);
-    // Clients are let in some turns before the supervisor has seen that.
-    while started(&mut stand).contains(&0) {
+    let mut fleet = TestFleet::new(shape);
+    // A process accepts clients shortly before its supervisor notices that it is ready.
+    while start_times(&mut fleet).contains(&0) {
         thread::sleep(Duration::from_millis(20));
     }
-    stand
+    fleet
 }
 
-/// A version of the program that does this.
-fn version(stand: &Stand, name: &str, does: &str) -> PathBuf {
-    let file = stand.folder.path().join(name);
-    std::fs::write(&file, format!("#!/bin/sh\nREAL={PROGRAM}\n{does}\n")).expect("write script");
+/// A version of the program that runs this shell script, in which `$REAL` is the program under test.
+fn version(fleet: &TestFleet, name: &str, script: &str) -> PathBuf {
+    let file = fleet.directory.path().join(name);
+    std::fs::write(&file, format!("#!/bin/sh\nREAL={PROGRAM}\n{script}\n")).expect("write script");
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o755)).expect("set permissions");
     file
 }
 
-fn rolled(stand: &mut Stand, name: &str, does: &str) -> (i32, String) {
-    let program = version(stand, name, does);
-    let plan = stand.plan(&format!("to-{name}"), &json!({ "program": program }));
-    Rolls::start("start", &plan).ends()
+/// Rolls this version out: exit code and output of the rollout.
+fn roll_out(fleet: &mut TestFleet, name: &str, script: &str) -> (i32, String) {
+    let program = version(fleet, name, script);
+    let plan = fleet.plan(&format!("to-{name}"), &json!({ "program": program }));
+    RolloutCommand::start("start", &plan).finish()
 }
 
-fn started(stand: &mut Stand) -> Vec<u64> {
-    let staff: Vec<_> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
-    staff.into_iter().map(|at| status(at)["started_ms"].as_u64().expect("start time")).collect()
+fn start_times(fleet: &mut TestFleet) -> Vec<u64> {
+    let management: Vec<_> = fleet.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+    management.into_iter().map(|at| status(at)["started_ms"].as_u64().expect("start time")).collect()
 }
 
 #[test]
-fn a_new_version_takes_over_everywhere_under_load_and_nothing_is_lost() {
-    let mut stand = stand(3);
-    let before = started(&mut stand);
-    let (code, said) = rolled(&mut stand, "good", "exec $REAL \"$@\"");
-    assert_eq!((code, stand.epochs()), (0, vec![1; 3]), "{said}");
-    let after = started(&mut stand);
+fn upgrade_replaces_every_process_under_load_without_losing_a_request() {
+    let mut fleet = supervised_fleet(3);
+    let before = start_times(&mut fleet);
+    let (code, output) = roll_out(&mut fleet, "good", "exec $REAL \"$@\"");
+    assert_eq!((code, fleet.epochs()), (0, vec![1; 3]), "{output}");
+    let after = start_times(&mut fleet);
     assert!(before.iter().zip(&after).all(|(before, after)| before < after), "{before:?} {after:?}");
-    stand.nothing_lost();
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn versions_that_do_not_start_or_are_never_ready_do_not_get_the_socket() {
-    let mut stand = stand(3);
-    let before = started(&mut stand);
-    for (name, does, why) in
+fn version_that_exits_or_never_becomes_ready_does_not_replace_the_old_one() {
+    let mut fleet = supervised_fleet(3);
+    let before = start_times(&mut fleet);
+    for (name, script, reason) in
         [("ends", "exit 3", "ended before it was ready"), ("sleeps", "exec sleep 60", "was not ready in")]
     {
-        let (code, said) = rolled(&mut stand, name, does);
-        assert!(code == 1 && said.contains(why), "{name}: {said}");
-        assert_eq!(stand.epochs(), [0; 3], "{name}");
+        let (code, output) = roll_out(&mut fleet, name, script);
+        assert!(code == 1 && output.contains(reason), "{name}: {output}");
+        assert_eq!(fleet.epochs(), [0; 3], "{name}");
     }
-    // A control may have begun anew meanwhile, with what it had.
-    assert_eq!(started(&mut stand)[0], before[0], "the canary's old one runs as ever");
+    // Members of the control group may have restarted with the old version meanwhile.
+    assert_eq!(start_times(&mut fleet)[0], before[0], "the old process of the canary still runs");
     let programs: Vec<_> =
-        stand.fleet().proxies.iter().map(|proxy| status(proxy.staff)["program"].clone()).collect();
+        fleet.rig().proxies.iter().map(|proxy| status(proxy.staff)["program"].clone()).collect();
     assert_eq!(programs, [PROGRAM; 3]);
-    let plan = stand.plan("missing", &json!({"program": "/nowhere/flintwell"}));
-    let (code, said) = Rolls::start("start", &plan).ends();
-    assert!(code == 1 && said.contains("/nowhere/flintwell"), "{said}");
-    stand.nothing_lost();
+    let plan = fleet.plan("missing", &json!({"program": "/nowhere/flintwell"}));
+    let (code, output) = RolloutCommand::start("start", &plan).finish();
+    assert!(code == 1 && output.contains("/nowhere/flintwell"), "{output}");
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn a_version_that_ends_after_some_seconds_is_put_back_at_its_canary() {
-    let mut stand = stand(3);
-    let does = "sh -c 'LISTEN_PID=$$ exec \"$0\" \"$@\"' $REAL \"$@\" &\nsleep 2\nkill -9 $!\nexit 9";
-    let now = stand.fleet().world.now_ms();
-    // What the canary has in hand when it is killed is lost with it.
-    stand.fleet().excuses(0, now, f64::MAX);
-    let (code, said) = rolled(&mut stand, "crashes", does);
-    assert!(code == 1 && said.contains("1 of the new ended"), "{said}");
-    assert_eq!(stand.epochs(), [0; 3]);
-    let until = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(0, until);
+fn version_that_crashes_after_seconds_is_rolled_back_at_its_canary() {
+    let mut fleet = supervised_fleet(3);
+    let script = "sh -c 'LISTEN_PID=$$ exec \"$0\" \"$@\"' $REAL \"$@\" &\nsleep 2\nkill -9 $!\nexit 9";
+    let now = fleet.rig().world.now_ms();
+    // Requests in flight at the canary are lost when it is killed.
+    fleet.rig().excuses(0, now, f64::MAX);
+    let (code, output) = roll_out(&mut fleet, "crashes", script);
+    assert!(code == 1 && output.contains("1 of the new ended"), "{output}");
+    assert_eq!(fleet.epochs(), [0; 3]);
+    let until = fleet.rig().world.now_ms() + 500.0;
+    fleet.rig().excused_until(0, until);
     thread::sleep(Duration::from_secs(1));
-    stand.nothing_lost();
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn a_version_that_stands_still_a_third_of_the_time_is_put_back_though_it_loses_nothing() {
-    let mut stand = stand(3);
-    let does = "sh -c 'LISTEN_PID=$$ exec \"$0\" \"$@\"' $REAL \"$@\" &\nP=$!\n\
+fn version_that_is_stopped_a_third_of_the_time_is_rolled_back_though_no_request_is_lost() {
+    let mut fleet = supervised_fleet(3);
+    let script = "sh -c 'LISTEN_PID=$$ exec \"$0\" \"$@\"' $REAL \"$@\" &\nP=$!\n\
         trap 'kill -CONT $P; kill $P; wait $P; exit 0' TERM\nsleep 1\n\
         while kill -0 $PPID && kill -STOP $P; do sleep 0.06; kill -CONT $P; sleep 0.12; done";
-    let (code, said) = rolled(&mut stand, "stalls", does);
-    assert!(code == 1 && said.contains("requests slower than"), "{said}");
-    assert_eq!(stand.epochs(), [0; 3]);
+    let (code, output) = roll_out(&mut fleet, "stalls", script);
+    assert!(code == 1 && output.contains("requests slower than"), "{output}");
+    assert_eq!(fleet.epochs(), [0; 3]);
 }
 
 #[test]
-fn one_that_is_killed_is_started_again_and_clients_find_it_at_the_same_door() {
-    let mut stand = stand(1);
-    let (staff, supervisor) = (stand.fleet().proxies[0].staff, stand.fleet().proxies[0].process.id());
-    let before = status(staff)["started_ms"].clone();
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(0, now - 1_500.0, now + 2_500.0);
-    // Its only child: the program itself.
+fn killed_proxy_is_restarted_on_the_same_address() {
+    let mut fleet = supervised_fleet(1);
+    let (management, supervisor) = (fleet.rig().proxies[0].staff, fleet.rig().proxies[0].process.id());
+    let before = status(management)["started_ms"].clone();
+    let now = fleet.rig().world.now_ms();
+    fleet.rig().excuses(0, now - 1_500.0, now + 2_500.0);
+    // Its only child is the proxy.
     let supervisor = supervisor.expect("process id").to_string();
     let killed = Command::new("pkill").args(["-KILL", "-P", &supervisor]).status().expect("run pkill");
     assert!(killed.success());
-    wait_until("another runs", || {
-        let now = status(staff);
+    wait_until("another process runs", || {
+        let now = status(management);
         now["started_ms"] != before && now["started_ms"] != 0
     });
     thread::sleep(Duration::from_secs(3));
-    stand.nothing_lost();
-    assert!(stand.fleet().proxies[0].process.stops(), "told to stop it ends, and its process with it");
+    fleet.assert_no_violations();
+    assert!(
+        fleet.rig().proxies[0].process.stops(),
+        "the supervisor stops when told to, together with its proxy"
+    );
 }
--- a/crates/flintwell/tests/process/words.rs
+++ b/crates/flintwell/tests/process/words.rs
@@ -1,6 +1,6 @@
-//! Several real processes that speak to one another, with their words lost, doubled, late and cut between them.
+//! Peer messaging between real processes, with datagrams lost, duplicated, delayed and cut off.
 
-use crate::rollout::{PROGRAM, Stand};
+use crate::rollout::{PROGRAM, TestFleet};
 use crate::support::{config, get, run};
 use flintwell_rig::datagrams::Post;
 use flintwell_rig::days;
@@ -16,100 +16,120 @@
     Shape { proxies: 6, zones: vec!["a".into(), "b".into()], words: true, ..Shape::default() }
 }
 
-fn knows(at: SocketAddr) -> Value {
+/// The fleet as this proxy sees it.
+fn fleet_status(at: SocketAddr) -> Value {
     serde_json::from_str(&get(at, "/api/fleet").1).expect("valid JSON")
 }
 
-/// How many others each of these takes as there.
-fn there(staff: &[SocketAddr]) -> Vec<usize> {
-    let alive = |told: Value| {
-        let members = told["members"].as_array().expect("member list").clone();
+/// The number of peers that each of these proxies considers alive.
+fn alive_counts(management: &[SocketAddr]) -> Vec<usize> {
+    let alive = |status: Value| {
+        let members = status["members"].as_array().expect("member list").clone();
         members.iter().filter(|member| member["state"] == "alive").count()
     };
-    staff.iter().map(|at| alive(knows(*at))).collect()
+    management.iter().map(|at| alive(fleet_status(*at))).collect()
 }
 
-fn until(within: u64, what: &str, staff: &[SocketAddr], holds: impl Fn(&[usize]) -> bool) {
-    let began = Instant::now();
+/// Waits until the condition holds for the numbers of peers that are considered alive.
+fn wait_for_alive_counts(
+    within_s: u64,
+    what: &str,
+    management: &[SocketAddr],
+    condition: impl Fn(&[usize]) -> bool,
+) {
+    let start = Instant::now();
     loop {
-        let there = there(staff);
-        if holds(&there) {
+        let counts = alive_counts(management);
+        if condition(&counts) {
             return;
         }
-        assert!(began.elapsed() < Duration::from_secs(within), "{what}: {there:?}");
+        assert!(start.elapsed() < Duration::from_secs(within_s), "{what}: {counts:?}");
         thread::sleep(Duration::from_millis(100));
     }
 }
 
 #[test]
-fn a_fleet_finds_itself_loses_one_is_cut_in_halves_and_heals() {
-    let mut stand = Stand::new(shape());
-    let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
-    until(30, "all know all", &staff, |there| there.iter().all(|&there| there == 5));
-    let status = Command::new(PROGRAM).args(["fleet", "status", "--at", &staff[0].to_string()]).output();
-    let told = String::from_utf8(status.expect("spawn flintwell").stdout).expect("UTF-8");
-    assert!(told.contains("number 0: no limit known") && told.matches(" alive").count() == 5, "{told}");
-    // Stands still, and accuses nobody when it wakes.
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(1, now - 1_500.0, f64::MAX);
-    stand.fleet().proxies[1].process.pauses();
+fn fleet_detects_a_paused_and_a_killed_proxy_and_recovers_from_a_partition() {
+    let mut fleet = TestFleet::new(shape());
+    let management: Vec<SocketAddr> = fleet.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+    wait_for_alive_counts(30, "each proxy sees all others", &management, |counts| {
+        counts.iter().all(|&count| count == 5)
+    });
+    let status = Command::new(PROGRAM).args(["fleet", "status", "--at", &management[0].to_string()]).output();
+    let output = String::from_utf8(status.expect("spawn flintwell").stdout).expect("UTF-8");
+    assert!(output.contains("number 0: no limit known") && output.matches(" alive").count() == 5, "{output}");
+    // A paused process must not declare its peers down when it continues.
+    let now = fleet.rig().world.now_ms();
+    fleet.rig().excuses(1, now - 1_500.0, f64::MAX);
+    fleet.rig().proxies[1].process.pauses();
     thread::sleep(Duration::from_secs(3));
-    stand.fleet().proxies[1].process.goes_on();
-    until(30, "it is taken back", &staff, |there| there.iter().all(|&there| there == 5));
-    assert_eq!(knows(staff[1])["taken_as_gone"], 0);
-    let until_ms = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(1, until_ms);
-    // Killed, and back under its number.
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(2, now - 1_500.0, f64::MAX);
-    stand.fleet().proxies[2].process.kills();
-    let others: Vec<SocketAddr> = [0, 1, 3, 4, 5].map(|n| staff[n]).into();
-    until(20, "one is gone", &others, |there| there.iter().all(|&there| there == 4));
-    stand.fleet().proxies[2].process.starts().expect("start proxy");
-    let until_ms = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(2, until_ms);
-    until(30, "it is back", &staff, |there| there.iter().all(|&there| there == 5));
-    // Halves that hear nothing of one another, then words that are lost and doubled.
-    stand.fleet().words("zone:a", "zone:b", Post::Cut);
-    stand.fleet().words("zone:b", "zone:a", Post::Cut);
-    until(30, "halves", &staff, |there| there.iter().all(|&there| there == 2));
-    stand.fleet().words("*", "*", Post::Loses(0.2));
-    until(45, "healed", &staff, |there| there.iter().all(|&there| there == 5));
-    stand.nothing_lost();
+    fleet.rig().proxies[1].process.goes_on();
+    wait_for_alive_counts(30, "the paused proxy is alive again", &management, |counts| {
+        counts.iter().all(|&count| count == 5)
+    });
+    assert_eq!(fleet_status(management[1])["taken_as_gone"], 0);
+    let until_ms = fleet.rig().world.now_ms() + 500.0;
+    fleet.rig().excused_until(1, until_ms);
+    // Killed, and restarted under the same number.
+    let now = fleet.rig().world.now_ms();
+    fleet.rig().excuses(2, now - 1_500.0, f64::MAX);
+    fleet.rig().proxies[2].process.kills();
+    let others: Vec<SocketAddr> = [0, 1, 3, 4, 5].map(|n| management[n]).into();
+    wait_for_alive_counts(20, "the killed proxy is gone", &others, |counts| {
+        counts.iter().all(|&count| count == 4)
+    });
+    fleet.rig().proxies[2].process.starts().expect("start proxy");
+    let until_ms = fleet.rig().world.now_ms() + 500.0;
+    fleet.rig().excused_until(2, until_ms);
+    wait_for_alive_counts(30, "the restarted proxy is alive", &management, |counts| {
+        counts.iter().all(|&count| count == 5)
+    });
+    // A partition between the zones, then datagrams that are lost.
+    fleet.rig().words("zone:a", "zone:b", Post::Cut);
+    fleet.rig().words("zone:b", "zone:a", Post::Cut);
+    wait_for_alive_counts(30, "each zone sees only itself", &management, |counts| {
+        counts.iter().all(|&count| count == 2)
+    });
+    fleet.rig().words("*", "*", Post::Loses(0.2));
+    wait_for_alive_counts(45, "the partition has healed", &management, |counts| {
+        counts.iter().all(|&count| count == 5)
+    });
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn what_is_foreign_is_dropped_and_counted() {
-    let mut stand = Stand::new(Shape { proxies: 2, ..shape() });
-    let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
-    until(30, "both know both", &staff, |there| there == [1, 1]);
-    let known = knows(staff[0])["members"][0]["addr"].as_str().expect("local address").to_owned();
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind listener");
+fn malformed_and_foreign_datagrams_are_dropped_and_counted() {
+    let mut fleet = TestFleet::new(Shape { proxies: 2, ..shape() });
+    let management: Vec<SocketAddr> = fleet.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+    wait_for_alive_counts(30, "both see each other", &management, |counts| counts == [1, 1]);
+    let peer_address =
+        fleet_status(management[0])["members"][0]["addr"].as_str().expect("peer address").to_owned();
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind socket");
     for datagram in [&b""[..], b"x", &[1; 100], &[7; 200], &[0; 400], &[255; 1_400]] {
-        socket.send_to(datagram, &known).expect("send datagram");
+        socket.send_to(datagram, &peer_address).expect("send datagram");
     }
-    let dropped = || knows(staff[1])["dropped"].clone();
-    let began = Instant::now();
+    let dropped = || fleet_status(management[1])["dropped"].clone();
+    let start = Instant::now();
     while dropped()["malformed"].as_u64().unwrap_or(0) < 4 {
-        assert!(began.elapsed() < Duration::from_secs(10), "{}", dropped());
+        assert!(start.elapsed() < Duration::from_secs(10), "{}", dropped());
         thread::sleep(Duration::from_millis(50));
     }
-    let told = dropped();
-    assert!(told["other_version"] == 1 && told["other_cluster"] == 1, "{told}");
-    stand.nothing_lost();
+    let counts = dropped();
+    assert!(counts["other_version"] == 1 && counts["other_cluster"] == 1, "{counts}");
+    fleet.assert_no_violations();
 }
 
 #[test]
-fn words_that_nobody_can_hear_are_one_line_and_no_start() {
-    let good =
+fn unusable_peer_messaging_settings_are_rejected_with_one_line() {
+    let valid =
         config("127.0.0.1:1".parse().expect("valid address"), "127.0.0.1:2".parse().expect("valid address"));
-    let words = json!({"cluster": "c", "listen": "127.0.0.1:7999", "peers": ["127.0.0.1:7998"]});
+    let messaging = json!({"cluster": "c", "listen": "127.0.0.1:7999", "peers": ["127.0.0.1:7998"]});
     let with = |key: &str, value: Value| {
-        let mut words = words.clone();
-        words[key] = value;
-        words
+        let mut messaging = messaging.clone();
+        messaging[key] = value;
+        messaging
     };
-    for (words, why) in [
+    for (messaging, reason) in [
         (with("peers", json!([])), "nobody but this proxy"),
         (with("peers", json!(["127.0.0.1:7999"])), "nobody but this proxy"),
         (with("listen", json!("0.0.0.0:7999")), "an address to reach"),
@@ -117,25 +137,33 @@
         (with("key_file", json!("/nowhere/key")), "key_file /nowhere/key"),
         (with("keyfile", json!("k")), "unknown field `keyfile`"),
     ] {
-        let mut told = good.clone();
-        told["words"] = words;
-        let (child, path) = run(&["check"], &told.to_string(), Stdio::piped(), None);
+        let mut config = valid.clone();
+        config["words"] = messaging;
+        let (child, path) = run(&["check"], &config.to_string(), Stdio::piped(), None);
         let output = child.wait_with_output().expect("exit status");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.contains(why) && said.lines().count() == 1, "{said}");
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(
+            !output.status.success() && message.contains(reason) && message.lines().count() == 1,
+            "{message}"
+        );
         let _ = std::fs::remove_file(path);
     }
 }
 
 #[test]
-fn days_of_several_faults_at_once_break_no_rule_and_leave_the_fleet_whole() {
+fn overlapping_faults_violate_no_rule_and_all_proxies_see_each_other_afterwards() {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("build runtime");
     for seed in [3, 4] {
-        let folder = tempfile::tempdir().expect("create directory");
-        let day = runtime.block_on(days::play(seed, &shape(), Path::new(PROGRAM), folder.path()));
+        let directory = tempfile::tempdir().expect("create directory");
+        let day = runtime.block_on(days::play(seed, &shape(), Path::new(PROGRAM), directory.path()));
         let day = day.expect("run scenario");
         assert!(day.breaches.is_empty() && day.whole_s.is_some(), "seed {seed}: {day:#?}");
-        assert!(day.served * 10 > day.requests * 7, "seed {seed}: {} of {}", day.served, day.requests);
+        assert!(
+            day.served * 10 > day.requests * 7,
+            "seed {seed}: {} of {} requests served",
+            day.served,
+            day.requests
+        );
     }
 }
