--- a/crates/flintwell/tests/process/stale_list.rs
+++ b/crates/flintwell/tests/process/stale_list.rs
@@ -1,4 +1,4 @@
-//! A process acts on a server list only for as long as somebody vouches for it, however the process came by the list.
+//! A process acts on a node list only while it holds a valid lease for it, wherever the list came from.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -7,18 +7,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const GRACE: Duration = Duration::from_millis(300); // for requests to a draining server
-const SLACK: Duration = Duration::from_millis(50); // of the rule on sockets
+/// For this long requests may be sent to a node that is known to drain.
+const DRAIN_GRACE: Duration = Duration::from_millis(300);
+/// Tolerance of the rule for the time on the socket.
+const TOLERANCE: Duration = Duration::from_millis(50);
 
-/// A cache that has left, an origin, and a discovery that knows of it but answers its first call only after a while.
-struct World {
+/// A draining cache, the origin, and a discovery that lists the drain but answers its first call only after a delay.
+struct StubNodes {
     cache: StubServer,
     origin: StubServer,
     discovery: StubServer,
 }
 
-impl World {
-    fn start(answers_after: Duration) -> World {
+impl StubNodes {
+    fn start(response_delay: Duration) -> StubNodes {
         let (cache, origin) = (
             StubServer::start(|_, _| Action::Respond(200, "kept")),
             StubServer::start(|_, _| Action::Respond(200, "fetched")),
@@ -31,74 +33,75 @@
             true => {
                 Action::RespondAfter(Duration::from_secs(2), r#"{"version":9,"full":false,"servers":[]}"#)
             }
-            false => Action::RespondAfter(answers_after, list),
+            false => Action::RespondAfter(response_delay, list),
         });
-        World { cache, origin, discovery }
+        StubNodes { cache, origin, discovery }
     }
 
-    /// The configuration of a proxy that had its list before the cache left.
+    /// The configuration of a proxy whose list is older than the drain of the cache.
     fn config(&self, pushed: bool) -> Value {
         let mut config = config(self.cache.addr, self.origin.addr);
         config["discovery"] = json!(self.discovery.addr.to_string());
         config["settings"]["discovery"] = json!(if pushed { "pushed" } else { "on_request" });
-        config["settings"]["guarantees"]["stop_sending_within"] = json!(GRACE.as_secs_f64());
+        config["settings"]["guarantees"]["stop_sending_within"] = json!(DRAIN_GRACE.as_secs_f64());
         config
     }
 }
 
-/// Asks until `ends`, and counts how often the origin answered.
-fn served(proxy: &Proxy, ends: Duration) -> usize {
+/// Sends requests for this time, and counts how often the origin answered.
+fn count_origin_responses(proxy: &Proxy, time: Duration) -> usize {
     let (start, mut client) = (Instant::now(), proxy.client());
     let mut served = 0;
     for request in 0.. {
-        if start.elapsed() > ends {
+        if start.elapsed() > time {
             break;
         }
-        let answer = client.request("read", &format!("k{request}"));
-        assert!(matches!(answer.status(), 200 | 503), "{}", answer.start_line);
-        served += usize::from(answer.body == "fetched");
+        let response = client.request("read", &format!("k{request}"));
+        assert!(matches!(response.status(), 200 | 503), "{}", response.start_line);
+        served += usize::from(response.body == "fetched");
         thread::sleep(Duration::from_millis(20));
     }
     served
 }
 
-/// What it was given may be older than any lease: the process was dead meanwhile. What left then counts from its first moment.
+/// The configured list may be older than any lease, because the process was down meanwhile. Nodes that drained or left in
+/// that time must get no request from the first moment on.
 #[test]
-fn a_new_process_sends_nothing_by_the_list_it_was_given_before_discovery_has_answered() {
+fn new_process_sends_nothing_by_its_configured_list_before_discovery_has_answered() {
     for pushed in [false, true] {
-        let world = World::start(Duration::from_millis(1_500));
-        let proxy = Proxy::start(&world.config(pushed));
-        let served = served(&proxy, Duration::from_secs(3));
-        assert_eq!(world.cache.requests().len(), 0, "pushed {pushed}: sent to the cache that had left");
-        assert!(served > 10, "pushed {pushed}: {served} served once discovery had answered");
+        let stubs = StubNodes::start(Duration::from_millis(1_500));
+        let proxy = Proxy::start(&stubs.config(pushed));
+        let served = count_origin_responses(&proxy, Duration::from_secs(3));
+        assert_eq!(stubs.cache.requests().len(), 0, "pushed {pushed}: requests to the draining cache");
+        assert!(served > 10, "pushed {pushed}: {served} requests served after discovery had answered");
     }
 }
 
-/// A fleet of 32 processes whose settings tell 300; a quarter is killed, a server leaves, and the killed ones are started
-/// again with the configuration they had.
+/// 32 processes whose settings say a fleet of 300. A quarter is killed, a node drains, and the killed processes restart
+/// with the same configuration.
 #[test]
-fn restarted_processes_of_a_large_fleet_send_nothing_to_a_server_that_left_while_they_were_dead() {
-    let (fleet, told_fleet) = (32, 300);
-    let left = Arc::new(AtomicBool::new(false));
+fn restarted_processes_send_nothing_to_a_node_that_drained_while_they_were_down() {
+    let (processes, fleet_size) = (32, 300);
+    let has_drained = Arc::new(AtomicBool::new(false));
     let caches: Vec<StubServer> =
         (0..4).map(|_| StubServer::start(|_, _| Action::Respond(200, "kept"))).collect();
     let origin = StubServer::start(|_, _| Action::Respond(200, "fetched"));
-    let list = |version: u64, first: &str| -> &'static str {
+    let list = |version: u64, first_state: &str| -> &'static str {
         let mut servers: Vec<Value> = caches
             .iter()
             .enumerate()
             .map(|(n, cache)| {
-                node_entry(&format!("c{n}"), cache.addr, "cache", if n == 0 { first } else { "ready" })
+                node_entry(&format!("c{n}"), cache.addr, "cache", if n == 0 { first_state } else { "ready" })
             })
             .collect();
         servers.push(node_entry("o", origin.addr, "origin", "ready"));
         json!({"version": version, "full": true, "servers": servers}).to_string().leak()
     };
     let (before, after) = (list(1, "ready"), list(2, "draining"));
-    let leaves = left.clone();
+    let drained = has_drained.clone();
     let discovery = StubServer::start(move |message, _| {
         let has = |version: &str| message.start_line.contains(&format!("since={version}&"));
-        match leaves.load(Ordering::SeqCst) {
+        match drained.load(Ordering::SeqCst) {
             false if has("1") => {
                 Action::RespondAfter(Duration::from_millis(300), r#"{"version":1,"full":false,"servers":[]}"#)
             }
@@ -115,50 +118,51 @@
         config["discovery"] = json!(discovery.addr.to_string());
         config["seed"] = json!(format!("{n:016x}"));
         config["known"] = serde_json::from_str(before).expect("valid JSON");
-        config["settings"]["index"] = json!(n * told_fleet / fleet);
-        config["settings"]["fleet_size"] = json!(told_fleet);
-        config["settings"]["guarantees"]["stop_sending_within"] = json!(GRACE.as_secs_f64());
+        config["settings"]["index"] = json!(n * fleet_size / processes);
+        config["settings"]["fleet_size"] = json!(fleet_size);
+        config["settings"]["guarantees"]["stop_sending_within"] = json!(DRAIN_GRACE.as_secs_f64());
         config
     };
-    let mut proxies: Vec<Proxy> = (0..fleet).map(|n| Proxy::start(&config(n))).collect();
+    let mut proxies: Vec<Proxy> = (0..processes).map(|n| Proxy::start(&config(n))).collect();
     thread::sleep(Duration::from_secs(1));
-    proxies.truncate(fleet - fleet / 4);
-    left.store(true, Ordering::SeqCst);
-    let allowed = Instant::now() + Duration::from_secs(6) + GRACE + SLACK;
+    proxies.truncate(processes - processes / 4);
+    has_drained.store(true, Ordering::SeqCst);
+    let allowed_until = Instant::now() + Duration::from_secs(6) + DRAIN_GRACE + TOLERANCE;
     thread::sleep(Duration::from_secs(5));
-    let restarted: Vec<Proxy> = (fleet - fleet / 4..fleet).map(|n| Proxy::start(&config(n))).collect();
-    let heard_late = Arc::new(Mutex::new(0));
+    let restarted: Vec<Proxy> =
+        (processes - processes / 4..processes).map(|n| Proxy::start(&config(n))).collect();
+    let late_count = Arc::new(Mutex::new(0));
     thread::scope(|scope| {
         for (n, proxy) in restarted.iter().enumerate() {
-            let (heard_late, cache) = (heard_late.clone(), &caches[0]);
+            let (late_count, cache) = (late_count.clone(), &caches[0]);
             scope.spawn(move || {
                 let mut client = proxy.client();
                 for request in 0..300 {
-                    let late = Instant::now() > allowed;
+                    let is_late = Instant::now() > allowed_until;
                     let id = format!("late-{n}-{request}");
                     client.request("read", &id);
-                    let heard =
+                    let was_received =
                         || cache.requests().iter().any(|message| message.header("x-request-id") == Some(&id));
-                    if late && heard() {
-                        *heard_late.lock().expect("not poisoned") += 1;
+                    if is_late && was_received() {
+                        *late_count.lock().expect("not poisoned") += 1;
                     }
                     thread::sleep(Duration::from_millis(20));
                 }
             });
         }
     });
-    let late = *heard_late.lock().expect("not poisoned");
-    assert_eq!(late, 0, "requests to the server that had left, by processes younger than its end");
+    let late = *late_count.lock().expect("not poisoned");
+    assert_eq!(late, 0, "requests of restarted processes to the node that drained while they were down");
 }
 
-/// What an earlier process of this proxy left, with its age, is acted on at once, and for no longer than its age allows.
+/// A list that an earlier process stored is used at once, and only for the rest of its lease: a restart renews no lease.
 #[test]
-fn a_list_left_by_an_earlier_process_serves_at_once_for_what_is_left_of_its_time() {
+fn stored_list_is_used_at_once_for_the_rest_of_its_lease() {
     let directory = tempfile::tempdir().expect("create directory");
     let (cache, origin) = (StubServer::start(|_, _| Action::Respond(200, "kept")), not_found_server());
     let silent = Arc::new(AtomicBool::new(false));
-    let falls_silent = silent.clone();
-    let discovery = StubServer::start(move |_, _| match falls_silent.load(Ordering::SeqCst) {
+    let is_silent = silent.clone();
+    let discovery = StubServer::start(move |_, _| match is_silent.load(Ordering::SeqCst) {
         true => Action::Hang,
         false => Action::RespondUnchanged,
     });
@@ -169,18 +173,18 @@
     thread::sleep(Duration::from_millis(500));
     silent.store(true, Ordering::SeqCst);
     drop(first);
-    let dead = Instant::now();
+    let stopped_at = Instant::now();
     let second = Proxy::start_in(&config, directory.path());
-    assert_eq!(second.client().request("read", "k1").body, "kept", "while what it may lack does not count");
-    thread::sleep(Duration::from_millis(6_200).saturating_sub(dead.elapsed()));
-    assert_eq!(second.client().request("read", "k2").status(), 503, "older than any lease");
+    assert_eq!(second.client().request("read", "k1").body, "kept", "while the stored lease is valid");
+    thread::sleep(Duration::from_millis(6_200).saturating_sub(stopped_at.elapsed()));
+    assert_eq!(second.client().request("read", "k2").status(), 503, "the lease has expired");
     drop(second);
     let third = Proxy::start_in(&config, directory.path());
-    assert_eq!(third.client().request("read", "k3").status(), 503, "a start makes no list younger");
+    assert_eq!(third.client().request("read", "k3").status(), 503, "a start renews no lease");
 }
 
 #[test]
-fn a_new_configuration_makes_no_list_younger() {
+fn reloading_the_configuration_renews_no_lease() {
     let (cache, origin) = (StubServer::start(|_, _| Action::Respond(200, "kept")), not_found_server());
     let silent = StubServer::start(|_, _| Action::Hang);
     let mut config = config(cache.addr, origin.addr);
@@ -189,43 +193,43 @@
     config["discovery"] = json!(discovery.addr.to_string());
     let proxy = Proxy::start(&config);
     assert_eq!(proxy.client().request("read", "k0").body, "kept");
-    let confirmed = Instant::now();
+    let confirmed_at = Instant::now();
     thread::sleep(Duration::from_secs(3));
     config["discovery"] = json!(silent.addr.to_string());
     std::fs::write(&proxy.config_path, config.to_string()).expect("write");
     proxy.signal("-HUP");
-    wait_until("asked at the new place", || !silent.requests().is_empty());
+    wait_until("the new discovery is called", || !silent.requests().is_empty());
     assert_eq!(proxy.client().request("read", "k1").body, "kept");
-    thread::sleep(Duration::from_millis(6_100).saturating_sub(confirmed.elapsed()));
+    thread::sleep(Duration::from_millis(6_100).saturating_sub(confirmed_at.elapsed()));
     assert_eq!(proxy.client().request("read", "k2").status(), 503);
 }
 
-/// Clients are told to come once they can be served, and in any case soon enough for whoever waits for a restart.
+/// A process reports ready once it can serve, and otherwise after a limited time, so that a restart does not block.
 #[test]
-fn a_new_process_is_ready_once_it_has_a_list_or_has_waited_for_some_seconds() {
+fn new_process_is_ready_once_it_has_a_list_or_a_startup_timeout_is_over() {
     let (cache, origin) = (not_found_server(), not_found_server());
     let slow = StubServer::start(|_, number| match number {
         0 => Action::RespondAfter(Duration::from_secs(1), r#"{"version":1,"full":false,"servers":[]}"#),
         _ => Action::RespondUnchanged,
     });
     let silent = StubServer::start(|_, _| Action::Hang);
-    for (discovery, from, to) in [(slow.addr, 900, 2_000), (silent.addr, 4_500, 6_000)] {
+    for (discovery, min_ms, max_ms) in [(slow.addr, 900, 2_000), (silent.addr, 4_500, 6_000)] {
         let mut config = config(cache.addr, origin.addr);
         config["discovery"] = json!(discovery.to_string());
         let (config, at) = with_management(config);
         let start = Instant::now();
         let proxy = Proxy::start(&config);
         let mut probe = proxy.client();
-        let mut ready = || {
+        let mut is_ready = || {
             probe.send("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
             probe.read_response().expect("response").status() == 200
         };
-        while !ready() {
+        while !is_ready() {
             assert!(start.elapsed() < Duration::from_secs(20), "never ready");
             thread::sleep(Duration::from_millis(20));
         }
-        let took = start.elapsed().as_millis();
-        assert!((from..to).contains(&took), "ready after {took} ms");
+        let took_ms = start.elapsed().as_millis();
+        assert!((min_ms..max_ms).contains(&took_ms), "ready after {took_ms} ms");
         assert_eq!(get(at, "/api/ready").0, 200);
     }
 }
