--- a/crates/flintwell/tests/process/handover.rs
+++ b/crates/flintwell/tests/process/handover.rs
@@ -1,4 +1,4 @@
-//! Long answers handed from one version to the next, between two real processes.
+//! Handover of open responses from one process to its successor.
 
 use crate::operations::{TempDirectory, inheriting, served_by};
 use crate::streams::memory;
@@ -16,24 +16,25 @@
 use tokio_seqpacket::ancillary::AncillaryMessageWriter;
 use tokio_seqpacket::{UnixSeqpacket, UnixSeqpacketListener};
 
-const LONG: usize = 8 << 20;
-const PIECE: usize = 65_536;
+const LONG_BODY_BYTES: usize = 8 << 20;
+const BLOCK_BYTES: usize = 65_536;
 
-/// All of the long body; each piece differs from the others, and a byte from those around it.
+/// The long body. Blocks differ from one another and neighbouring bytes differ, so that a lost or repeated byte changes
+/// the hash.
 static BODY: LazyLock<Vec<u8>> = LazyLock::new(|| {
-    let first: Vec<u8> = (0..PIECE).map(|n| (n ^ n >> 8) as u8).collect();
-    let turned = |n: usize| [&first[n * 7..], &first[..n * 7]].concat();
-    (0..LONG / PIECE).flat_map(turned).collect()
+    let first: Vec<u8> = (0..BLOCK_BYTES).map(|n| (n ^ n >> 8) as u8).collect();
+    let rotated = |n: usize| [&first[n * 7..], &first[..n * 7]].concat();
+    (0..LONG_BODY_BYTES / BLOCK_BYTES).flat_map(rotated).collect()
 });
 
-fn told(mut to: &TcpStream) -> std::io::Result<()> {
-    write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n")?;
+fn send_with_length(mut to: &TcpStream) -> std::io::Result<()> {
+    write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n")?;
     to.write_all(&BODY)
 }
 
-fn in_chunks(mut to: &TcpStream) -> std::io::Result<()> {
+fn send_chunked(mut to: &TcpStream) -> std::io::Result<()> {
     write!(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-    // Of a size that no buffer has.
+    // Chunk boundaries that match no buffer size.
     for part in BODY.chunks(10_007) {
         write!(to, "{:X};n=1\r\n", part.len())?;
         to.write_all(part)?;
@@ -42,16 +43,19 @@
     write!(to, "0\r\nx-end: 1\r\n\r\n")
 }
 
-/// Reads what comes slowly, where nodes are crowded at the second or third try: the status, the hash of the body, and whether it came whole by its framing.
-fn reads(addr: SocketAddr, id: &str, pause: Duration) -> (u16, usize, u64, bool) {
-    let mut tries = (0..8).map(|n| {
+/// Status of a response, number and hash of its body bytes, and whether the body was complete by its framing.
+type ReadResult = (u16, usize, u64, bool);
+
+/// Requests a long response and reads it slowly. A 503 is retried, since many readers at once overload the nodes.
+fn read_slowly(addr: SocketAddr, id: &str, pause: Duration) -> ReadResult {
+    let mut attempts = (0..8).map(|n| {
         thread::sleep(Duration::from_millis(n * 50));
-        reads_once(addr, &format!("{id}-{n}"), pause)
+        read_once(addr, &format!("{id}-{n}"), pause)
     });
-    tries.find(|read| read.0 != 503).expect("response")
+    attempts.find(|result| result.0 != 503).expect("response")
 }
 
-fn reads_once(addr: SocketAddr, id: &str, pause: Duration) -> (u16, usize, u64, bool) {
+fn read_once(addr: SocketAddr, id: &str, pause: Duration) -> ReadResult {
     let mut client = Client::connect(addr);
     client.send_request("read", id);
     let from = &mut client.0;
@@ -63,19 +67,19 @@
         length = head.strip_prefix("content-length: ").map_or(length, |n| n.trim().parse().expect("length"));
         line.clear();
     }
-    let (mut hash, mut came, mut buffer) = (DefaultHasher::new(), 0, vec![0; PIECE]);
-    let mut take = |from: &mut BufReader<TcpStream>, mut left: usize| {
+    let (mut hash, mut received, mut buffer) = (DefaultHasher::new(), 0, vec![0; BLOCK_BYTES]);
+    let mut read_bytes = |from: &mut BufReader<TcpStream>, mut left: usize| {
         while left > 0 {
-            let most = left.min(PIECE);
-            let Some(bytes) = from.read(&mut buffer[..most]).ok().filter(|n| *n > 0) else { return false };
+            let max = left.min(BLOCK_BYTES);
+            let Some(bytes) = from.read(&mut buffer[..max]).ok().filter(|n| *n > 0) else { return false };
             hash.write(&buffer[..bytes]);
-            (left, came) = (left - bytes, came + bytes);
-            thread::sleep(pause.mul_f64(bytes as f64 / PIECE as f64));
+            (left, received) = (left - bytes, received + bytes);
+            thread::sleep(pause.mul_f64(bytes as f64 / BLOCK_BYTES as f64));
         }
         true
     };
-    let whole = if !chunked {
-        take(from, length)
+    let is_complete = if !chunked {
+        read_bytes(from, length)
     } else {
         loop {
             line.clear();
@@ -86,24 +90,26 @@
             if size == 0 {
                 break true;
             }
-            if !take(from, size) || from.read_exact(&mut [0; 2]).is_err() {
+            if !read_bytes(from, size) || from.read_exact(&mut [0; 2]).is_err() {
                 break false;
             }
         }
     };
-    (status, came, hash.finish(), whole)
+    (status, received, hash.finish(), is_complete)
 }
 
+/// Hash of the first `length` bytes of the long body.
 fn hash_of(length: usize) -> u64 {
     let mut hash = DefaultHasher::new();
     hash.write(&BODY[..length]);
     hash.finish()
 }
 
-fn long_answers() -> StubServer {
+/// A cache that sends the long body for some keys.
+fn long_response_server() -> StubServer {
     StubServer::start(|message, _| match message.start_line.as_str() {
-        first if first.contains("told") => Action::Write(told),
-        first if first.contains("chunks") => Action::Write(in_chunks),
+        line if line.contains("sized") => Action::Write(send_with_length),
+        line if line.contains("chunks") => Action::Write(send_chunked),
         _ => Action::Respond(200, "value"),
     })
 }
@@ -114,51 +120,55 @@
     config
 }
 
+/// Number of open descriptors of a process.
 fn descriptors(proxy: &Proxy) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).map_or(0, Iterator::count)
 }
 
-/// Clients of which each reads a long answer for some seconds.
-fn readers(addr: SocketAddr, count: usize) -> Vec<thread::JoinHandle<(u16, usize, u64, bool)>> {
+/// Starts clients that each read a long response over some seconds.
+fn start_readers(addr: SocketAddr, count: usize) -> Vec<thread::JoinHandle<ReadResult>> {
     let reader = |n: usize| {
-        let id = format!("{}-{n}", if n.is_multiple_of(2) { "told" } else { "chunks" });
-        thread::spawn(move || reads(addr, &id, Duration::from_millis(35)))
+        let id = format!("{}-{n}", if n.is_multiple_of(2) { "sized" } else { "chunks" });
+        thread::spawn(move || read_slowly(addr, &id, Duration::from_millis(35)))
     };
     (0..count).map(reader).collect()
 }
 
-/// What came is right as far as it goes; how many came whole.
-fn right(readers: Vec<thread::JoinHandle<(u16, usize, u64, bool)>>) -> usize {
-    let mut all_whole = 0;
+/// Asserts that each client received an unchanged prefix of the body; returns how many received all of it.
+fn check_bodies(readers: Vec<thread::JoinHandle<ReadResult>>) -> usize {
+    let mut complete = 0;
     for reader in readers {
-        let (status, came, hash, whole) = reader.join().expect("client thread");
-        assert!(status == 200 && came <= LONG && (!whole || came == LONG), "{status}, {came}");
-        assert_eq!(hash, hash_of(came), "no byte twice, none left out, of {came}");
-        all_whole += usize::from(whole);
+        let (status, received, hash, is_complete) = reader.join().expect("client thread");
+        assert!(
+            status == 200 && received <= LONG_BODY_BYTES && (!is_complete || received == LONG_BODY_BYTES),
+            "status {status}, {received} bytes"
+        );
+        assert_eq!(hash, hash_of(received), "bytes lost or repeated among {received}");
+        complete += usize::from(is_complete);
     }
-    all_whole
+    complete
 }
 
 #[test]
-fn long_answers_outlive_the_process_that_began_them() {
-    let (cache, directory) = (long_answers(), TempDirectory::new());
+fn open_responses_are_handed_over_to_the_successor() {
+    let (cache, directory) = (long_response_server(), TempDirectory::new());
     let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let addr = socket.local_addr().expect("local address");
     let (old, _) = served_by(&socket, &config, &directory.0);
-    let slow = readers(addr, 66);
+    let slow = start_readers(addr, 66);
     let quick: Vec<_> = (0..134)
         .map(|n| {
             let until = Instant::now() + Duration::from_secs(3);
             thread::spawn(move || {
                 (0..).take_while(|_| Instant::now() < until).fold(0, |failed, k| {
-                    let answers = |addr| {
+                    let is_answered = |addr| {
                         let mut client = Client::connect(addr);
                         client.send_request("read", &format!("q{n}-{k}"));
-                        // Turned back is answered.
-                        client.read_response().is_some_and(|answer| matches!(answer.status(), 200 | 503))
+                        // A 503 counts as answered.
+                        client.read_response().is_some_and(|response| matches!(response.status(), 200 | 503))
                     };
                     thread::sleep(Duration::from_millis(20));
-                    failed + usize::from(!answers(addr) && !answers(addr))
+                    failed + usize::from(!is_answered(addr) && !is_answered(addr))
                 })
             })
         })
@@ -166,88 +176,97 @@
     thread::sleep(Duration::from_millis(600));
     let (new, at) = served_by(&socket, &config, &directory.0);
     old.signal("-TERM");
-    let most = std::cell::Cell::new(0);
-    // It ends once nothing is left with it.
+    let max_descriptors = std::cell::Cell::new(0);
+    // The old process ends once it has no open response left.
     let old = std::cell::RefCell::new(old);
-    wait_until("all are handed over", || {
-        most.set(most.get().max(descriptors(&old.borrow()) + descriptors(&new)));
+    wait_until("all responses are handed over", || {
+        max_descriptors.set(max_descriptors.get().max(descriptors(&old.borrow()) + descriptors(&new)));
         old.borrow_mut().child.try_wait().expect("query state").is_some_and(|status| status.success())
     });
-    assert!(most.get() <= 1_024, "both within the limit");
-    assert!(slow.iter().any(|reader| !reader.is_finished()), "their clients read on");
-    assert_eq!(right(slow), 66);
-    assert_eq!(quick.into_iter().map(|one| one.join().expect("client thread")).sum::<usize>(), 0);
-    wait_until("none in hand", || metrics(at)["in_progress"] == json!(0));
+    assert!(max_descriptors.get() <= 1_024, "both processes together stay within the limit");
+    assert!(slow.iter().any(|reader| !reader.is_finished()), "clients still read after the handover");
+    assert_eq!(check_bodies(slow), 66);
+    assert_eq!(quick.into_iter().map(|client| client.join().expect("client thread")).sum::<usize>(), 0);
+    wait_until("no request in flight", || metrics(at)["in_progress"] == json!(0));
     assert!(
         metrics(at)["passed"]["read"].as_u64().is_some_and(|passed| passed >= 60),
-        "counted where they end"
+        "responses are counted by the process in which they end"
     );
 }
 
 #[test]
-fn a_client_that_reads_slowly_holds_no_connection_to_its_node() {
-    let cache = long_answers();
+fn slow_reader_does_not_keep_the_connection_to_its_node_busy() {
+    let cache = long_response_server();
     let proxy = Proxy::start(&settings(&cache));
-    for (n, id) in ["told", "chunks"].into_iter().enumerate() {
+    for (n, id) in ["sized", "chunks"].into_iter().enumerate() {
         let (at, slow) = (proxy.addr, format!("{id}-slow"));
-        let reader = thread::spawn(move || reads(at, &slow, Duration::from_millis(15)));
-        wait_until("the node has given all of it", || cache.closed() == n + 1);
-        assert!(!reader.is_finished(), "its client reads on");
-        assert_eq!(right(vec![reader]), 1);
+        let reader = thread::spawn(move || read_slowly(at, &slow, Duration::from_millis(15)));
+        wait_until("the node has sent the whole response", || cache.closed() == n + 1);
+        assert!(!reader.is_finished(), "its client still reads");
+        assert_eq!(check_bodies(vec![reader]), 1);
     }
-    // Of more than its part of the memory holds.
+    // More responses than the memory for buffering holds.
     let mut config = settings(&cache);
     config["limits"]["memory_mb"] = json!(48);
     let proxy = Proxy::start(&config);
-    let slow = readers(proxy.addr, 24);
-    let most = (0..20).map(|_| {
+    let slow = start_readers(proxy.addr, 24);
+    let samples_mb = (0..20).map(|_| {
         thread::sleep(Duration::from_millis(50));
         memory(&proxy)
     });
-    assert!(most.max().is_some_and(|most| most < 48));
-    assert_eq!(right(slow), 24);
+    assert!(samples_mb.max().is_some_and(|max_mb| max_mb < 48));
+    assert_eq!(check_bodies(slow), 24);
 }
 
 #[test]
-fn whichever_process_is_killed_while_they_are_handed_over_no_byte_comes_twice() {
+fn killing_either_process_during_handover_never_repeats_a_byte() {
     let kills = [(false, 1), (false, 6), (true, 1), (true, 6)];
-    let rounds = kills.map(|(kill_old, after)| thread::spawn(move || killed(kill_old, after)));
-    rounds.into_iter().for_each(|round| round.join().expect("test thread"));
+    let runs =
+        kills.map(|(kill_old, after_ms)| thread::spawn(move || kill_during_handover(kill_old, after_ms)));
+    runs.into_iter().for_each(|run| run.join().expect("test thread"));
 }
 
-fn killed(kill_old: bool, after: u64) {
-    let (cache, directory) = (long_answers(), TempDirectory::new());
+fn kill_during_handover(kill_old: bool, after_ms: u64) {
+    let (cache, directory) = (long_response_server(), TempDirectory::new());
     let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let (old, _) = served_by(&socket, &config, &directory.0);
-    let slow = readers(socket.local_addr().expect("local address"), 24);
+    let slow = start_readers(socket.local_addr().expect("local address"), 24);
     thread::sleep(Duration::from_millis(400));
     let (new, _) = served_by(&socket, &config, &directory.0);
     old.signal("-TERM");
-    thread::sleep(Duration::from_millis(after));
-    let (killed, left) = if kill_old { (old, new) } else { (new, old) };
+    thread::sleep(Duration::from_millis(after_ms));
+    let (killed, survivor) = if kill_old { (old, new) } else { (new, old) };
     drop(killed);
-    // What the killed one owned is cut off, and its clients see that.
-    let whole = right(slow);
-    assert!(kill_old || whole > 0 || after > 1, "{whole} whole with the successor killed after {after} ms");
-    drop(left);
+    // Responses that the killed process owned are cut off, and their clients notice.
+    let complete = check_bodies(slow);
+    assert!(
+        kill_old || complete > 0 || after_ms > 1,
+        "{complete} complete with the successor killed after {after_ms} ms"
+    );
+    drop(survivor);
 }
 
-/// A process that is ready, and what it will have logged at its end.
-fn logged(socket: &TcpListener, config: Value, directory: &Path) -> (Proxy, thread::JoinHandle<Vec<String>>) {
+/// Starts a process, waits until it is ready, and collects its log until it ends.
+fn start_logged(
+    socket: &TcpListener,
+    config: Value,
+    directory: &Path,
+) -> (Proxy, thread::JoinHandle<Vec<String>>) {
     let (config, at) = with_management(config);
     let (proxy, log) = inheriting(socket, &config, directory);
     let lines = thread::spawn(move || log.lines().map_while(Result::ok).collect());
-    wait_until("ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
+    wait_until("the process is ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
     (proxy, lines)
 }
 
-/// In a runtime of its own.
-fn runs<T>(work: impl Future<Output = T>) -> T {
+/// Runs a future in a runtime of its own.
+fn block_on<T>(work: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build runtime").block_on(work)
 }
 
-/// A successor that only seems to be one.
-fn seems_to_serve(directory: &Path) -> (std::fs::File, PathBuf) {
+/// Files that make the old process believe in a successor: a locked state file, which must stay open, and the path of
+/// the successor's handover socket.
+fn fake_successor(directory: &Path) -> (std::fs::File, PathBuf) {
     let name = "process-09999999999999999999-1";
     let mut file = std::fs::File::create(directory.join("flintwell-n0").join(name)).expect("write file");
     file.try_lock().expect("lock file");
@@ -256,28 +275,28 @@
 }
 
 #[test]
-fn with_a_successor_that_does_not_take_over_the_old_one_goes_on_as_ever() {
+fn old_process_finishes_its_responses_when_the_successor_does_not_take_over() {
     for version in [None, Some("flintwell hand-over 2"), Some("")] {
-        let (cache, directory) = (long_answers(), TempDirectory::new());
+        let (cache, directory) = (long_response_server(), TempDirectory::new());
         let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
-        let (old, lines) = logged(&socket, config, &directory.0);
-        let slow = readers(socket.local_addr().expect("local address"), 6);
+        let (old, lines) = start_logged(&socket, config, &directory.0);
+        let slow = start_readers(socket.local_addr().expect("local address"), 6);
         thread::sleep(Duration::from_millis(300));
-        let (_lock, path) = seems_to_serve(&directory.0);
+        let (_lock, path) = fake_successor(&directory.0);
         let successor = thread::spawn(move || {
-            runs(async move {
+            block_on(async move {
                 let Some(version) = version else { return };
                 let mut listener = UnixSeqpacketListener::bind(path).expect("bind handover socket");
-                let forerunner = listener.accept().await.expect("predecessor connects");
+                let predecessor = listener.accept().await.expect("predecessor connects");
                 if !version.is_empty() {
-                    forerunner.send(version.as_bytes()).await.expect("send message");
+                    predecessor.send(version.as_bytes()).await.expect("send message");
                 }
                 tokio::time::sleep(Duration::from_secs(2)).await;
             });
         });
         thread::sleep(Duration::from_millis(100));
         old.signal("-TERM");
-        assert_eq!(right(slow), 6, "{version:?}");
+        assert_eq!(check_bodies(slow), 6, "{version:?}");
         successor.join().expect("successor thread");
         drop(old);
         let lines = lines.join().expect("stderr");
@@ -286,16 +305,18 @@
 }
 
 #[test]
-fn what_is_no_hand_over_is_refused_with_a_line_and_nothing_else_is_harmed() {
-    let (cache, directory) = (long_answers(), TempDirectory::new());
+fn invalid_handover_offers_are_refused_with_one_log_line_each() {
+    let (cache, directory) = (long_response_server(), TempDirectory::new());
     let (config, socket) = (settings(&cache), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
-    let (proxy, lines) = logged(&socket, config, &directory.0);
-    let named = std::fs::read_dir(directory.0.join("flintwell-n0")).expect("read state directory").flatten();
-    let takes = named.map(|entry| entry.path()).find(|path| path.to_string_lossy().contains("takes-"));
-    let takes = takes.expect("handover socket path");
-    let (file, listening) = (std::fs::File::open("/proc/self/stat").expect("write file"), &socket);
+    let (proxy, lines) = start_logged(&socket, config, &directory.0);
+    let entries =
+        std::fs::read_dir(directory.0.join("flintwell-n0")).expect("read state directory").flatten();
+    let socket_path =
+        entries.map(|entry| entry.path()).find(|path| path.to_string_lossy().contains("takes-"));
+    let socket_path = socket_path.expect("handover socket path");
+    let (file, listening) = (std::fs::File::open("/proc/self/stat").expect("open file"), &socket);
     let peer = TcpStream::connect(cache.addr).expect("connect");
-    let note = |unwritten: usize| {
+    let header = |unwritten: usize| {
         json!({"case": 0, "rest": null, "chunked": false, "open": true, "left": 0, "unwritten": unwritten, "kept": 0})
             .to_string()
             + "\n"
@@ -303,47 +324,51 @@
     assert_eq!(proxy.client().request("read", "before").status(), 200);
     thread::sleep(Duration::from_millis(300));
     let before = descriptors(&proxy);
-    runs(async {
-        let meet = async |hello: &[u8]| {
-            let meets = UnixSeqpacket::connect(&takes).await.expect("connect to handover socket");
-            meets.send(hello).await.expect("send message");
-            let mut word = [0; 64];
-            let said = meets.recv(&mut word).await.expect("receive reply").bytes_read();
-            assert_eq!(&word[..said], b"flintwell hand-over 1");
-            meets
+    block_on(async {
+        let connect = async |hello: &[u8]| {
+            let connection = UnixSeqpacket::connect(&socket_path).await.expect("connect to handover socket");
+            connection.send(hello).await.expect("send message");
+            let mut reply = [0; 64];
+            let length = connection.recv(&mut reply).await.expect("receive reply").bytes_read();
+            assert_eq!(&reply[..length], b"flintwell hand-over 1");
+            connection
         };
-        // Of another version: it hears ours, and nothing more.
-        let other = meet(b"flintwell hand-over 7").await;
+        // A peer with another protocol version gets ours, and the connection is closed.
+        let other = connect(b"flintwell hand-over 7").await;
         assert_eq!(other.recv(&mut [0; 16]).await.expect("end of stream").bytes_read(), 0);
-        let meets = meet(b"flintwell hand-over 1").await;
-        let offer = async |words: &[u8], sockets: &[std::os::fd::BorrowedFd<'_>]| {
+        let connection = connect(b"flintwell hand-over 1").await;
+        let offer = async |text: &[u8], sockets: &[std::os::fd::BorrowedFd<'_>]| {
             let mut ancillary = [0; 256];
             let mut ancillary = AncillaryMessageWriter::new(&mut ancillary);
             ancillary.add_fds(sockets.iter()).expect("room for descriptors");
-            meets.send_with_ancillary(words, &mut ancillary).await.expect("send datagram");
-            let mut word = [0; 16];
-            let said = meets.recv(&mut word).await.expect("receive reply").bytes_read();
-            String::from_utf8_lossy(&word[..said]).into_owned()
+            connection.send_with_ancillary(text, &mut ancillary).await.expect("send offer");
+            let mut reply = [0; 16];
+            let length = connection.recv(&mut reply).await.expect("receive reply").bytes_read();
+            String::from_utf8_lossy(&reply[..length]).into_owned()
         };
-        let (whole, cut) = (note(0), note(9));
+        let (complete, truncated) = (header(0), header(9));
         let (peer, file, listening) = (peer.as_fd(), file.as_fd(), listening.as_fd());
-        for (words, sockets) in [
-            (&whole.as_bytes()[..20], &[peer][..]),
-            (cut.as_bytes(), &[peer][..]),
+        for (text, sockets) in [
+            (&complete.as_bytes()[..20], &[peer][..]),
+            (truncated.as_bytes(), &[peer][..]),
             (&vec![b'x'; 200_000][..], &[peer][..]),
             (b"{}\n", &[peer][..]),
-            (whole.as_bytes(), &[peer, peer][..]),
-            (whole.as_bytes(), &[file][..]),
-            (whole.as_bytes(), &[listening][..]),
-            (whole.as_bytes(), &[peer; 40][..]),
+            (complete.as_bytes(), &[peer, peer][..]),
+            (complete.as_bytes(), &[file][..]),
+            (complete.as_bytes(), &[listening][..]),
+            (complete.as_bytes(), &[peer; 40][..]),
         ] {
-            assert_eq!(offer(words, sockets).await, "refused", "{}", String::from_utf8_lossy(&words[..9]));
+            assert_eq!(offer(text, sockets).await, "refused", "{}", String::from_utf8_lossy(&text[..9]));
         }
-        assert_eq!(offer(whole.as_bytes(), &[peer]).await, "taken", "a good one after all these");
+        assert_eq!(
+            offer(complete.as_bytes(), &[peer]).await,
+            "taken",
+            "a valid one is accepted after all these"
+        );
     });
     wait_until("its descriptors are closed", || descriptors(&proxy) <= before + 1);
     assert_eq!(proxy.client().request("read", "after").status(), 200);
-    // Its log is written by a thread of its own, which a kill would cut short.
+    // The log is written by a separate thread, which a kill would cut short.
     thread::sleep(Duration::from_millis(300));
     drop(proxy);
     let lines = lines.join().expect("stderr");
--- a/crates/flintwell/tests/process/operations.rs
+++ b/crates/flintwell/tests/process/operations.rs
@@ -1,4 +1,4 @@
-//! The second address, its figures, and nodes taken out by hand.
+//! The management API, the metrics, nodes excluded by operators, and successors at an inherited socket.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A directory for temporary files, gone at the end.
+/// A directory for temporary files; removed when dropped.
 pub struct TempDirectory(pub PathBuf);
 
 impl TempDirectory {
@@ -32,21 +32,22 @@
     }
 }
 
-/// Growing while it serves, with two threads, would stand it still.
+/// A process with several threads stalls while the kernel grows its descriptor table, so the table must have its full size
+/// before clients are served.
 #[test]
-fn room_for_all_descriptors_is_made_before_it_serves() {
+fn descriptor_table_has_full_size_before_clients_are_served() {
     let (cache, origin) = (not_found_server(), not_found_server());
     let mut config = config(cache.addr, origin.addr);
     config["limits"] = json!({"sockets": 700});
     let proxy = Proxy::start(&config);
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("read /proc status");
-    let room = status.lines().find_map(|line| line.strip_prefix("FDSize:")).expect("size");
-    assert!(room.trim().parse::<usize>().expect("number") >= 700, "{room}");
+    let table_size = status.lines().find_map(|line| line.strip_prefix("FDSize:")).expect("size");
+    assert!(table_size.trim().parse::<usize>().expect("number") >= 700, "{table_size}");
 }
 
 #[test]
-fn each_call_has_its_answer_and_bad_ones_are_told_why() {
+fn management_calls_are_answered_and_invalid_ones_rejected() {
     let (config, at) = with_management(config(not_found_server().addr, not_found_server().addr));
     let proxy = Proxy::start(&config);
     wait_until_ready(at);
@@ -56,8 +57,8 @@
     }
     assert_eq!(post(at, "/api/ready", ""), 405);
     assert_eq!(get(at, "/api/exclude").0, 405);
-    let long = node_body(&"x".repeat(10_000));
-    for body in ["", "{", "[]", "\u{1}", "{\"who\":7}", "{\"who\":\"\"}", "{\"id\":\"c\"}", &long] {
+    let oversized = node_body(&"x".repeat(10_000));
+    for body in ["", "{", "[]", "\u{1}", "{\"who\":7}", "{\"who\":\"\"}", "{\"id\":\"c\"}", &oversized] {
         assert_eq!(post(at, "/api/exclude", body), 400, "{body}");
     }
     for (node, status) in [("c", 200), ("nobody", 404), ("o", 404), ("../c", 404)] {
@@ -67,16 +68,16 @@
     let mut garbage = TcpStream::connect(at).expect("connect");
     garbage.write_all(b"\0\x01nonsense\r\n\r\n").expect("write");
     let _ = garbage.read_to_end(&mut Vec::new());
-    assert_eq!(get(at, "/api/ready").0, 200, "it goes on");
+    assert_eq!(get(at, "/api/ready").0, 200, "still answers after garbage");
     proxy.signal("-TERM");
-    wait_until("no longer ready", || get(at, "/api/ready").0 == 503);
+    wait_until("the process is no longer ready", || get(at, "/api/ready").0 == 503);
 }
 
 #[test]
-fn callers_that_finish_no_call_keep_nobody_out() {
+fn incomplete_management_calls_do_not_block_others() {
     let (config, at) = with_management(config(not_found_server().addr, not_found_server().addr));
     let _proxy = Proxy::start(&config);
-    let silent: Vec<TcpStream> = (0..64)
+    let incomplete: Vec<TcpStream> = (0..64)
         .map(|n| {
             let mut stream = TcpStream::connect(at).expect("connect");
             stream
@@ -85,19 +86,19 @@
             stream
         })
         .collect();
-    let (status, _, after) = raw_call(at, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n");
-    assert!(status == 200 && after < Duration::from_secs(1), "{status} after {after:?}");
-    drop(silent);
+    let (status, _, time) = raw_call(at, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n");
+    assert!(status == 200 && time < Duration::from_secs(1), "{status} after {time:?}");
+    drop(incomplete);
 }
 
 #[test]
-fn a_call_is_answered_in_time_while_the_core_is_busy() {
+fn management_calls_are_answered_in_time_under_load() {
     let cache = StubServer::start(|_, _| Action::Respond(200, "value"));
     let (config, at) = with_management(config(cache.addr, not_found_server().addr));
     let proxy = Proxy::start(&config);
     let addr = proxy.addr;
     let until = Instant::now() + Duration::from_secs(2);
-    let storm: Vec<_> = (0..32)
+    let load: Vec<_> = (0..32)
         .map(|thread| {
             thread::spawn(move || {
                 let mut client = Client::connect(addr);
@@ -111,14 +112,14 @@
         })
         .collect();
     while Instant::now() < until {
-        let (status, _, after) = raw_call(at, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n");
-        assert!(status == 200 && after < Duration::from_millis(500), "{status} after {after:?}");
+        let (status, _, time) = raw_call(at, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n");
+        assert!(status == 200 && time < Duration::from_millis(500), "{status} after {time:?}");
     }
-    storm.into_iter().for_each(|client| client.join().expect("client thread"));
+    load.into_iter().for_each(|client| client.join().expect("client thread"));
 }
 
 #[test]
-fn the_figures_are_what_clients_and_nodes_saw() {
+fn metrics_match_what_clients_and_nodes_received() {
     let cache = StubServer::start(|message, number| match number % 5 {
         0 => Action::Respond(404, ""),
         1 if message.start_line.contains("cancelled") => {
@@ -126,7 +127,7 @@
         }
         _ => Action::Respond(200, "value"),
     });
-    // A write always ends alike, by the last digit of its id.
+    // The last digit of its id decides how a write ends.
     let origin = StubServer::start(|message, _| {
         match message.start_line.split('?').next().map_or(b'0', |k| k.as_bytes()[k.len() - 1]) {
             _ if message.start_line.starts_with("GET") => Action::Respond(200, "value"),
@@ -138,51 +139,56 @@
     let (config, at) = with_management(config(cache.addr, origin.addr));
     let proxy = Proxy::start(&config);
     let none = json!({"read": 0, "write": 0, "once": 0});
-    let first = metrics(at);
-    assert_eq!((&first["passed"], &first["dropped"], &first["bad_gateway"]), (&none, &none, &none));
-    let mut seen: BTreeMap<(&str, u16), u64> = BTreeMap::new();
+    let initial = metrics(at);
+    assert_eq!((&initial["passed"], &initial["dropped"], &initial["bad_gateway"]), (&none, &none, &none));
+    let mut statuses: BTreeMap<(&str, u16), u64> = BTreeMap::new();
     for n in 0..120 {
-        let case = ["read", "once", "read"][n % 3];
-        let status = proxy.client().request(case, &format!("a{n}")).status();
-        *seen.entry((case, status)).or_default() += 1;
-        let mut leaves = proxy.client();
-        leaves.send_request("read", &format!("cancelled{n}"));
+        let class = ["read", "once", "read"][n % 3];
+        let status = proxy.client().request(class, &format!("a{n}")).status();
+        *statuses.entry((class, status)).or_default() += 1;
+        let mut cancelling = proxy.client();
+        cancelling.send_request("read", &format!("cancelled{n}"));
         thread::sleep(Duration::from_millis(n as u64 % 3));
     }
-    wait_until("none left", || metrics(at)["in_progress"] == json!(0));
-    let told = metrics(at);
-    for (case, status, name) in [
+    wait_until("no request in flight", || metrics(at)["in_progress"] == json!(0));
+    let reported = metrics(at);
+    for (class, status, name) in [
         ("once", 200, "passed"),
         ("once", 503, "dropped"),
         ("once", 502, "bad_gateway"),
         ("read", 503, "dropped"),
     ] {
-        let count = told[name][case].as_u64().expect("count");
-        let saw = seen.get(&(case, status)).copied().unwrap_or(0);
-        // Clients that left may be counted among the reads.
-        assert!(count == saw || case == "read" && count >= saw, "{name} of {case}: {count}, seen {saw}");
-        assert!(case == "read" || saw > 0, "{case} {status} was met");
+        let count = reported[name][class].as_u64().expect("count");
+        let received = statuses.get(&(class, status)).copied().unwrap_or(0);
+        // Requests of clients that disconnected may be counted among the reads.
+        assert!(
+            count == received || class == "read" && count >= received,
+            "{name} of {class}: {count} counted, {received} received"
+        );
+        assert!(class == "read" || received > 0, "no {status} for {class}");
     }
-    let heard = (cache.requests().len() + origin.requests().len()) as u64;
-    let tries = told["upstream_tries"].as_u64().expect("count");
-    assert!(tries.abs_diff(heard) <= 3, "{tries} told, {heard} heard");
-    assert_eq!((&told["known_cache_nodes"], &told["skipped_cache_nodes"]), (&json!(1), &json!(0)));
+    let received = (cache.requests().len() + origin.requests().len()) as u64;
+    let attempts = reported["upstream_tries"].as_u64().expect("count");
+    assert!(attempts.abs_diff(received) <= 3, "{attempts} attempts counted, {received} received");
+    assert_eq!((&reported["known_cache_nodes"], &reported["skipped_cache_nodes"]), (&json!(1), &json!(0)));
 }
 
 #[test]
-fn what_is_on_its_way_is_in_progress_and_not_yet_a_try_until_it_is_written() {
+fn request_is_in_progress_until_its_client_disconnects_and_counts_as_attempt_once_written() {
     let cache = StubServer::start(|_, _| Action::Hang);
     let (config, at) = with_management(config(cache.addr, not_found_server().addr));
     let proxy = Proxy::start(&config);
     let mut client = proxy.client();
     client.send_request("read", "a");
-    wait_until("in progress", || metrics(at)["in_progress"] == json!(1));
-    wait_until("written", || metrics(at)["upstream_tries"] == json!(1));
+    wait_until("the request is in progress", || metrics(at)["in_progress"] == json!(1));
+    wait_until("the attempt is written", || metrics(at)["upstream_tries"] == json!(1));
     drop(client);
-    wait_until("a client gone is not in progress", || metrics(at)["in_progress"] == json!(0));
+    wait_until("the request of a disconnected client is not in progress", || {
+        metrics(at)["in_progress"] == json!(0)
+    });
 }
 
-/// Two caches, of which the first is the home of some of twenty keys.
+/// A configuration with two caches; the first is the home of some of the twenty keys that `read_all` reads.
 fn two_caches(first: &StubServer, second: &StubServer) -> Value {
     let mut config = config(first.addr, not_found_server().addr);
     let servers = config["known"]["servers"].as_array_mut().expect("node list");
@@ -190,59 +196,60 @@
     config
 }
 
+/// Reads twenty keys.
 fn read_all(proxy: &Proxy, round: usize) {
     let mut client = proxy.client();
     for n in 0..20 {
-        let words = format!(
+        let request = format!(
             "GET /api/k{n} HTTP/1.1\r\nHost: o\r\nX-Request-Id: r{round}-{n}\r\nX-Class: read\r\nX-Deadline: 1\r\n\r\n"
         );
-        client.send(&words);
+        client.send(&request);
         assert_eq!(client.read_response().expect("response").status(), 200);
     }
 }
 
 #[test]
-fn a_node_taken_out_gets_nothing_until_it_is_put_back_whatever_is_listed_and_whoever_serves() {
-    let answers = || StubServer::start(|_, _| Action::Respond(200, "value"));
-    let (first, second) = (answers(), answers());
+fn excluded_node_gets_no_requests_until_included_across_list_updates_and_restarts() {
+    let ok_server = || StubServer::start(|_, _| Action::Respond(200, "value"));
+    let (first, second) = (ok_server(), ok_server());
     let (mut config, at) = with_management(two_caches(&first, &second));
-    // A discovery that tells the whole list anew all the time.
-    let mut whole = config["known"].clone();
-    whole["version"] = json!(2);
-    let whole: &'static str = whole.to_string().leak();
-    let discovery = StubServer::start(move |_, _| Action::RespondAfter(Duration::from_millis(50), whole));
+    // Discovery sends the complete list again and again.
+    let mut full_list = config["known"].clone();
+    full_list["version"] = json!(2);
+    let full_list: &'static str = full_list.to_string().leak();
+    let discovery = StubServer::start(move |_, _| Action::RespondAfter(Duration::from_millis(50), full_list));
     config["discovery"] = json!(discovery.addr.to_string());
     let directory = TempDirectory::new();
     let proxy = Proxy::start_in(&config, &directory.0);
     read_all(&proxy, 0);
     let before = first.requests().len();
-    assert!(before > 0, "in use");
+    assert!(before > 0, "the node is in use");
     assert_eq!(post(at, "/api/exclude", &node_body("c")), 200);
     assert_eq!(post(at, "/api/exclude", &node_body("c")), 200);
-    wait_until("its idle connections closed", || first.closed() >= 1);
-    wait_until("listed again and again", || discovery.requests().len() > 5);
+    wait_until("its idle connections are closed", || first.closed() >= 1);
+    wait_until("the node is listed again several times", || discovery.requests().len() > 5);
     read_all(&proxy, 1);
-    assert_eq!(first.requests().len(), before, "nothing while it is out");
-    let told = metrics(at);
-    assert_eq!((&told["known_cache_nodes"], &told["skipped_cache_nodes"]), (&json!(2), &json!(1)));
+    assert_eq!(first.requests().len(), before, "no request while it is excluded");
+    let reported = metrics(at);
+    assert_eq!((&reported["known_cache_nodes"], &reported["skipped_cache_nodes"]), (&json!(2), &json!(1)));
     drop(proxy);
-    let next = Proxy::start_in(&config, &directory.0);
-    read_all(&next, 2);
-    assert_eq!(first.requests().len(), before, "out for the one that follows too");
-    assert_eq!(post(at, "/api/include", &node_body("c")), 200, "two calls out need one back");
+    let restarted = Proxy::start_in(&config, &directory.0);
+    read_all(&restarted, 2);
+    assert_eq!(first.requests().len(), before, "still excluded after a restart");
+    assert_eq!(post(at, "/api/include", &node_body("c")), 200, "one include undoes two excludes");
     let start = Instant::now();
     for round in 3.. {
-        read_all(&next, round);
+        read_all(&restarted, round);
         if first.requests().len() > before {
             break;
         }
-        assert!(start.elapsed() < Duration::from_secs(5), "in use again within 5 s");
+        assert!(start.elapsed() < Duration::from_secs(5), "not in use again within 5 s");
     }
     assert_eq!(metrics(at)["skipped_cache_nodes"], json!(0));
 }
 
 #[test]
-fn what_cannot_be_recorded_is_refused_and_changes_nothing() {
+fn exclude_call_that_cannot_be_stored_is_rejected_without_effect() {
     let (first, second) = (not_found_server(), not_found_server());
     let (config, at) = with_management(two_caches(&first, &second));
     let directory = TempDirectory::new();
@@ -254,18 +261,18 @@
 }
 
 #[test]
-fn a_torn_or_foreign_mark_counts_for_nothing() {
+fn damaged_or_foreign_exclusion_files_are_ignored() {
     let (first, second) = (not_found_server(), not_found_server());
     let (config, at) = with_management(two_caches(&first, &second));
     let directory = TempDirectory::new();
-    let ours = directory.0.join("flintwell-n0");
-    std::fs::create_dir_all(&ours).expect("create directory");
+    let state_directory = directory.0.join("flintwell-n0");
+    std::fs::create_dir_all(&state_directory).expect("create directory");
     for (file, text) in [
         ("out-c", "{\"who\":\"c\",\"out_"),
         ("out-c2", "{\"who\":\"c\",\"out_ms\":1,\"back_ms\":null}"),
         ("out-x", "\u{0}\u{1}"),
     ] {
-        std::fs::write(ours.join(file), text).expect("write file");
+        std::fs::write(state_directory.join(file), text).expect("write file");
     }
     let _proxy = Proxy::start_in(&config, &directory.0);
     wait_until_ready(at);
@@ -274,59 +281,61 @@
     assert_eq!(metrics(at)["skipped_cache_nodes"], json!(1));
 }
 
-/// A process of a proxy whose clients' socket the platform holds.
+/// Starts a process that inherits its client socket; returns it with its log.
 pub fn inheriting(socket: &TcpListener, config: &Value, directory: &Path) -> (Proxy, BufReader<ChildStderr>) {
     let path = directory.join(format!("{}.json", config["mgmt"].as_str().unwrap_or("none")));
     std::fs::write(&path, config.to_string()).expect("write file");
-    let held = socket.try_clone().expect("clone socket");
-    let words =
+    let inherited = socket.try_clone().expect("clone socket");
+    let script =
         "exec 3<&0 </dev/null; export EDGE_LISTEN_FD=3 LISTEN_FDS=1 LISTEN_PID=$$; exec \"$0\" \"$@\"";
     let mut shell = Command::new("sh");
-    shell.args(["-c", words, PROGRAM, "serve", "--config"]).arg(&path);
+    shell.args(["-c", script, PROGRAM, "serve", "--config"]).arg(&path);
     shell.env("TMPDIR", directory).env_remove("EDGE_MGMT");
-    shell.stdin(Stdio::from(OwnedFd::from(held))).stdout(Stdio::null()).stderr(Stdio::piped());
+    shell.stdin(Stdio::from(OwnedFd::from(inherited))).stdout(Stdio::null()).stderr(Stdio::piped());
     let mut child = shell.spawn().expect("spawn flintwell");
     let log = BufReader::new(child.stderr.take().expect("stderr"));
     let addr = socket.local_addr().expect("local address");
     (Proxy { child, addr, config_path: path }, log)
 }
 
+/// Starts a process at an inherited socket and waits until it is ready; returns it with its management address.
 pub fn served_by(socket: &TcpListener, config: &Value, directory: &Path) -> (Proxy, SocketAddr) {
     let (config, at) = with_management(config.clone());
     let (proxy, mut log) = inheriting(socket, &config, directory);
     thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-    wait_until("ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
+    wait_until("the process is ready", || TcpStream::connect(at).is_ok() && get(at, "/api/ready").0 == 200);
     (proxy, at)
 }
 
-/// Asks again and again, each request once more on a new connection if it crossed a closing or was refused;
-/// what came.
-fn asks_on(addr: SocketAddr, name: usize, done: &AtomicBool) -> BTreeMap<u16, usize> {
-    let mut came = BTreeMap::new();
+/// Sends requests until `done`, and repeats a request once on a new connection if the connection closed under it or it was
+/// refused. Returns the number of responses by status; 0 stands for none.
+fn send_until_done(addr: SocketAddr, name: usize, done: &AtomicBool) -> BTreeMap<u16, usize> {
+    let mut statuses = BTreeMap::new();
     let mut client = Client::connect(addr);
     for n in 0.. {
         if done.load(Ordering::Relaxed) {
             break;
         }
         client.send_request("read", &format!("{name}-{n}"));
-        let answer = client.read_response().filter(|answer| answer.status() != 503).or_else(|| {
+        let response = client.read_response().filter(|response| response.status() != 503).or_else(|| {
             client = Client::connect(addr);
             client.send_request("read", &format!("{name}-{n}"));
             client.read_response()
         });
-        let closes = answer.as_ref().is_none_or(|answer| answer.header("connection") == Some("close"));
-        *came.entry(answer.map_or(0, |answer| answer.status())).or_default() += 1;
-        // Some keep theirs, some come on a new one each time.
-        if closes || name.is_multiple_of(3) {
+        let is_closed =
+            response.as_ref().is_none_or(|response| response.header("connection") == Some("close"));
+        *statuses.entry(response.map_or(0, |response| response.status())).or_default() += 1;
+        // A third of the clients use a new connection for each request.
+        if is_closed || name.is_multiple_of(3) {
             client = Client::connect(addr);
         }
         thread::sleep(Duration::from_millis(if name.is_multiple_of(4) { 150 } else { 2 }));
     }
-    came
+    statuses
 }
 
 #[test]
-fn two_versions_at_one_socket_answer_every_request_of_an_upgrade() {
+fn every_request_is_answered_during_upgrades_at_one_socket() {
     let cache = StubServer::start(|_, _| Action::RespondAfter(Duration::from_millis(5), "value"));
     let config = config(cache.addr, not_found_server().addr);
     let (directory, socket) =
@@ -337,7 +346,7 @@
     let load: Vec<_> = (0..16)
         .map(|name| {
             let done = done.clone();
-            thread::spawn(move || asks_on(addr, name, &done))
+            thread::spawn(move || send_until_done(addr, name, &done))
         })
         .collect();
     thread::sleep(Duration::from_millis(300));
@@ -345,42 +354,51 @@
         let (new, _) = served_by(&socket, &config, &directory.0);
         old.signal("-TERM");
         thread::sleep(Duration::from_millis(1_900));
-        let ended = old.child.try_wait().expect("query state");
-        assert!(ended.is_some_and(|status| status.success()), "the old one has ended well: {ended:?}");
+        let exit_status = old.child.try_wait().expect("query state");
+        assert!(
+            exit_status.is_some_and(|status| status.success()),
+            "the old process has ended without an error: {exit_status:?}"
+        );
         old = new;
     }
     done.store(true, Ordering::Relaxed);
-    let came: Vec<BTreeMap<u16, usize>> =
-        load.into_iter().map(|one| one.join().expect("client thread")).collect();
-    assert!(came.iter().all(|came| came.keys().eq([&200])), "{came:?}");
+    let statuses: Vec<BTreeMap<u16, usize>> =
+        load.into_iter().map(|client| client.join().expect("client thread")).collect();
+    assert!(statuses.iter().all(|statuses| statuses.keys().eq([&200])), "{statuses:?}");
 }
 
 #[test]
-fn with_its_successor_killed_the_old_one_goes_on_and_stops_as_ever() {
-    let answers = || StubServer::start(|_, _| Action::Respond(200, "value"));
-    let config = config(answers().addr, answers().addr);
+fn old_process_keeps_serving_and_shuts_down_normally_after_its_successor_was_killed() {
+    let ok_server = || StubServer::start(|_, _| Action::Respond(200, "value"));
+    let config = config(ok_server().addr, ok_server().addr);
     let (directory, socket) =
         (TempDirectory::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let (old, at) = served_by(&socket, &config, &directory.0);
-    let (new, there) = served_by(&socket, &config, &directory.0);
-    assert_eq!(post(there, "/api/exclude", &node_body("c")), 200);
-    wait_until("a call at either is in force at both", || metrics(at)["skipped_cache_nodes"] == json!(1));
+    let (new, new_at) = served_by(&socket, &config, &directory.0);
+    assert_eq!(post(new_at, "/api/exclude", &node_body("c")), 200);
+    wait_until("an exclude call takes effect in both processes", || {
+        metrics(at)["skipped_cache_nodes"] == json!(1)
+    });
     assert_eq!(post(at, "/api/include", &node_body("c")), 200);
-    wait_until("back at both", || metrics(there)["skipped_cache_nodes"] == json!(0));
+    wait_until("included again in both processes", || metrics(new_at)["skipped_cache_nodes"] == json!(0));
     drop(new);
     for n in 0..5 {
         assert_eq!(old.client().request("read", &format!("a{n}")).status(), 200);
     }
     old.signal("-TERM");
-    wait_until("it stops", || get(at, "/api/ready").0 == 503);
-    assert_eq!(old.client().request("read", "late").status(), 200, "clients still come for a while");
+    wait_until("shutdown has begun", || get(at, "/api/ready").0 == 503);
+    assert_eq!(
+        old.client().request("read", "late").status(),
+        200,
+        "late clients are still served for a while"
+    );
 }
 
 #[test]
-fn a_successor_knows_the_list_that_was_told_meanwhile() {
+fn successor_starts_with_the_latest_stored_list() {
     let (first, second) = (StubServer::start(|_, _| Action::Respond(200, "value")), not_found_server());
     let mut config = two_caches(&first, &second);
-    // Of two caches one has gone since the configuration was written.
+    // One of two caches has left since the configuration was written.
     let gone = r#"{"version":7,"full":false,"servers":[{"id":"c2","addr":"127.0.0.1:1","state":"gone"}]}"#;
     let discovery = StubServer::start(move |message, n| match n {
         0 => Action::Respond(200, gone),
@@ -391,29 +409,29 @@
     let (directory, socket) =
         (TempDirectory::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let (old, at) = served_by(&socket, &config, &directory.0);
-    wait_until("told", || metrics(at)["known_cache_nodes"] == json!(1));
+    wait_until("the update is applied", || metrics(at)["known_cache_nodes"] == json!(1));
     thread::sleep(Duration::from_millis(300));
-    let (_new, there) = served_by(&socket, &config, &directory.0);
-    assert_eq!(metrics(there)["known_cache_nodes"], json!(1));
-    wait_until("it asks for what came since", || {
+    let (_new, new_at) = served_by(&socket, &config, &directory.0);
+    assert_eq!(metrics(new_at)["known_cache_nodes"], json!(1));
+    wait_until("it asks for changes since that version", || {
         discovery.requests().iter().any(|m| m.start_line.contains("since=7"))
     });
     drop(old);
     std::fs::write(directory.0.join("flintwell-n0/list"), "{\"version\":7,").expect("truncate list file");
     let (_third, third_at) = served_by(&socket, &config, &directory.0);
-    assert_eq!(metrics(third_at)["known_cache_nodes"], json!(2), "the configuration's list");
+    assert_eq!(metrics(third_at)["known_cache_nodes"], json!(2), "falls back to the configured list");
 }
 
 #[test]
-fn what_is_no_listening_socket_is_told_in_one_line() {
+fn inherited_descriptor_that_is_not_listening_is_rejected_with_one_line() {
     let (directory, socket) =
         (TempDirectory::new(), TcpListener::bind("127.0.0.1:0").expect("bind listener"));
     let stream = TcpStream::connect(socket.local_addr().expect("local address")).expect("connect");
     let not_listening = TcpListener::from(OwnedFd::from(stream));
     let (mut proxy, mut log) =
         inheriting(&not_listening, &config(closed_address(), closed_address()), &directory.0);
-    let mut said = String::new();
-    log.read_to_string(&mut said).expect("stderr");
-    assert!(said.lines().count() == 1 && said.contains("EDGE_LISTEN_FD is 3"), "{said}");
+    let mut lines = String::new();
+    log.read_to_string(&mut lines).expect("stderr");
+    assert!(lines.lines().count() == 1 && lines.contains("EDGE_LISTEN_FD is 3"), "{lines}");
     assert_eq!(proxy.child.wait().expect("exit status").code(), Some(1));
 }
