--- a/crates/flintwell/tests/process/sockets.rs
+++ b/crates/flintwell/tests/process/sockets.rs
@@ -1,4 +1,4 @@
-//! Requests, connections, discovery and planned stops.
+//! Requests and responses, client and node connections, list updates, configuration and shutdown.
 
 use crate::support::*;
 use rand::{Rng, SeedableRng};
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_miss_is_fetched_and_everything_goes_on_unchanged() {
+fn cache_miss_is_fetched_from_the_origin_and_requests_are_forwarded_unchanged() {
     let (cache, origin) = (not_found_server(), StubServer::start(|_, _| Action::Respond(200, "value")));
     let proxy = Proxy::start(&config(cache.addr, origin.addr));
     let mut client = proxy.client();
@@ -24,20 +24,20 @@
     let write = origin.requests()[1].clone();
     assert_eq!((&*write.start_line, &*write.body), ("PUT /api/k2?q=1 HTTP/1.1\r\n", "v"));
     assert_eq!((write.header("x-request-id"), write.header("idempotency-key")), (Some("k2"), Some("m-k2")));
-    let waits: f64 = write.header("x-deadline").and_then(|wait| wait.parse().ok()).expect("deadline");
-    assert!(waits > 0.3 && waits <= 0.6, "{waits}");
+    let deadline: f64 = write.header("x-deadline").and_then(|value| value.parse().ok()).expect("deadline");
+    assert!(deadline > 0.3 && deadline <= 0.6, "{deadline}");
 }
 
 #[test]
-fn what_may_have_run_once_is_neither_sent_again_nor_refused() {
-    for does in [
+fn unsafe_request_that_may_have_run_is_neither_retried_nor_refused() {
+    for action in [
         || Action::Close,
         || Action::SendRaw("nonsense\r\n\r\n"),
         || Action::Respond(500, ""),
         || Action::SendRaw("HTTP/1.1 200 -\r\nContent-Length: 9\r\n\r\n1"),
         || Action::SendRaw("HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
     ] {
-        let origin = StubServer::start(move |_, _| does());
+        let origin = StubServer::start(move |_, _| action());
         let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
         assert_eq!(proxy.client().request("once", "k").status(), 502);
         assert_eq!(origin.requests().len(), 1);
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn what_never_ran_is_refused() {
+fn unsafe_request_that_never_ran_is_refused() {
     let full = StubServer::start(|_, _| Action::Respond(503, ""));
     for origin in [closed_address(), full.addr] {
         let proxy = Proxy::start(&config(not_found_server().addr, origin));
-        let answer = proxy.client().request("once", "k");
-        assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.500")));
+        let response = proxy.client().request("once", "k");
+        assert_eq!((response.status(), response.header("retry-after")), (503, Some("0.500")));
     }
 }
 
 #[test]
-fn a_connection_closed_while_idle_costs_no_request() {
+fn node_connection_closed_while_idle_fails_no_request() {
     let origin = StubServer::start(|_, _| Action::RespondAndClose("value"));
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
     let mut client = proxy.client();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn our_idle_connections_close_before_the_nodes_limit() {
+fn idle_node_connections_are_closed_before_the_keepalive_limit() {
     let origin = StubServer::start(|_, _| Action::Respond(200, "value"));
     let mut config = config(not_found_server().addr, origin.addr);
     config["settings"]["limits"]["keepalive"] = json!(1.5);
@@ -75,87 +75,95 @@
     let mut client = proxy.client();
     assert_eq!(client.request("once", "k").status(), 200);
     assert_eq!(client.request("once", "k2").status(), 200);
-    assert_eq!(origin.closed(), 0, "both on one connection, kept");
+    assert_eq!(origin.closed(), 0, "both requests use one connection, which stays open");
     thread::sleep(Duration::from_millis(1_450));
     assert_eq!(origin.closed(), 1);
 }
 
 #[test]
-fn a_silent_node_is_left_in_time_and_its_connection_closed() {
+fn attempt_at_a_silent_node_times_out_and_its_connection_is_closed() {
     let origin = StubServer::start(move |_, _| Action::Hang);
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
     let start = Instant::now();
     assert_eq!(proxy.client().request("once", "k").status(), 502);
     assert!(start.elapsed() < Duration::from_millis(900), "before the deadline");
-    wait_until("closed", || origin.closed() == 1);
+    wait_until("the connection is closed", || origin.closed() == 1);
 }
 
 #[test]
-fn clients_that_leave_take_their_attempts_along_and_leave_room_at_the_origin() {
+fn disconnecting_clients_cancel_their_attempts_and_free_their_slots_at_the_origin() {
     let origin = StubServer::start(|message, _| match message.start_line.contains("stays") {
         true => Action::Respond(200, "value"),
         false => Action::Hang,
     });
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
     for n in 0..12 {
-        let mut leaver = proxy.client();
-        leaver.send_request("write", &format!("k{n}"));
-        wait_until("sent", || origin.requests().len() == n + 1);
+        let mut leaving = proxy.client();
+        leaving.send_request("write", &format!("k{n}"));
+        wait_until("the attempt is sent", || origin.requests().len() == n + 1);
         let start = Instant::now();
-        drop(leaver);
-        wait_until("closed", || origin.closed() == n + 1);
-        assert!(start.elapsed() < Duration::from_millis(400), "at once, not by the time-out");
+        drop(leaving);
+        wait_until("the attempt is cancelled", || origin.closed() == n + 1);
+        assert!(start.elapsed() < Duration::from_millis(400), "cancelled at once, not by the time-out");
     }
     assert_eq!(proxy.client().request("write", "stays").status(), 200);
 }
 
 #[test]
-fn an_id_in_hand_is_not_taken_twice() {
+fn request_id_that_is_already_in_flight_is_rejected() {
     let origin = StubServer::start(|_, _| Action::RespondAfter(Duration::from_millis(200), "value"));
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
     let mut first = proxy.client();
     first.send_request("write", "k");
-    wait_until("sent", || origin.requests().len() == 1);
+    wait_until("the attempt is sent", || origin.requests().len() == 1);
     assert_eq!(proxy.client().request("write", "k").status(), 409);
     assert_eq!(first.read_response().expect("response").status(), 200);
     assert_eq!(origin.requests().len(), 1);
 }
 
 #[test]
-fn a_malformed_request_gets_a_4xx_and_reaches_no_node() {
+fn malformed_request_gets_a_4xx_and_reaches_no_node() {
     let (cache, origin) = (not_found_server(), StubServer::start(|_, _| Action::Respond(200, "value")));
     let proxy = Proxy::start(&config(cache.addr, origin.addr));
-    let good = "X-Request-Id: i\r\nX-Class: read\r\nX-Deadline: 1.0\r\n";
-    let huge = format!("{good}Content-Length: 33554433\r\n\r\n{}", "x".repeat(70_000));
+    let valid = "X-Request-Id: i\r\nX-Class: read\r\nX-Deadline: 1.0\r\n";
+    let oversized = format!("{valid}Content-Length: 33554433\r\n\r\n{}", "x".repeat(70_000));
     for (method, rest, status) in [
         ("GET", "X-Class: read\r\nX-Deadline: 1.0\r\n\r\n", 400),
         ("GET", "X-Request-Id: i\r\nX-Class: no\r\nX-Deadline: 1.0\r\n\r\n", 400),
         ("GET", "X-Request-Id: i\r\nX-Class: read\r\n\r\n", 400),
         ("GET", "X-Request-Id: i\r\nX-Class: read\r\nX-Deadline: NaN\r\n\r\n", 400),
         ("GET", "X-Request-Id: i\r\nX-Class: read\r\nX-Deadline: -1\r\n\r\n", 400),
-        ("GET", &format!("{good}X-Request-Id: j\r\n\r\n"), 400),
-        // What hides another request in its body, either way round, and a length that is none.
-        ("PUT", &format!("{good}Content-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /"), 400),
-        ("PUT", &format!("{good}Transfer-Encoding: chunked\r\nContent-Length: 9\r\n\r\n0\r\n\r\nGET /"), 400),
-        ("PUT", &format!("{good}Content-Length: -1\r\n\r\n"), 400),
-        ("PUT", &format!("{good}Content-Length: 9\r\n\r\nshort"), 408),
-        ("DELETE", &format!("{good}\r\n"), 405),
-        ("PUT", &huge, 413),
+        ("GET", &format!("{valid}X-Request-Id: j\r\n\r\n"), 400),
+        // Request smuggling by two conflicting body lengths, in both orders, and an invalid length.
+        (
+            "PUT",
+            &format!("{valid}Content-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /"),
+            400,
+        ),
+        (
+            "PUT",
+            &format!("{valid}Transfer-Encoding: chunked\r\nContent-Length: 9\r\n\r\n0\r\n\r\nGET /"),
+            400,
+        ),
+        ("PUT", &format!("{valid}Content-Length: -1\r\n\r\n"), 400),
+        ("PUT", &format!("{valid}Content-Length: 9\r\n\r\nshort"), 408),
+        ("DELETE", &format!("{valid}\r\n"), 405),
+        ("PUT", &oversized, 413),
         ("G\u{1}T", "\r\n", 400),
     ] {
         let mut client = proxy.client();
-        // Past the limit the rest of a body is not read.
+        // The proxy stops reading a body over the limit, so the write may fail.
         let _ =
             client.0.get_mut().write_all(format!("{method} /api/k HTTP/1.1\r\nHost: h\r\n{rest}").as_bytes());
         assert_eq!(client.read_response().expect("response").status(), status, "{method} {rest:.60}");
-        assert!(client.read_response().is_none(), "and closed: {method} {rest:.60}");
+        assert!(client.read_response().is_none(), "not closed: {method} {rest:.60}");
     }
     assert!(cache.requests().is_empty() && origin.requests().is_empty());
     assert_eq!(proxy.client().request("read", "k").status(), 200);
 }
 
 #[test]
-fn clients_that_say_nothing_or_half_a_head_are_closed_soon_and_crowd_nobody_out() {
+fn silent_clients_are_closed_soon_and_do_not_block_others() {
     let mut config =
         config(not_found_server().addr, StubServer::start(|_, _| Action::Respond(200, "value")).addr);
     config["limits"]["sockets"] = json!(64);
@@ -166,41 +174,41 @@
     silent.iter_mut().step_by(2).for_each(|client| client.send("GET /api/k HTTP/1.1\r\nHost:"));
     assert_eq!(proxy.client().request("read", "k2").status(), 200);
     assert!(start.elapsed() < Duration::from_millis(2_500), "{:?}", start.elapsed());
-    assert_eq!(used.request("read", "k3").status(), 200, "what is used is kept");
+    assert_eq!(used.request("read", "k3").status(), 200, "a used connection stays open");
     assert!(silent.iter_mut().all(|client| client.read_response().is_none()));
     assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
 }
 
 #[test]
-fn clients_that_stay_after_an_request_are_closed_before_all_room_is_taken() {
+fn oldest_idle_clients_are_closed_before_all_connections_are_in_use() {
     let mut config =
         config(not_found_server().addr, StubServer::start(|_, _| Action::Respond(200, "value")).addr);
     config["limits"]["sockets"] = json!(160);
     let proxy = Proxy::start(&config);
-    // Room for 64, of which clients that hold a third of the descriptors never take 54.
-    let mut stay: Vec<Client> = (0..50)
+    // There is room for 64 clients. Idle ones are closed early, so that they never hold a third of the descriptors (54).
+    let mut idle: Vec<Client> = (0..50)
         .map(|n| {
             let mut client = proxy.client();
             assert_eq!(client.request("read", &format!("k{n}")).status(), 200);
             client
         })
         .collect();
-    for client in &mut stay[..10] {
+    for client in &mut idle[..10] {
         let _ = client.0.get_mut().set_read_timeout(Some(Duration::from_millis(300)));
-        assert!(client.read_response().is_none(), "closed");
+        assert!(client.read_response().is_none(), "not closed");
     }
-    assert_eq!(stay[49].request("read", "again").status(), 200, "the last is kept");
+    assert_eq!(idle[49].request("read", "again").status(), 200, "the newest stays open");
 }
 
 #[test]
-fn hundreds_that_say_nothing_leave_room_for_those_that_ask() {
+fn stream_of_silent_clients_does_not_delay_requests() {
     let mut config =
         config(not_found_server().addr, StubServer::start(|_, _| Action::Respond(200, "value")).addr);
     config["limits"]["sockets"] = json!(96);
     let proxy = Proxy::start(&config);
     let addr = proxy.addr;
     let silent = thread::spawn(move || {
-        // Sixty a second, in room for 32.
+        // 60 connections per second, with room for 32.
         (0..90)
             .map(|_| {
                 thread::sleep(Duration::from_millis(16));
@@ -210,7 +218,7 @@
     });
     for n in 0..70 {
         let start = Instant::now();
-        // Each on a connection of its own, half of them with a head in two parts.
+        // Each on its own connection, half of them with the headers in two parts.
         let mut client = proxy.client();
         if n % 2 == 0 {
             client.send("GET /api/k HTTP/1.1\r\n");
@@ -226,89 +234,91 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_keep_nobody_waiting() {
+fn clients_that_stay_connected_after_one_request_do_not_delay_others() {
     let mut config =
         config(not_found_server().addr, StubServer::start(|_, _| Action::Respond(200, "value")).addr);
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start(&config);
     let start = Instant::now();
-    let asked = (0..120).map(|n| {
+    let clients = (0..120).map(|n| {
         let (silent, mut client) = (proxy.client(), proxy.client());
         assert_eq!(client.request("read", &format!("k{n}")).status(), 200);
         (client, (n % 4 == 0).then_some(silent))
     });
-    let stay: Vec<_> = asked.collect();
+    let clients: Vec<_> = clients.collect();
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
-    drop(stay);
+    drop(clients);
 }
 
 #[test]
-fn a_node_that_drains_by_the_list_gets_nothing_new_whatever_else_the_list_says() {
+fn draining_node_gets_no_new_requests_even_if_the_update_has_invalid_entries() {
     let (cache, origin) = (
         StubServer::start(|_, _| Action::Respond(200, "kept")),
         StubServer::start(|_, _| Action::Respond(200, "fetched")),
     );
-    let bad = r#"{"id":"x","addr":"nowhere","state":"ready"}"#;
-    let drains = node_entry("c", cache.addr, "cache", "draining");
-    let change: &'static str = format!(r#"{{"version":2,"full":false,"servers":[{bad},{drains}]}}"#).leak();
+    let invalid = r#"{"id":"x","addr":"nowhere","state":"ready"}"#;
+    let draining = node_entry("c", cache.addr, "cache", "draining");
+    let update: &'static str =
+        format!(r#"{{"version":2,"full":false,"servers":[{invalid},{draining}]}}"#).leak();
     let discovery = StubServer::start(move |_, number| match number {
         0 => Action::Respond(200, "no list"),
         1 => Action::Close,
-        2 => Action::Respond(200, change),
+        2 => Action::Respond(200, update),
         _ => Action::Hang,
     });
     let mut config = config(cache.addr, origin.addr);
     config["discovery"] = json!(discovery.addr.to_string());
     config["settings"]["discovery"] = json!("pushed");
     let proxy = Proxy::start(&config);
-    wait_until("the watch goes on", || discovery.requests().len() == 4);
-    assert!(discovery.requests()[3].start_line.contains("since=2&"), "from the version told last");
+    wait_until("the watch continues after the update", || discovery.requests().len() == 4);
+    assert!(discovery.requests()[3].start_line.contains("since=2&"), "not from the latest version");
     assert_eq!(proxy.client().request("read", "k").body, "fetched");
     assert!(cache.requests().is_empty());
 }
 
 #[test]
-fn a_list_older_than_the_one_told_brings_no_leaving_node_back() {
+fn older_list_does_not_bring_a_draining_node_back() {
     let cache = not_found_server();
     let origin = StubServer::start(|_, _| Action::Respond(200, "fetched"));
-    let line = |version, state| -> &'static str {
+    let list = |version, state| -> &'static str {
         let cache = node_entry("c", cache.addr, "cache", state);
         let origin = node_entry("o", origin.addr, "origin", "ready");
         format!(r#"{{"version":{version},"full":true,"servers":[{cache},{origin}]}}"#).leak()
     };
-    let (told, older, anew) = (line(5, "draining"), line(4, "ready"), line(4, "draining"));
+    let (latest, older, full) = (list(5, "draining"), list(4, "ready"), list(4, "draining"));
     let discovery = StubServer::start(move |_, number| match number {
-        0 => Action::Respond(200, told),
+        0 => Action::Respond(200, latest),
         1 => Action::Respond(200, older),
-        2 => Action::Respond(200, anew),
+        2 => Action::Respond(200, full),
         _ => Action::Hang,
     });
     let mut config = config(cache.addr, origin.addr);
     config["discovery"] = json!(discovery.addr.to_string());
     config["settings"]["discovery"] = json!("pushed");
     let proxy = Proxy::start(&config);
-    wait_until("asked for the whole, and watched on", || discovery.requests().len() == 4);
-    let paths: Vec<_> = discovery.requests().iter().map(|call| call.start_line.contains("since=")).collect();
-    assert_eq!(paths, [true, true, false, true], "an older one is not taken, the whole is asked for");
+    wait_until("the full list is requested and the watch continues", || discovery.requests().len() == 4);
+    let has_version: Vec<_> =
+        discovery.requests().iter().map(|call| call.start_line.contains("since=")).collect();
+    assert_eq!(has_version, [true, true, false, true], "an older list makes the proxy request the full list");
     assert_eq!(proxy.client().request("read", "k").body, "fetched");
-    assert!(cache.requests().is_empty(), "nothing to the one that leaves");
+    assert!(cache.requests().is_empty(), "no request to the draining node");
 }
 
 #[test]
-fn a_planned_stop_answers_all_it_took_and_all_that_come_meanwhile() {
+fn shutdown_answers_requests_in_flight_and_those_that_arrive_meanwhile() {
     let origin = StubServer::start(|_, _| Action::RespondAfter(Duration::from_millis(300), "value"));
     let mut proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
-    let (mut taken, mut open) = (proxy.client(), proxy.client());
-    taken.send_request("write", "k1");
-    wait_until("sent", || origin.requests().len() == 1);
+    let (mut pending, mut idle) = (proxy.client(), proxy.client());
+    pending.send_request("write", "k1");
+    wait_until("the attempt is sent", || origin.requests().len() == 1);
     proxy.signal("-TERM");
     thread::sleep(Duration::from_millis(150));
-    let mut fresh = proxy.client();
-    open.send_request("write", "k2");
-    fresh.send_request("write", "k3");
-    for client in [&mut taken, &mut open, &mut fresh] {
-        let answer = client.read_response().expect("response");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let mut new = proxy.client();
+    idle.send_request("write", "k2");
+    new.send_request("write", "k3");
+    for client in [&mut pending, &mut idle, &mut new] {
+        let response = client.read_response().expect("response");
+        assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     }
     let start = Instant::now();
     assert!(proxy.child.wait().expect("exit status").success());
@@ -316,18 +326,18 @@
 }
 
 #[test]
-fn clients_idle_connections_leave_room_for_others_at_the_limit() {
+fn idle_client_connections_make_room_for_new_ones_at_the_limit() {
     let origin = StubServer::start(|_, _| Action::RespondAfter(Duration::from_millis(100), "value"));
     let mut config = config(not_found_server().addr, origin.addr);
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start(&config);
-    // Far more than there is room for, idle; then as many at once, each answered in its turn.
-    let started = |_| {
+    // Far more idle or incomplete connections than there is room for, then 24 requests at once.
+    let incomplete = |_| {
         let mut client = proxy.client();
         client.send("GET /api/k HTTP/1.1\r\nHost: h\r\n");
         client
     };
-    let never_end: Vec<Client> = (0..16).map(started).collect();
+    let incomplete: Vec<Client> = (0..16).map(incomplete).collect();
     let idle = (0..40).map(|_| {
         let mut client = proxy.client();
         client.send("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -336,80 +346,83 @@
     });
     let idle: Vec<Client> = idle.collect();
     let start = Instant::now();
-    let begin = |n| {
+    let start_request = |n| {
         let mut client = proxy.client();
         client.send_request("write", &format!("k{n}"));
         client
     };
-    let busy: Vec<Client> = (0..24).map(begin).collect();
+    let busy: Vec<Client> = (0..24).map(start_request).collect();
     for (n, mut client) in busy.into_iter().enumerate() {
-        // As clients do where a connection's end crosses a request.
-        let answer = client.read_response().or_else(|| begin(n).read_response()).expect("response");
-        assert!([200, 503].contains(&answer.status()));
+        // Clients repeat a request when the connection was closed under it.
+        let response = client.read_response().or_else(|| start_request(n).read_response()).expect("response");
+        assert!([200, 503].contains(&response.status()));
     }
     assert!(start.elapsed() < Duration::from_secs(4));
-    drop((idle, never_end));
+    drop((idle, incomplete));
 }
 
 #[test]
-fn a_bad_configuration_is_one_clear_line_and_a_failure() {
-    let nowhere = closed_address();
-    let good = config(nowhere, nowhere);
+fn invalid_configuration_is_rejected_with_one_line() {
+    let unused = closed_address();
+    let valid = config(unused, unused);
     let without = |path: &[&str]| {
-        let mut bad = good.clone();
-        let (last, way) = path.split_last().expect("path");
-        let place = way.iter().fold(&mut bad, |place, name| &mut place[*name]);
-        place.as_object_mut().expect("JSON object").remove(*last);
-        bad.to_string()
+        let mut invalid = valid.clone();
+        let (last, parents) = path.split_last().expect("path");
+        let parent = parents.iter().fold(&mut invalid, |value, name| &mut value[*name]);
+        parent.as_object_mut().expect("JSON object").remove(*last);
+        invalid.to_string()
     };
     let with = |path: &str, value: Value| {
-        let (way, last) = path.rsplit_once('/').expect("path");
-        let mut bad = good.clone();
-        bad.pointer_mut(way).expect("parent object")[last] = value;
-        bad.to_string()
+        let (parent, last) = path.rsplit_once('/').expect("path");
+        let mut invalid = valid.clone();
+        invalid.pointer_mut(parent).expect("parent object")[last] = value;
+        invalid.to_string()
     };
-    for (bad, names) in [
+    for (text, expected) in [
         ("{".to_owned(), "EOF"),
         (without(&["listen"]), "listen"),
         (without(&["settings", "use_cases"]), "use_cases"),
         (without(&["settings", "limits", "dial_timeout"]), "limits.dial_timeout"),
-        (good.to_string().replace("8c1f30d27a5be964", "seed?"), "seed"),
+        (valid.to_string().replace("8c1f30d27a5be964", "seed?"), "seed"),
         (with("/settings/fleet_size", json!("one")), "fleet_size is \"one\""),
         (with("/watch_with", json!({"weights": "heavy"})), "watch_with: settings: weights"),
         (with("/watch_with", json!({"use_cases": [{"name": "read"}]})), "watch_with: settings: use_cases"),
     ] {
         for command in [&["check"][..], &["serve", "--config"]] {
-            let (child, path) = run(command, &bad, Stdio::piped(), None);
-            let done = child.wait_with_output().expect("exit status");
+            let (child, path) = run(command, &text, Stdio::piped(), None);
+            let output = child.wait_with_output().expect("exit status");
             std::fs::remove_file(path).expect("remove file");
-            let said = String::from_utf8_lossy(&done.stderr);
-            assert!(!done.status.success() && said.lines().count() == 1 && said.contains(names), "{said}");
+            let message = String::from_utf8_lossy(&output.stderr);
+            assert!(
+                !output.status.success() && message.lines().count() == 1 && message.contains(expected),
+                "{message}"
+            );
         }
     }
-    let (mut child, path) = run(&["check"], &good.to_string(), Stdio::null(), None);
+    let (mut child, path) = run(&["check"], &valid.to_string(), Stdio::null(), None);
     assert!(child.wait().expect("exit status").success());
     std::fs::remove_file(path).expect("remove file");
 }
 
 #[test]
-fn it_starts_again_on_its_address_and_serves_by_the_kept_list_without_discovery() {
+fn restarted_proxy_serves_on_the_same_address_by_its_configured_list_without_discovery() {
     let origin = StubServer::start(|_, _| Action::Respond(200, "value"));
     let mut config = config(not_found_server().addr, origin.addr);
     config["discovery"] = json!(closed_address().to_string());
     let mut first = Proxy::start(&config);
-    // Once it is sure that discovery is down for more than a moment.
-    wait_until("served", || first.client().request("read", "k0").status() == 200);
+    // Requests are served once discovery has been unreachable for long enough.
+    wait_until("the first process serves", || first.client().request("read", "k0").status() == 200);
     let mut client = first.client();
     assert_eq!(client.request("read", "k1").status(), 200);
     config["listen"] = json!(first.addr.to_string());
     first.child.kill().and_then(|()| first.child.wait()).expect("exit status");
     let second = Proxy::start(&config);
-    assert!(client.read_response().is_none(), "what was open is reset");
-    wait_until("served again", || second.client().request("read", "k2").status() == 200);
+    assert!(client.read_response().is_none(), "open connections are closed");
+    wait_until("the restarted process serves", || second.client().request("read", "k2").status() == 200);
 }
 
 #[test]
-fn a_log_that_nobody_reads_harms_nothing() {
+fn closed_log_pipe_does_not_stop_the_proxy() {
     let origin = StubServer::start(|_, _| Action::Respond(200, "value"));
     let discovery = StubServer::start(|_, number| match number {
         0..3 => Action::Respond(200, "no list"),
@@ -419,12 +432,12 @@
     config["discovery"] = json!(discovery.addr.to_string());
     config["settings"]["discovery"] = json!("pushed");
     let proxy = Proxy::start_with_log(&config, |_| {});
-    wait_until("asked anew after each failure, each logged", || discovery.requests().len() >= 4);
+    wait_until("each failed call is logged and repeated", || discovery.requests().len() >= 4);
     assert_eq!(proxy.client().request("read", "k").status(), 200);
 }
 
 #[test]
-fn a_stalled_proxy_still_answers_by_the_deadline_of_what_came_meanwhile() {
+fn request_that_arrived_during_a_stall_is_answered_by_its_deadline() {
     let origin = StubServer::start(|_, _| Action::Hang);
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
     let mut client = proxy.client();
@@ -439,13 +452,13 @@
 }
 
 #[test]
-fn an_answer_that_came_while_the_proxy_stalled_is_no_time_out() {
+fn response_that_arrived_during_a_stall_is_not_timed_out() {
     let origin = StubServer::start(|_, _| Action::RespondAfter(Duration::from_millis(200), "value"));
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
     for n in 0..3 {
         let mut client = proxy.client();
         client.send_request("once", &format!("k{n}"));
-        wait_until("sent", || origin.requests().len() == n + 1);
+        wait_until("the attempt is sent", || origin.requests().len() == n + 1);
         proxy.signal("-STOP");
         thread::sleep(Duration::from_millis(700));
         proxy.signal("-CONT");
@@ -454,20 +467,20 @@
 }
 
 #[test]
-fn what_follows_an_answer_is_never_the_next_requests() {
-    let copy = "HTTP/1.1 200 -\r\nContent-Length: 5\r\n\r\nwrong";
+fn extra_bytes_after_a_response_are_never_taken_for_the_next_response() {
+    let extra_response = "HTTP/1.1 200 -\r\nContent-Length: 5\r\n\r\nwrong";
     let origin = StubServer::start(move |_, number| match number {
         0 => {
             Action::SendRaw("HTTP/1.1 102 -\r\n\r\nHTTP/1.1 200 -\r\nContent-Length: 5\r\n\r\nvaluenoise\r\n")
         }
-        1 => Action::RespondThenSend("value", Duration::from_millis(200), copy),
+        1 => Action::RespondThenSend("value", Duration::from_millis(200), extra_response),
         _ => Action::Respond(200, "value"),
     });
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
     let mut client = proxy.client();
     assert_eq!(client.request("once", "k1").body, "value");
     assert_eq!(client.request("once", "k2").body, "value");
-    // Both the request and the copy wait for us; the request came first.
+    // The request and the extra response both wait for the stopped process; the request came first.
     proxy.signal("-STOP");
     thread::sleep(Duration::from_millis(50));
     client.send_request("once", "k3");
@@ -477,7 +490,7 @@
 }
 
 #[test]
-fn a_log_whose_reader_stands_still_holds_nothing_up() {
+fn full_log_pipe_does_not_block_the_proxy() {
     let origin = StubServer::start(|_, _| Action::Respond(200, "value"));
     let mut config = config(not_found_server().addr, origin.addr);
     let addr = closed_address();
@@ -489,12 +502,12 @@
     let (child, path) =
         run(&["serve", "--config"], &config.to_string(), Stdio::from(OwnedFd::from(log)), None);
     let proxy = Proxy { child, addr, config_path: path };
-    wait_until("it listens", || TcpStream::connect(addr).is_ok());
+    wait_until("the proxy listens", || TcpStream::connect(addr).is_ok());
     assert_eq!(proxy.client().request("read", "k").status(), 200);
 }
 
 #[test]
-fn a_watch_that_does_not_wait_is_not_asked_without_a_pause() {
+fn discovery_that_answers_at_once_is_not_polled_in_a_tight_loop() {
     let discovery =
         StubServer::start(|_, _| Action::Respond(200, r#"{"version":1,"full":false,"servers":[]}"#));
     let mut config = config(not_found_server().addr, closed_address());
@@ -506,102 +519,107 @@
 }
 
 #[test]
-fn an_address_still_held_by_a_forerunner_is_waited_for() {
-    let held = TcpListener::bind("127.0.0.1:0").expect("bind listener");
+fn proxy_waits_for_an_address_that_its_predecessor_still_holds() {
+    let predecessor = TcpListener::bind("127.0.0.1:0").expect("bind listener");
     let mut config =
         config(not_found_server().addr, StubServer::start(|_, _| Action::Respond(200, "value")).addr);
-    config["listen"] = json!(held.local_addr().expect("local address").to_string());
+    config["listen"] = json!(predecessor.local_addr().expect("local address").to_string());
     thread::spawn(move || {
         thread::sleep(Duration::from_millis(400));
-        drop(held);
+        drop(predecessor);
     });
     assert_eq!(Proxy::start(&config).client().request("read", "k").status(), 200);
 }
 
 #[test]
-fn a_new_configuration_moves_the_watch_and_keeps_the_requests() {
+fn reload_switches_discovery_and_keeps_requests_in_flight() {
     let (cache, origin) = (
         not_found_server(),
         StubServer::start(|_, _| Action::RespondAfter(Duration::from_millis(300), "value")),
     );
-    let drains = node_entry("o", origin.addr, "origin", "draining");
-    let list: &'static str = format!(r#"{{"version":1,"full":true,"servers":[{drains}]}}"#).leak();
-    let moved = StubServer::start(
-        move |_, number| if number == 0 { Action::Respond(200, list) } else { Action::Hang },
-    );
+    let draining = node_entry("o", origin.addr, "origin", "draining");
+    let list: &'static str = format!(r#"{{"version":1,"full":true,"servers":[{draining}]}}"#).leak();
+    let new_discovery =
+        StubServer::start(
+            move |_, number| if number == 0 { Action::Respond(200, list) } else { Action::Hang },
+        );
     let mut config = config(cache.addr, origin.addr);
     let proxy = Proxy::start(&config);
     let mut client = proxy.client();
     client.send_request("once", "k1");
-    wait_until("sent", || origin.requests().len() == 1);
+    wait_until("the attempt is sent", || origin.requests().len() == 1);
     std::fs::write(&proxy.config_path, "{").expect("write file");
     proxy.signal("-HUP");
-    config["discovery"] = json!(moved.addr.to_string());
+    config["discovery"] = json!(new_discovery.addr.to_string());
     thread::sleep(Duration::from_millis(100));
     std::fs::write(&proxy.config_path, config.to_string()).expect("write file");
     proxy.signal("-HUP");
-    wait_until("watched there", || moved.requests().len() == 2);
-    let asked: Vec<String> = moved.requests().into_iter().map(|message| message.start_line).collect();
-    assert!(!asked[0].contains("since") && asked[1].contains("since=1&"), "{asked:?}");
-    assert_eq!(client.read_response().expect("response").status(), 200, "what was in hand is answered");
-    assert_eq!(client.request("once", "k2").status(), 503, "by the list told there, on the old connection");
+    wait_until("the new discovery is watched", || new_discovery.requests().len() == 2);
+    let calls: Vec<String> = new_discovery.requests().into_iter().map(|message| message.start_line).collect();
+    assert!(!calls[0].contains("since") && calls[1].contains("since=1&"), "{calls:?}");
+    assert_eq!(client.read_response().expect("response").status(), 200, "requests in flight are answered");
+    assert_eq!(
+        client.request("once", "k2").status(),
+        503,
+        "the list of the new discovery applies to open client connections"
+    );
 }
 
-/// A message with some of its bytes replaced, doubled or cut off.
-fn garbled(chance: &mut ChaCha8Rng, message: &str) -> Vec<u8> {
+/// Replaces, repeats or cuts off random bytes of a message.
+fn garble(rng: &mut ChaCha8Rng, message: &str) -> Vec<u8> {
     let mut bytes = message.as_bytes().to_vec();
-    for _ in 0..chance.random_range(1..6) {
-        let place = chance.random_range(0..bytes.len());
-        match chance.random_range(0..3) {
-            0 => bytes[place] = chance.random(),
-            1 => bytes.extend_from_within(place..),
-            _ => bytes.truncate(place.max(1)),
+    for _ in 0..rng.random_range(1..6) {
+        let position = rng.random_range(0..bytes.len());
+        match rng.random_range(0..3) {
+            0 => bytes[position] = rng.random(),
+            1 => bytes.extend_from_within(position..),
+            _ => bytes.truncate(position.max(1)),
         }
     }
     bytes
 }
 
 #[test]
-fn garbled_messages_from_clients_and_nodes_harm_nothing() {
-    let answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Cache: hit\r\n\r\nvalue";
+fn garbled_messages_from_clients_and_nodes_do_not_stop_the_proxy() {
+    let response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Cache: hit\r\n\r\nvalue";
     let origin = StubServer::start(move |message, number| {
-        let mut chance = ChaCha8Rng::seed_from_u64(number as u64);
+        let mut rng = ChaCha8Rng::seed_from_u64(number as u64);
         match message.start_line.contains("last") {
             true => Action::Respond(200, "value"),
             false => {
-                Action::SendRaw(String::from_utf8_lossy(&garbled(&mut chance, answer)).into_owned().leak())
+                Action::SendRaw(String::from_utf8_lossy(&garble(&mut rng, response)).into_owned().leak())
             }
         }
     });
     let proxy = Proxy::start(&config(not_found_server().addr, origin.addr));
-    let mut chance = ChaCha8Rng::seed_from_u64(7);
+    let mut rng = ChaCha8Rng::seed_from_u64(7);
     let request = "PUT /api/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: i\r\nX-Class: write\r\nX-Deadline: 0.3\r\n\
                   X-Cost-Hint: 70000\r\nContent-Length: 1\r\n\r\nv";
     for _ in 0..300 {
         let mut client = proxy.client();
-        let _ = client.0.get_mut().write_all(&garbled(&mut chance, request));
+        let _ = client.0.get_mut().write_all(&garble(&mut rng, request));
     }
     for n in 0..20 {
         let status = proxy.client().request("once", &format!("k{n}")).status();
         assert!([200, 502, 503].contains(&status), "{status}");
     }
-    let done =
+    let is_served =
         || proxy.client().request("write", &format!("last{}", origin.requests().len())).status() == 200;
-    wait_until("served again once the origin speaks clearly", done);
+    wait_until("served once the origin sends valid responses", is_served);
 }
 
 #[test]
-fn a_bound_class_goes_to_no_other_kind_or_zone_also_when_its_own_are_down() {
-    let (other, own) = (not_found_server(), StubServer::start(|_, _| Action::Respond(200, "own")));
+fn class_bound_to_a_kind_and_zone_is_sent_to_no_other_cache_even_when_its_own_are_down() {
+    let (foreign, own) = (not_found_server(), StubServer::start(|_, _| Action::Respond(200, "own")));
     let origin = StubServer::start(|_, _| Action::Respond(200, "origin"));
-    for down in [false, true] {
-        let mut config = config(other.addr, origin.addr);
-        let at = if down { closed_address() } else { own.addr };
-        let mut far = node_entry("far", other.addr, "m2", "ready");
-        far["zone"] = json!("y");
+    for own_is_down in [false, true] {
+        let mut config = config(foreign.addr, origin.addr);
+        let at = if own_is_down { closed_address() } else { own.addr };
+        let mut other_zone = node_entry("far", foreign.addr, "m2", "ready");
+        other_zone["zone"] = json!("y");
         config["known"]["servers"] = json!([
-            node_entry("a", other.addr, "m1", "ready"),
-            far,
+            node_entry("a", foreign.addr, "m1", "ready"),
+            other_zone,
             node_entry("b", at, "m2", "ready"),
             node_entry("o", origin.addr, "origin", "ready")
         ]);
@@ -613,9 +631,12 @@
         settings["use_cases"][0]["zones_allowed"] = json!(["z"]);
         let proxy = Proxy::start(&config);
         for n in 0..20 {
-            let answer = proxy.client().request("read", &format!("k{n}"));
-            assert_eq!((answer.status(), answer.body.as_str()), (200, if down { "origin" } else { "own" }));
+            let response = proxy.client().request("read", &format!("k{n}"));
+            assert_eq!(
+                (response.status(), response.body.as_str()),
+                (200, if own_is_down { "origin" } else { "own" })
+            );
         }
-        assert!(other.requests().is_empty(), "{:?}", other.requests());
+        assert!(foreign.requests().is_empty(), "{:?}", foreign.requests());
     }
 }
