--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,5 @@
-//! A toy deployment on loopback to try one flintwell with: discovery, three cache nodes and a slow origin, told as they
-//! are asked. A whole fleet with clients is `flintwell-rig try`.
+//! A deployment on loopback for trying out one proxy: discovery, three cache nodes and a slow origin. Prints each request
+//! that reaches a node. `flintwell-rig try` runs a whole fleet with clients.
 
 use flintwell_standins::world::{Made, World};
 use std::io;
@@ -7,11 +7,13 @@
 use std::time::Duration;
 
 const DISCOVERY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8_500);
-const FIRST_NODE: u16 = 8_101; // its port; the others follow
-const CACHES: u16 = 3;
-const LOOK: Duration = Duration::from_millis(20); // between looks at what the nodes took
+/// Port of the first node; the others have the following ports.
+const FIRST_NODE_PORT: u16 = 8_101;
+const CACHE_COUNT: u16 = 3;
+/// Pause between two looks for new requests to print.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-fn made(id: String, kind: &str, time_ms: f64) -> Made {
+fn node_settings(id: String, kind: &str, time_ms: f64) -> Made {
     let (zone, kind) = ("here".into(), kind.into());
     Made {
         id,
@@ -30,21 +32,21 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> io::Result<()> {
     let world = World::new();
-    for n in 0..CACHES {
-        let at = SocketAddr::new(DISCOVERY.ip(), FIRST_NODE + n);
-        world.serves(made(format!("cache-{n}"), "cache", 2.0), at, 0).await?;
+    for n in 0..CACHE_COUNT {
+        let at = SocketAddr::new(DISCOVERY.ip(), FIRST_NODE_PORT + n);
+        world.serves(node_settings(format!("cache-{n}"), "cache", 2.0), at, 0).await?;
     }
-    let at = SocketAddr::new(DISCOVERY.ip(), FIRST_NODE + CACHES);
-    world.serves(made("origin".into(), "origin", 120.0), at, 0).await?;
+    let at = SocketAddr::new(DISCOVERY.ip(), FIRST_NODE_PORT + CACHE_COUNT);
+    world.serves(node_settings("origin".into(), "origin", 120.0), at, 0).await?;
     world.discovers(DISCOVERY, Default::default(), "n0").await?;
-    println!("toy: discovery on {DISCOVERY}, {CACHES} cache nodes, origin on {at}");
-    let mut told = 0;
+    println!("toy: discovery on {DISCOVERY}, {CACHE_COUNT} cache nodes, origin on {at}");
+    let mut printed = 0;
     loop {
-        let took = world.took();
-        for one in &took[told..] {
-            println!("toy: {}: {} {:?}", one.node, one.key, one.did);
+        let requests = world.took();
+        for request in &requests[printed..] {
+            println!("toy: {}: {} {:?}", request.node, request.key, request.did);
         }
-        told = took.len();
-        tokio::time::sleep(LOOK).await;
+        printed = requests.len();
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
