--- a/crates/flintwell/tests/process/main.rs
+++ b/crates/flintwell/tests/process/main.rs
@@ -1,14 +1,14 @@
 //! Tests of the proxy as a process on loopback, between stub clients, nodes and discovery.
 
+mod edge_cases;
 mod handover;
 mod operations;
 mod overload;
+mod peer_messaging;
 mod plans;
-mod rare;
 mod rollout;
 mod sockets;
 mod stale_list;
 mod streams;
 mod supervise;
 mod support;
-mod words;
