--- a/crates/flintwell-core/tests/ramp.rs
+++ b/crates/flintwell-core/tests/ramp.rs
@@ -1,4 +1,5 @@
-//! A cold server before a whole fleet in virtual time: what all proxies send it together in any window.
+//! Slow start of a cold node in front of a whole fleet, in virtual time: bounds the requests that all proxies
+//! together send it within any window.
 
 use flintwell_core::interface::*;
 use flintwell_core::policy::Policy;
@@ -10,33 +11,38 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-const BEGIN: Micros = 3_600 * SECOND;
-const FALL: Micros = 2 * SECOND; // the window in which a cold server falls
-const MULTIPLE: f64 = 2.5; // of its present capacity; what it takes in that window
-const LOAD: f64 = 0.55; // of what warm servers can do, as days usually have it
-const START: f64 = 0.2;
-const RAMP: Micros = 20 * SECOND;
-const ANSWER: Micros = 30 * MS;
-const WARM_UP: Micros = 15 * SECOND;
-const KEYS: usize = 300;
+const START_TIME: Micros = 3_600 * SECOND;
+/// How long a cold node withstands overload before it fails.
+const COLD_OVERLOAD_WINDOW: Micros = 2 * SECOND;
+/// Load that a cold node withstands within that window, as a multiple of its current capacity.
+const MAX_OVERLOAD_FACTOR: f64 = 2.5;
+/// Offered load as a fraction of the warm nodes' capacity; the usual utilization of a deployment.
+const UTILIZATION: f64 = 0.55;
+const START_CAPACITY: f64 = 0.2;
+const RAMP_TIME: Micros = 20 * SECOND;
+const RESPONSE_TIME: Micros = 30 * MS;
+/// Time with traffic before a node restarts.
+const WARM_UP_TIME: Micros = 15 * SECOND;
+const KEY_COUNT: usize = 300;
 
-/// What proxies, servers and clients are like.
+/// Proxies, nodes and traffic of one simulation.
 #[derive(Clone, Copy)]
-struct Fleet {
+struct Scenario {
     proxies: usize,
-    servers: usize,
-    /// Requests a second that a server gets on the mean.
-    rate: f64,
-    /// Share of all requests that ask for one key, whose home comes back cold.
-    hot: f64,
-    /// Times the usual traffic, from the start on.
-    burst: f64,
+    nodes: usize,
+    /// Mean requests per second and node.
+    rate_per_node: f64,
+    /// Fraction of all requests that ask for one hot key, whose home restarts.
+    hot_key_fraction: f64,
+    /// Multiple of the usual traffic from the restart on.
+    burst_factor: f64,
 }
 
+/// Host that records the attempts.
 #[derive(Clone, Default)]
-struct Out(Rc<RefCell<Vec<(RequestId, NodeId)>>>);
+struct RecordingHost(Rc<RefCell<Vec<(RequestId, NodeId)>>>);
 
-impl Host for Out {
+impl Host for RecordingHost {
     fn start_attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
         self.0.borrow_mut().push((request.clone(), node.clone()));
     }
@@ -47,7 +53,7 @@
     fn subscribe_to_list(&mut self) {}
 }
 
-fn settings(index: usize, fleet: Fleet) -> Settings {
+fn settings(proxy_index: usize, scenario: Scenario) -> Settings {
     Settings {
         classes: vec![Class {
             idempotency: Idempotency::Safe,
@@ -62,21 +68,21 @@
         quotas: Vec::new(),
         cache_aside: true,
         origin_kind: Some(1),
-        proxy_index: index as u32,
+        proxy_index: proxy_index as u32,
         zone: 0,
         zone_count: 1,
         cross_zone_cost: 0.0,
-        fleet_size: fleet.proxies as u32,
+        fleet_size: scenario.proxies as u32,
         max_attempts: 4,
         max_retry_after: SECOND,
         list_on_request: false,
         max_list_refresh_interval: 10 * SECOND,
         weight_mode: WeightMode::None,
-        start_capacity: START,
-        ramp_time: RAMP,
+        start_capacity: START_CAPACITY,
+        ramp_time: RAMP_TIME,
         max_start_time_error: 0,
         connection_cost: 0.0,
-        cold_overload_window: FALL,
+        cold_overload_window: COLD_OVERLOAD_WINDOW,
         dial_timeout: 0,
     }
 }
@@ -86,111 +92,110 @@
     NodeEntry { node, kind, state: NodeState::Ready, weight: 1.0, started_at, ..NodeEntry::default() }
 }
 
-/// The most by which all proxies together went beyond what is put down to chance in a window, and how much of what the cold
-/// server may get by its warmth it got on the mean.
-fn plays(fleet: Fleet, seed: u64) -> (f64, f64) {
+/// Simulates the restart of one node. Returns the largest number of requests by which all proxies together
+/// exceeded the cold node's limit, beyond chance, in any window, and the requests that it got as a fraction
+/// of what its warmth allows.
+fn simulate(scenario: Scenario, seed: u64) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (outs, mut policies): (Vec<Out>, Vec<Policy<Out>>) = (0..fleet.proxies)
+    let (hosts, mut policies): (Vec<RecordingHost>, Vec<Policy<RecordingHost>>) = (0..scenario.proxies)
         .map(|n| {
-            let out = Out::default();
-            let mut policy = Policy::new(BEGIN, settings(n, fleet), rng.random(), out.clone());
-            let caches = (0..fleet.servers).map(|n| entry(n, 0, 0));
+            let host = RecordingHost::default();
+            let mut policy = Policy::new(START_TIME, settings(n, scenario), rng.random(), host.clone());
+            let caches = (0..scenario.nodes).map(|n| entry(n, 0, 0));
             policy.on_list_update(
-                BEGIN,
+                START_TIME,
                 ListUpdateKind::Snapshot,
                 caches.chain([entry(9_999, 1, 0)]).collect(),
             );
-            (out, policy)
+            (host, policy)
         })
         .unzip();
     // Traffic is uneven: some proxies get several times the mean.
-    let weights: Vec<f64> = (0..fleet.proxies).map(|_| (2.0 * rng.random::<f64>()).exp()).collect();
-    let total: f64 = weights.iter().sum();
-    let all = fleet.rate * fleet.servers as f64;
-    // Until it starts, the one that gets the hot key most.
-    let (mut cold, mut hot) = (rng.random_range(0..fleet.servers), vec![0; fleet.servers]);
-    let told = BEGIN + WARM_UP;
-    let (mut now, mut is_told, mut count) = (BEGIN, false, 0u64);
-    let mut ends: BTreeMap<(Micros, u64), (usize, RequestId, NodeId)> = BTreeMap::new();
-    let (mut sent, mut window) = (Vec::new(), VecDeque::new());
-    let mut cold_id = NodeId::default();
-    while now < told + RAMP {
-        // The next request, and all that ends before it.
-        let pace = if is_told { all * fleet.burst } else { all };
-        now += (-(1.0 - rng.random::<f64>()).ln() / pace * 1e6) as Micros + 1;
-        while let Some((&(at, number), _)) = ends.first_key_value().filter(|(at, _)| at.0 <= now) {
-            let (proxy, id, node) = ends.remove(&(at, number)).expect("it");
+    let proxy_weights: Vec<f64> = (0..scenario.proxies).map(|_| (2.0 * rng.random::<f64>()).exp()).collect();
+    let total_weight: f64 = proxy_weights.iter().sum();
+    let total_rate = scenario.rate_per_node * scenario.nodes as f64;
+    // At the restart, the node that got most requests for the hot key takes the place of the random choice.
+    let (mut cold_index, mut hot_key_requests) =
+        (rng.random_range(0..scenario.nodes), vec![0; scenario.nodes]);
+    let restart_at = START_TIME + WARM_UP_TIME;
+    let (mut now, mut has_restarted, mut sequence) = (START_TIME, false, 0u64);
+    let mut in_flight: BTreeMap<(Micros, u64), (usize, RequestId, NodeId)> = BTreeMap::new();
+    let (mut sent_to_cold, mut window) = (Vec::new(), VecDeque::new());
+    let mut cold_node = NodeId::default();
+    while now < restart_at + RAMP_TIME {
+        // Advances to the next request and completes the attempts that end before it.
+        let rate = if has_restarted { total_rate * scenario.burst_factor } else { total_rate };
+        now += (-(1.0 - rng.random::<f64>()).ln() / rate * 1e6) as Micros + 1;
+        while let Some((&(at, number), _)) = in_flight.first_key_value().filter(|(at, _)| at.0 <= now) {
+            let (proxy, id, node) = in_flight.remove(&(at, number)).expect("first attempt in flight");
             let outcome = AttemptOutcome {
                 attempt_index: 0,
                 status: AttemptStatus::Served,
-                latency: ANSWER,
+                latency: RESPONSE_TIME,
                 request_finished: true,
                 first_on_connection: false,
             };
             policies[proxy].on_attempt_outcome(at, &id, &node, outcome);
         }
-        if now >= told && !is_told {
-            is_told = true;
-            cold = (0..fleet.servers).max_by_key(|&n| (hot[n], n == cold)).unwrap_or(cold);
-            cold_id = entry(cold, 0, 0).node;
+        if now >= restart_at && !has_restarted {
+            has_restarted = true;
+            cold_index = (0..scenario.nodes)
+                .max_by_key(|&n| (hot_key_requests[n], n == cold_index))
+                .unwrap_or(cold_index);
+            cold_node = entry(cold_index, 0, 0).node;
             policies.iter_mut().for_each(|policy| {
-                policy.on_list_update(now, ListUpdateKind::Delta, vec![entry(cold, 0, now)])
+                policy.on_list_update(now, ListUpdateKind::Delta, vec![entry(cold_index, 0, now)])
             });
         }
-        let mut lot = rng.random::<f64>() * total;
-        let proxy = weights.iter().position(|weight| {
-            lot -= weight;
-            lot <= 0.0
+        let mut remaining_weight = rng.random::<f64>() * total_weight;
+        let proxy = proxy_weights.iter().position(|weight| {
+            remaining_weight -= weight;
+            remaining_weight <= 0.0
         });
         let proxy = proxy.unwrap_or(0);
-        let key = if rng.random::<f64>() < fleet.hot { 0 } else { rng.random_range(1..KEYS) };
-        count += 1;
-        let id: RequestId = format!("r{count}").into();
-        let named = Some(Key::from(format!("key-{seed}-{key}")));
+        let key_index =
+            if rng.random::<f64>() < scenario.hot_key_fraction { 0 } else { rng.random_range(1..KEY_COUNT) };
+        sequence += 1;
+        let id: RequestId = format!("r{sequence}").into();
+        let key = Some(Key::from(format!("key-{seed}-{key_index}")));
         let deadline = now + SECOND;
-        let arrival = IncomingRequest {
-            id,
-            class: 0,
-            tenant: 0,
-            key: named,
-            deadline,
-            expected_work: None,
-            is_write: false,
-        };
-        policies[proxy].on_request(now, arrival);
-        for (id, node) in outs[proxy].0.borrow_mut().drain(..) {
-            if node == cold_id && is_told {
-                sent.push(now);
+        let request =
+            IncomingRequest { id, class: 0, tenant: 0, key, deadline, expected_work: None, is_write: false };
+        policies[proxy].on_request(now, request);
+        for (id, node) in hosts[proxy].0.borrow_mut().drain(..) {
+            if node == cold_node && has_restarted {
+                sent_to_cold.push(now);
             }
-            if let Some(n) = (0..fleet.servers).find(|&n| key == 0 && !is_told && entry(n, 0, 0).node == node)
+            if let Some(n) =
+                (0..scenario.nodes).find(|&n| key_index == 0 && !has_restarted && entry(n, 0, 0).node == node)
             {
-                hot[n] += 1;
+                hot_key_requests[n] += 1;
             }
-            count += 1;
-            ends.insert((now + ANSWER, count), (proxy, id, node));
+            sequence += 1;
+            in_flight.insert((now + RESPONSE_TIME, sequence), (proxy, id, node));
         }
     }
-    let mut worst = f64::MIN;
-    let capacity = fleet.rate / LOAD;
-    for &at in &sent {
+    let mut max_excess = f64::MIN;
+    let capacity = scenario.rate_per_node / UTILIZATION;
+    for &at in &sent_to_cold {
         window.push_back(at);
-        while window.front().is_some_and(|&first| first <= at - FALL) {
+        while window.front().is_some_and(|&first| first <= at - COLD_OVERLOAD_WINDOW) {
             window.pop_front();
         }
-        // By the capacity at the window's start.
-        let age = (at - FALL - told).max(0) as f64 / RAMP as f64;
-        let warmth = (START + (1.0 - START) * age).min(1.0);
-        let budget = MULTIPLE * warmth * capacity * FALL as f64 / 1e6;
-        worst = worst.max(window.len() as f64 - (budget + 2.0 * budget.sqrt() + 2.0));
+        // The limit follows from the node's capacity at the start of the window.
+        let age = (at - COLD_OVERLOAD_WINDOW - restart_at).max(0) as f64 / RAMP_TIME as f64;
+        let warmth = (START_CAPACITY + (1.0 - START_CAPACITY) * age).min(1.0);
+        let budget = MAX_OVERLOAD_FACTOR * warmth * capacity * COLD_OVERLOAD_WINDOW as f64 / 1e6;
+        max_excess = max_excess.max(window.len() as f64 - (budget + 2.0 * budget.sqrt() + 2.0));
     }
-    let due = fleet.rate * RAMP as f64 / 1e6 * (1.0 + START) / 2.0;
-    (worst, sent.len() as f64 / due)
+    let expected_requests = scenario.rate_per_node * RAMP_TIME as f64 / 1e6 * (1.0 + START_CAPACITY) / 2.0;
+    (max_excess, sent_to_cold.len() as f64 / expected_requests)
 }
 
-/// Those of thirty proxies, and of three hundred before forty servers, went over by their first requests each, while a hot
-/// key's home came back or clients came in a burst.
+/// Guards against overload of a cold node by the first request of each proxy: 30 proxies together, and 300 in
+/// front of 40 nodes, exceeded the limit when the home of a hot key restarted or clients sent a burst.
 #[test]
-fn all_proxies_together_stay_within_what_a_cold_server_takes_and_it_warms() {
+fn fleet_stays_within_the_limit_of_a_cold_node_and_lets_it_warm_up() {
     let fleets = [
         (1, 10, 20.0),
         (4, 10, 20.0),
@@ -200,21 +205,26 @@
         (300, 40, 3.0),
         (300, 200, 10.0),
     ];
-    for (proxies, servers, rate) in fleets {
-        for (hot, burst) in [(0.0, 1.0), (0.2, 1.0), (0.2, 1.8)] {
-            let fleet = Fleet { proxies, servers, rate, hot, burst };
-            let all: Vec<_> = (0..3).map(|seed| plays(fleet, seed)).collect();
-            let worst = all.iter().map(|one| one.0).fold(f64::MIN, f64::max);
-            let got = all.iter().map(|one| one.1).sum::<f64>() / all.len() as f64;
+    for (proxies, nodes, rate_per_node) in fleets {
+        for (hot_key_fraction, burst_factor) in [(0.0, 1.0), (0.2, 1.0), (0.2, 1.8)] {
+            let scenario = Scenario { proxies, nodes, rate_per_node, hot_key_fraction, burst_factor };
+            let results: Vec<_> = (0..3).map(|seed| simulate(scenario, seed)).collect();
+            let max_excess = results.iter().map(|one| one.0).fold(f64::MIN, f64::max);
+            let received = results.iter().map(|one| one.1).sum::<f64>() / results.len() as f64;
             println!(
-                "{proxies} proxies, {servers} servers, {rate} a second each, hot {hot}, burst {burst}: {worst:.1} beyond \
-                 chance at worst, {got:.2} of what its warmth lets it have"
+                "{proxies} proxies, {nodes} nodes, {rate_per_node} requests/s per node, hot key fraction \
+                 {hot_key_fraction}, burst factor {burst_factor}: at most {max_excess:.1} requests above the limit, \
+                 {received:.2} of the requests that its warmth allows"
             );
             assert!(
-                worst <= 0.0,
-                "{worst:.1} beyond chance, {proxies} proxies, {servers} servers, {hot}, {burst}"
+                max_excess <= 0.0,
+                "{max_excess:.1} requests above the limit with {proxies} proxies, {nodes} nodes, hot key fraction \
+                 {hot_key_fraction}, burst factor {burst_factor}"
+            );
+            assert!(
+                hot_key_fraction > 0.0 || received > 0.6,
+                "cold node got {received:.2} of its requests with {proxies} proxies, {nodes} nodes"
             );
-            assert!(hot > 0.0 || got > 0.6, "{got:.2} of its part, {proxies} proxies, {servers} servers");
         }
     }
 }
