--- a/crates/flintwell-core/tests/policy/harness.rs
+++ b/crates/flintwell-core/tests/policy/harness.rs
@@ -9,6 +9,7 @@
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
+/// Node kind of the origin in `entry`.
 pub const ORIGIN_KIND: u32 = 1;
 
 /// One attempt.
@@ -128,6 +129,7 @@
     }
 }
 
+/// A class with a latency target of 600 ms and a deduplication window of 300 ms, allowed at every cache.
 pub fn class(idempotency: Idempotency, dedup_scope: DedupScope) -> Class {
     let (latency_target, dedup_window) = (600 * MS, 300 * MS);
     Class {
@@ -142,6 +144,8 @@
     }
 }
 
+/// Settings of a single cache-aside proxy, with a class of each idempotency, deduplication scope and
+/// restriction.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -221,7 +225,7 @@
         );
         harness
     }
-    /// The same, after enough traffic that each cache has served several requests.
+    /// The same as `new`, after enough traffic that each cache has served several requests.
     pub fn with_traffic(settings: Settings, caches: u32) -> Self {
         let mut harness = Harness::new(settings, caches);
         for n in 0..caches * 12 {
@@ -234,6 +238,7 @@
     pub fn now(&self) -> Micros {
         self.host.0.borrow().now
     }
+    /// Delivers a list update to the policy and applies it to the model.
     pub fn update_list(&mut self, kind: ListUpdateKind, entries: Vec<NodeEntry>) {
         {
             let nodes = &mut self.host.0.borrow_mut().nodes;
@@ -254,6 +259,7 @@
         let entries = self.host.0.borrow().nodes.values().cloned().collect();
         self.policy.on_list_update(self.now(), ListUpdateKind::Restored, entries);
     }
+    /// Delivers a new request with a deadline of 1.2 s.
     pub fn start_request(&mut self, class: usize, key: &str, is_write: bool) -> RequestId {
         self.request_count += 1;
         let id: RequestId = format!("a{}", self.request_count).into();
@@ -284,7 +290,7 @@
     pub fn end_attempt(&mut self, id: &RequestId, status: AttemptStatus) {
         self.end_attempt_on_connection(id, status, false);
     }
-    /// The same, on a connection opened for the attempt or on a reused one.
+    /// The same as `end_attempt`, on a connection opened for the attempt or on a reused one.
     pub fn end_attempt_on_connection(
         &mut self,
         id: &RequestId,
