--- a/crates/flintwell-conduct/src/book.rs
+++ b/crates/flintwell-conduct/src/book.rs
@@ -1,7 +1,7 @@
 //! What a rollout keeps on disk: its journal and each member's new settings in an embedded store, where it stands as a
 //! file that others may read, and the staff's orders as a file that it reads.
 
-use flintwell_rollout::conductor::{Evidence, Journal};
+use flintwell_rollout::controller::{Evidence, Journal};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -190,7 +190,7 @@
 
 impl Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let Journal { epoch, phase, stages, why, .. } = &self.journal;
+        let Journal { epoch, phase, stages_begun: stages, reason: why, .. } = &self.journal;
         writeln!(f, "epoch {epoch}: {phase:?}, stage {stages} of {}", self.stages.len())?;
         if !why.is_empty() {
             writeln!(f, "why: {why}")?;
--- a/crates/flintwell-conduct/src/book/tests.rs
+++ b/crates/flintwell-conduct/src/book/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use flintwell_rollout::conductor::Phase;
+use flintwell_rollout::controller::Phase;
 use serde_json::json;
 
 #[test]
@@ -10,7 +10,7 @@
     assert_eq!(book.last, None);
     let mut journal = Journal::new(7);
     book.begin(&journal, &[("n0".into(), json!({"a": 1}))]).expect("begun");
-    (journal.phase, journal.stages) = (Phase::Rolling, 2);
+    (journal.phase, journal.stages_begun) = (Phase::Rolling, 2);
     book.write(&journal).expect("written");
     assert!(Book::open(&folder).err().is_some_and(|why| why.contains("another process")));
     drop(book);
--- a/crates/flintwell-conduct/src/run.rs
+++ b/crates/flintwell-conduct/src/run.rs
@@ -4,10 +4,10 @@
 use crate::folder;
 use crate::homes::moved;
 use crate::line::{Failed, ask, say};
-use flintwell_rollout::conductor::{Conductor, Journal, Phase, Place, Word};
+use flintwell_rollout::controller::{Command, Controller, FleetMember, Journal, Phase};
 use flintwell_rollout::judge::Verdict;
 use flintwell_rollout::plan::Plan;
-use flintwell_rollout::wire::{Figures, Named, PROTOCOL, Stage, Status, hash};
+use flintwell_rollout::wire::{EpochRequest, MemberCounters, PROTOCOL_VERSION, StageRequest, Status, hash};
 use flintwell_settings::listing::Listing;
 use flintwell_settings::{check_change, laid_over};
 use serde_json::Value;
@@ -25,8 +25,8 @@
 
 fn read(file: &Path) -> Result<(Plan, Value), Wrong> {
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{}: {e}", file.display())])?;
-    let plan = Plan::read(&file.display().to_string(), &text)?;
-    let beside = file.parent().unwrap_or(Path::new(".")).join(&plan.settings);
+    let plan = Plan::parse(&file.display().to_string(), &text)?;
+    let beside = file.parent().unwrap_or(Path::new(".")).join(&plan.settings_file);
     let told = |error: &dyn std::fmt::Display| vec![format!("{}: {error}", beside.display())];
     let over = std::fs::read(&beside).map_err(|e| told(&e))?;
     let over: Value = serde_json::from_slice(&over).map_err(|e| told(&e))?;
@@ -34,7 +34,10 @@
 }
 
 /// All at once, in the members' order.
-async fn all<T, F>(members: &[(Place, SocketAddr)], call: impl Fn(SocketAddr) -> F) -> Vec<Result<T, Failed>>
+async fn all<T, F>(
+    members: &[(FleetMember, SocketAddr)],
+    call: impl Fn(SocketAddr) -> F,
+) -> Vec<Result<T, Failed>>
 where
     T: Send + 'static,
     F: Future<Output = Result<T, Failed>> + Send + 'static,
@@ -81,7 +84,7 @@
                 }
                 let changed = laid_over(settings.clone(), over.clone());
                 // A supervisor checks a program itself: it lies on its own machine.
-                if let (false, Err(why)) = (plan.programs, check_change(&settings, &changed)) {
+                if let (false, Err(why)) = (plan.is_program_update, check_change(&settings, &changed)) {
                     wrong.push(format!("{name}: {why}"));
                 }
                 new.push((name.clone(), changed));
@@ -101,12 +104,12 @@
 }
 
 /// Requests and fetches a second of all members.
-async fn traffic(members: &[(Place, SocketAddr)]) -> (f64, f64) {
-    let look = || all::<Figures, _>(members, |at| async move { ask(at, "figures").await });
-    let sum = |figures: Vec<Result<Figures, Failed>>| {
-        let of = |figures: &Figures| {
-            let all: u64 = figures.cases.values().map(flintwell_rollout::wire::Ends::all).sum();
-            (all, figures.fetches)
+async fn traffic(members: &[(FleetMember, SocketAddr)]) -> (f64, f64) {
+    let look = || all::<MemberCounters, _>(members, |at| async move { ask(at, "figures").await });
+    let sum = |figures: Vec<Result<MemberCounters, Failed>>| {
+        let of = |figures: &MemberCounters| {
+            let all: u64 = figures.classes.values().map(flintwell_rollout::wire::RequestCounts::total).sum();
+            (all, figures.origin_attempts)
         };
         figures.iter().flatten().map(of).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     };
@@ -127,7 +130,7 @@
         println!("stage {}: {to} in all, new {}", n + 1, names.join(" "));
         from = to;
     }
-    if plan.programs {
+    if plan.is_program_update {
         println!("nothing was changed; `flintwell rollout start {}` begins", file.display());
         return Ok(0);
     }
@@ -155,7 +158,7 @@
 pub async fn start(file: &Path) -> Result<u8, Wrong> {
     let (plan, over) = read(file)?;
     let mut book = Book::open(&folder(file)).map_err(|why| vec![why])?;
-    let journal = match book.last.clone().filter(|journal| !journal.over()) {
+    let journal = match book.last.clone().filter(|journal| !journal.is_finished()) {
         Some(journal) => {
             println!("goes on with epoch {}, {:?}", journal.epoch, journal.phase);
             journal
@@ -176,7 +179,7 @@
     let Some(mut journal) = book.last.clone().filter(|journal| journal.phase == Phase::Done) else {
         return Err(vec!["nothing was rolled out to its end by this plan; abort one under way".into()]);
     };
-    (journal.phase, journal.why) = (Phase::Undoing, "undone by the staff".into());
+    (journal.phase, journal.reason) = (Phase::Undoing, "undone by the staff".into());
     book.write(&journal).map_err(|why| vec![why])?;
     conduct(&plan, book, journal).await
 }
@@ -185,34 +188,34 @@
 async fn conduct(plan: &Plan, mut book: Book, journal: Journal) -> Result<u8, Wrong> {
     let began = Instant::now();
     let now = || began.elapsed().as_millis() as u64;
-    let places: Vec<Place> = plan.members.iter().map(|member| member.0.clone()).collect();
+    let places: Vec<FleetMember> = plan.members.iter().map(|member| member.0.clone()).collect();
     let mut settings = Vec::new();
     for place in &places {
         settings.push(book.settings(&place.name).map_err(|why| vec![why])?);
     }
     let members = places.into_iter().zip(settings.iter().map(hash)).collect();
     let epoch = journal.epoch;
-    let mut conductor = Conductor::new(now(), plan.rules.clone(), members, plan.stages.clone(), journal);
-    book.evidence().into_iter().for_each(|kept| conductor.recalls(kept));
+    let mut conductor = Controller::new(now(), plan.config.clone(), members, plan.stages.clone(), journal);
+    book.evidence().into_iter().for_each(|kept| conductor.restore_evidence(kept));
     let mut kept_at = now();
     let mut turns = interval(TURN);
     turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut said = String::new();
     loop {
         turns.tick().await;
-        let heard: Vec<Result<(Status, Figures), Failed>> = all(&plan.members, |at| async move {
+        let heard: Vec<Result<(Status, MemberCounters), Failed>> = all(&plan.members, |at| async move {
             let (status, figures) = tokio::join!(ask(at, "status"), ask(at, "figures"));
             Ok((status?, figures?))
         })
         .await;
         for (n, heard) in heard.into_iter().enumerate() {
             if let Ok((status, figures)) = heard {
-                conductor.hears(now(), n, status, Some(figures));
+                conductor.on_report(now(), n, status, Some(figures));
             }
         }
         match book.ordered() {
-            Some(Order::Pause) => conductor.pause(true),
-            Some(Order::Resume) => conductor.pause(false),
+            Some(Order::Pause) => conductor.set_paused(true),
+            Some(Order::Resume) => conductor.set_paused(false),
             Some(Order::Abort) if conductor.journal().phase != Phase::Confirming => {
                 conductor.undo("aborted by the staff")
             }
@@ -237,7 +240,7 @@
             println!("{line}");
             said = line;
         }
-        if conductor.journal().over() {
+        if conductor.journal().is_finished() {
             return Ok(u8::from(conductor.journal().phase != Phase::Done));
         }
         speak(plan, &settings, epoch, &mut conductor, words, &now).await;
@@ -248,47 +251,59 @@
     plan: &Plan,
     settings: &[Value],
     epoch: u64,
-    conductor: &mut Conductor,
-    words: Vec<(usize, Word)>,
+    conductor: &mut Controller,
+    words: Vec<(usize, Command)>,
     now: &impl Fn() -> u64,
 ) {
-    let stage = conductor.journal().stages;
-    let mut calls: JoinSet<(usize, Word, Result<Status, Failed>)> = JoinSet::new();
+    let stage = conductor.journal().stages_begun;
+    let mut calls: JoinSet<(usize, Command, Result<Status, Failed>)> = JoinSet::new();
     for (n, word) in words {
         let (at, fleet) = (plan.members[n].1, plan.fleet.clone());
-        let (settings, hash, within_ms) = (settings[n].clone(), hash(&settings[n]), plan.rules.within);
-        let named =
-            Named { protocol: PROTOCOL, fleet: fleet.clone(), epoch, hash: hash.clone(), within_ms, stage };
+        let (settings, hash, within_ms) =
+            (settings[n].clone(), hash(&settings[n]), plan.config.confirm_timeout_ms);
+        let named = EpochRequest {
+            protocol: PROTOCOL_VERSION,
+            fleet: fleet.clone(),
+            epoch,
+            hash: hash.clone(),
+            confirm_timeout_ms: within_ms,
+            stage,
+        };
         calls.spawn(async move {
             let said = match word {
-                Word::Stage => {
-                    say(at, "stage", &Stage { protocol: PROTOCOL, fleet, epoch, hash, settings }).await
+                Command::Stage => {
+                    say(
+                        at,
+                        "stage",
+                        &StageRequest { protocol: PROTOCOL_VERSION, fleet, epoch, hash, settings },
+                    )
+                    .await
                 }
-                Word::Apply => say(at, "apply", &named).await,
-                Word::Renew => say(at, "renew", &named).await,
-                Word::Confirm => say(at, "confirm", &named).await,
-                Word::Revert => say(at, "revert", &named).await,
-                Word::Again => say(at, "again", &named).await,
+                Command::Apply => say(at, "apply", &named).await,
+                Command::Renew => say(at, "renew", &named).await,
+                Command::Confirm => say(at, "confirm", &named).await,
+                Command::Revert => say(at, "revert", &named).await,
+                Command::Restart => say(at, "again", &named).await,
             };
             (n, word, said)
         });
     }
     while let Some(done) = calls.join_next().await {
         match done {
-            Ok((n, _, Ok(status))) => conductor.stands(now(), n, status),
+            Ok((n, _, Ok(status))) => conductor.on_status(now(), n, status),
             // What is refused on the way there is refused for good; later words are asked for anew by where it stands.
-            Ok((n, Word::Stage, Err(Failed::Refused(why)))) => conductor.refuses(n, why),
+            Ok((n, Command::Stage, Err(Failed::Refused(why)))) => conductor.on_refusal(n, why),
             _ => {}
         }
     }
 }
 
-fn report(plan: &Plan, conductor: &Conductor) -> Report {
+fn report(plan: &Plan, conductor: &Controller) -> Report {
     let verdict = match conductor.verdict() {
-        Verdict::Quiet(judged) => format!("no sign of harm in {judged} requests of the new"),
+        Verdict::NoHarmFound(judged) => format!("no sign of harm in {judged} requests of the new"),
         Verdict::Worse(measure, by) => format!("the new are worse: {measure}, by {:.1} %", by * 100.0),
     };
-    let standing = |(n, (place, _)): (usize, &(Place, SocketAddr))| {
+    let standing = |(n, (place, _)): (usize, &(FleetMember, SocketAddr))| {
         let status = conductor.status(n);
         Standing {
             name: place.name.clone(),
@@ -297,13 +312,13 @@
             epoch: status.map(|status| status.epoch),
             unconfirmed: status.is_some_and(|status| status.unconfirmed),
             program: status.map(|status| status.program.clone()).unwrap_or_default(),
-            refused: conductor.refused(n).map(str::to_owned),
+            refused: conductor.refusal(n).map(str::to_owned),
         }
     };
     Report {
         journal: conductor.journal().clone(),
         stages: plan.stages.clone(),
-        hold: conductor.hold().map(str::to_owned),
+        hold: conductor.hold_reason().map(str::to_owned),
         verdict,
         members: plan.members.iter().enumerate().map(standing).collect(),
     }
--- a/crates/flintwell-rollout/src/conductor.rs
+++ b/crates/flintwell-rollout/src/controller.rs
@@ -2,8 +2,8 @@
 //! before a word goes out; all else is worked out anew from the members' own words, so that it goes on after its end at
 //! any point, and every word may be lost, doubled or late.
 
-use crate::judge::{Judge, Limits, Pair, SLOW_AT, Sample, Verdict};
-use crate::wire::{Figures, Status, decode_times, new_times};
+use crate::judge::{Judge, JudgeConfig, SLOW_QUANTILES, Sample, SamplePair, Verdict};
+use crate::wire::{MemberCounters, Status, decode_histogram, new_latency_histogram};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -33,37 +33,37 @@
 
 /// One proxy of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct FleetMember {
     pub name: String,
     pub zone: String,
 }
 
 /// What a plan says of times and limits; times in ms.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct RolloutConfig {
     /// Watched with nothing changed, to know what the groups differ by anyway.
-    pub observe: u64,
+    pub observe_ms: u64,
     /// After a stage's last member has changed, before it is judged.
-    pub settle: u64,
+    pub settle_ms: u64,
     /// At least so long is each stage judged.
-    pub watch: u64,
+    pub watch_ms: u64,
     /// Requests of the new that each stage is judged by at least, where there are old ones beside.
-    pub requests: u64,
+    pub min_requests: u64,
     /// A change stays so long without our word.
-    pub within: u64,
+    pub confirm_timeout_ms: u64,
     /// A member not heard for so long is unheard.
-    pub unheard: u64,
+    pub unreachable_after_ms: u64,
     /// Both worse for so long: a stage goes back to see whether the old ones recover.
-    pub doubt: u64,
-    pub loss: f64,
-    pub chance: f64,
+    pub trial_revert_after_ms: u64,
+    pub min_detectable_loss: f64,
+    pub max_false_stop_probability: f64,
     /// The old ones' losses, above those while observed, from which on both count as worse.
-    pub both: f64,
+    pub max_common_loss_increase: f64,
     /// Times the old ones' memory.
-    pub memory: f64,
+    pub max_memory_ratio: f64,
     /// A change begins its process anew: so as many old ones do, and only those are compared with. What a fresh
     /// process has to learn is the same on both sides then.
-    pub controls: bool,
+    pub restart_controls: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -82,15 +82,20 @@
     pub epoch: u64,
     pub phase: Phase,
     /// Stages begun.
-    pub stages: usize,
+    #[serde(rename = "stages")]
+    pub stages_begun: usize,
     /// The last stage is back for a while, to see whether it is to blame.
-    pub back: bool,
+    #[serde(rename = "back")]
+    pub stage_reverted: bool,
     /// Of the stages so tried, the last one.
-    pub tried: usize,
+    #[serde(rename = "tried")]
+    pub last_trial_stage: usize,
     /// How often the old ones recovered then. Once may be chance: what ailed them may have ended just then.
-    pub recovered: u32,
+    #[serde(rename = "recovered")]
+    pub recoveries: u32,
     pub paused: bool,
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 impl Journal {
@@ -98,28 +103,28 @@
         Journal {
             epoch,
             phase: Phase::Observing,
-            stages: 0,
-            back: false,
-            tried: 0,
-            recovered: 0,
+            stages_begun: 0,
+            stage_reverted: false,
+            last_trial_stage: 0,
+            recoveries: 0,
             paused: false,
-            why: String::new(),
+            reason: String::new(),
         }
     }
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         matches!(self.phase, Phase::Done | Phase::Undone)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Word {
+pub enum Command {
     Stage,
     Apply,
     Renew,
     Confirm,
     Revert,
     /// Begin anew with what you have.
-    Again,
+    Restart,
 }
 
 /// What was heard of a member last.
@@ -127,7 +132,7 @@
 struct Heard {
     at: u64,
     status: Option<Status>,
-    figures: Option<Figures>,
+    figures: Option<MemberCounters>,
     times: Option<Histogram<u64>>,
     /// Since its last word with the change in force.
     delta: Option<(bool, Sample)>,
@@ -138,9 +143,9 @@
     refused: Option<String>,
 }
 
-pub struct Conductor {
-    rules: Rules,
-    members: Vec<Place>,
+pub struct Controller {
+    config: RolloutConfig,
+    members: Vec<FleetMember>,
     /// Of what each member is to get. Danger: another's change may stand there under the same number.
     hashes: Vec<String>,
     /// How many members have the change after each stage; they come in the members' order.
@@ -168,27 +173,31 @@
 }
 
 /// Members in the order in which they change: one of each zone first, then zone by zone in turn.
-pub fn in_turns(members: &[Place]) -> Vec<Place> {
-    let mut zones: BTreeMap<&str, Vec<&Place>> = BTreeMap::new();
+pub fn interleave_zones(members: &[FleetMember]) -> Vec<FleetMember> {
+    let mut zones: BTreeMap<&str, Vec<&FleetMember>> = BTreeMap::new();
     members.iter().for_each(|member| zones.entry(&member.zone).or_default().push(member));
     let most = zones.values().map(Vec::len).max().unwrap_or(0);
     let turn = |n: usize| zones.values().filter_map(move |zone| zone.get(n));
     (0..most).flat_map(turn).map(|place| (*place).clone()).collect()
 }
 
-impl Conductor {
+impl Controller {
     /// `members` in their turns, with the hash of what each is to get; `journal` as it lies on disk.
     pub fn new(
         now: u64,
-        rules: Rules,
-        members: Vec<(Place, String)>,
+        config: RolloutConfig,
+        members: Vec<(FleetMember, String)>,
         stages: Vec<usize>,
         journal: Journal,
     ) -> Self {
-        let (members, hashes): (Vec<Place>, Vec<String>) = members.into_iter().unzip();
-        let judge = Judge::new(Limits { loss: rules.loss, chance: rules.chance, stages: stages.len() });
-        Conductor {
-            rules,
+        let (members, hashes): (Vec<FleetMember>, Vec<String>) = members.into_iter().unzip();
+        let judge = Judge::new(JudgeConfig {
+            min_detectable_loss: config.min_detectable_loss,
+            max_false_stop_probability: config.max_false_stop_probability,
+            stage_count: stages.len(),
+        });
+        Controller {
+            config,
             heard: vec![Heard::default(); members.len()],
             members,
             hashes,
@@ -203,7 +212,7 @@
             base_room: (0, 0),
             short_since: None,
             worse_since: None,
-            old_times: [new_times(), new_times()],
+            old_times: [new_latency_histogram(), new_latency_histogram()],
             spell: now,
             restarts: (0, 0),
             hold: None,
@@ -215,22 +224,22 @@
     }
     /// To be kept, where it may be asked for again.
     pub fn evidence(&self) -> Evidence {
-        let Journal { epoch, stages, .. } = self.journal;
+        let Journal { epoch, stages_begun: stages, .. } = self.journal;
         let (judge, base, base_room) = (self.judge.clone(), self.base, self.base_room);
         Evidence { epoch, stages, judge, base, base_room }
     }
     /// What was kept by whoever rolled out before us. Of an earlier stage only what was observed still counts.
-    pub fn recalls(&mut self, kept: Evidence) {
+    pub fn restore_evidence(&mut self, kept: Evidence) {
         if kept.epoch != self.journal.epoch || self.journal.phase != Phase::Rolling {
             return;
         }
         (self.judge, self.base, self.base_room) = (kept.judge, kept.base, kept.base_room);
-        if kept.stages != self.journal.stages {
-            self.judge.begins_anew();
+        if kept.stages != self.journal.stages_begun {
+            self.judge.start_stage();
         }
     }
     /// Why it neither goes on nor back.
-    pub fn hold(&self) -> Option<&str> {
+    pub fn hold_reason(&self) -> Option<&str> {
         self.hold.as_deref()
     }
     pub fn verdict(&self) -> Verdict {
@@ -239,17 +248,17 @@
     pub fn status(&self, n: usize) -> Option<&Status> {
         self.heard[n].status.as_ref()
     }
-    pub fn refused(&self, n: usize) -> Option<&str> {
+    pub fn refusal(&self, n: usize) -> Option<&str> {
         self.heard[n].refused.as_deref()
     }
 
     /// The staff's words.
-    pub fn pause(&mut self, paused: bool) {
+    pub fn set_paused(&mut self, paused: bool) {
         self.journal.paused = paused;
     }
     pub fn undo(&mut self, why: &str) {
         if !matches!(self.journal.phase, Phase::Undone | Phase::Undoing) {
-            (self.journal.phase, self.journal.why) = (Phase::Undoing, why.into());
+            (self.journal.phase, self.journal.reason) = (Phase::Undoing, why.into());
         }
     }
 
@@ -258,7 +267,7 @@
         match self.journal.phase {
             Phase::Observing | Phase::Undoing | Phase::Undone => 0,
             Phase::Rolling => {
-                let stages = self.journal.stages - usize::from(self.journal.back);
+                let stages = self.journal.stages_begun - usize::from(self.journal.stage_reverted);
                 if stages == 0 { 0 } else { self.stages[stages - 1] }
             }
             Phase::Confirming | Phase::Done => self.members.len(),
@@ -268,14 +277,14 @@
     /// The old ones that begin anew beside this stage's new: the next in turn, as many as there are new, or the rest.
     fn controls(&self) -> std::ops::Range<usize> {
         let wanted = self.wanted();
-        let rolling = self.journal.phase == Phase::Rolling && self.rules.controls;
+        let rolling = self.journal.phase == Phase::Rolling && self.config.restart_controls;
         wanted..if rolling { (2 * wanted).min(self.members.len()) } else { wanted }
     }
 
     /// Whether a control has begun anew for this stage.
     fn again(&self, n: usize) -> bool {
-        let for_us = (self.journal.epoch, self.journal.stages);
-        self.heard[n].status.as_ref().is_some_and(|status| status.again == Some(for_us))
+        let for_us = (self.journal.epoch, self.journal.stages_begun);
+        self.heard[n].status.as_ref().is_some_and(|status| status.restarted_for == Some(for_us))
     }
 
     fn has(&self, n: usize) -> bool {
@@ -287,20 +296,21 @@
     }
 
     fn unheard(&self, now: u64, n: usize) -> bool {
-        now > self.heard[n].at.max(self.began) + self.rules.unheard || self.heard[n].status.is_none()
+        now > self.heard[n].at.max(self.began) + self.config.unreachable_after_ms
+            || self.heard[n].status.is_none()
     }
 
     /// A member's own word on where it stands and what it counted.
-    pub fn hears(&mut self, now: u64, n: usize, status: Status, figures: Option<Figures>) {
+    pub fn on_report(&mut self, now: u64, n: usize, status: Status, figures: Option<MemberCounters>) {
         let ours = self.ours(n, &status);
         let wanted = self.wanted();
         let heard = &mut self.heard[n];
         heard.at = now;
         // Danger: what failed for an earlier change is still told, and is no word on ours.
         if status.staged == Some(self.journal.epoch) {
-            heard.refused = status.failed.clone().or(heard.refused.take());
+            heard.refused = status.apply_error.clone().or(heard.refused.take());
         }
-        heard.until = if ours && status.unconfirmed { now + status.left_ms } else { 0 };
+        heard.until = if ours && status.unconfirmed { now + status.remaining_ms } else { 0 };
         // Danger: one that ended with the change in force comes back without it, and would be given it again for ever.
         match heard.carried {
             Some(started) if status.started_ms != started => {
@@ -309,16 +319,17 @@
             }
             _ => {
                 // One that began anew on our word has not ended.
-                let known = heard.status.as_ref().map(|status| (status.started_ms, status.again));
-                let other =
-                    known.is_some_and(|(known, again)| known != status.started_ms && again == status.again);
+                let known = heard.status.as_ref().map(|status| (status.started_ms, status.restarted_for));
+                let other = known.is_some_and(|(known, again)| {
+                    known != status.started_ms && again == status.restarted_for
+                });
                 self.restarts.1 += u64::from(other && !ours);
             }
         }
         heard.carried = ours.then_some(status.started_ms);
-        let times = figures.as_ref().and_then(|figures| decode_times(&figures.times));
+        let times = figures.as_ref().and_then(|figures| decode_histogram(&figures.latencies));
         let last = heard.figures.take();
-        let same = |last: &Figures, new: &Figures| {
+        let same = |last: &MemberCounters, new: &MemberCounters| {
             (last.started_ms, last.epoch) == (new.started_ms, new.epoch) && new.epoch == status.epoch
         };
         if let (Some(last), Some(new)) = (last, figures.as_ref())
@@ -333,19 +344,19 @@
             let [current, before] = &self.old_times;
             let mut both = before.clone();
             let _ = both.add(current);
-            let slow_from = Judge::slow_from(&both);
+            let slow_from = Judge::slow_thresholds(&both);
             let mut passed = times.clone();
             if let (Some(passed), Some(before)) = (&mut passed, &heard.times) {
                 // One that can't be taken off was of another process.
                 let _ = passed.subtract(before);
             }
-            let of = |told: fn(&Figures) -> u64| told(new).saturating_sub(told(&last));
-            self.room.push((now, of(|told| told.refused), of(|told| told.fetches)));
+            let of = |told: fn(&MemberCounters) -> u64| told(new).saturating_sub(told(&last));
+            self.room.push((now, of(|told| told.origin_refusals), of(|told| told.origin_attempts)));
             let sample = between(&last, new, passed.as_ref(), slow_from);
             if !ours {
                 // Bounds are alike, or it would not have been read.
                 let _ = passed.map(|passed| self.old_times[0].add(&passed));
-                let lost = sample.lost.values().map(|one| one.0).sum();
+                let lost = sample.losses.values().map(|one| one.0).sum();
                 self.recent.push((now, lost, sample.requests));
             }
             heard.delta = Some((ours, sample));
@@ -354,28 +365,28 @@
     }
 
     /// Where a member stands after a word, as its answer says.
-    pub fn stands(&mut self, now: u64, n: usize, status: Status) {
+    pub fn on_status(&mut self, now: u64, n: usize, status: Status) {
         let ours = self.ours(n, &status);
         let heard = &mut self.heard[n];
         // An end of its process is told by `hears` alone.
         if heard.status.as_ref().is_some_and(|known| known.started_ms == status.started_ms) {
             heard.carried = ours.then_some(status.started_ms);
-            heard.until = if ours && status.unconfirmed { now + status.left_ms } else { 0 };
+            heard.until = if ours && status.unconfirmed { now + status.remaining_ms } else { 0 };
             (heard.at, heard.status) = (now, Some(status));
         }
     }
 
     /// What a member would not do.
-    pub fn refuses(&mut self, n: usize, why: String) {
+    pub fn on_refusal(&mut self, n: usize, why: String) {
         self.heard[n].refused = Some(why);
     }
 
     /// Looks at all, decides, and says what each member is to be told. The journal has to lie on disk before that.
-    pub fn step(&mut self, now: u64) -> Vec<(usize, Word)> {
+    pub fn step(&mut self, now: u64) -> Vec<(usize, Command)> {
         self.judges(now);
-        let before = (self.journal.phase, self.journal.stages);
+        let before = (self.journal.phase, self.journal.stages_begun);
         self.decides(now);
-        if (self.journal.phase, self.journal.stages) != before {
+        if (self.journal.phase, self.journal.stages_begun) != before {
             (self.reached, self.worse_since, self.short_since) = (None, None, None);
         }
         self.words(now)
@@ -383,7 +394,7 @@
 
     /// New beside old, zone by zone, in what all told since the last look.
     fn judges(&mut self, now: u64) {
-        let mut zones: BTreeMap<&str, Pair> = BTreeMap::new();
+        let mut zones: BTreeMap<&str, SamplePair> = BTreeMap::new();
         let carriers = match self.journal.phase {
             // As it will be at the first stage.
             Phase::Observing => self.stages.first().copied().unwrap_or(0),
@@ -391,7 +402,7 @@
         };
         let controls = self.controls();
         // Danger: a change that itself leaves the origin no room would wait half-way for ever, and never be judged.
-        let waits = self.short_since.is_some_and(|since| now >= since + self.rules.settle);
+        let waits = self.short_since.is_some_and(|since| now >= since + self.config.settle_ms);
         // Danger: judged while it settles, what every change costs at first would be held against this one.
         let judged = self.reached.is_some_and(|settled| now >= settled) || waits;
         for (n, heard) in self.heard.iter_mut().enumerate() {
@@ -405,8 +416,8 @@
         }
         for (zone, pair) in zones {
             match self.journal.phase {
-                Phase::Observing => self.judge.before(zone, &pair),
-                Phase::Rolling if judged => self.judge.takes(zone, &pair),
+                Phase::Observing => self.judge.record_baseline(zone, &pair),
+                Phase::Rolling if judged => self.judge.compare(zone, &pair),
                 _ => {}
             }
         }
@@ -437,8 +448,9 @@
     fn old_worse(&mut self, now: u64) -> Option<bool> {
         let (lost, all) = self.lately(now);
         let base = self.base.0 as f64 / self.base.1.max(1) as f64;
-        let factor = if self.journal.back { RECOVERED } else { 1.0 };
-        (all >= RECENT_LEAST).then(|| lost as f64 / all as f64 > base + self.rules.both * factor)
+        let factor = if self.journal.stage_reverted { RECOVERED } else { 1.0 };
+        (all >= RECENT_LEAST)
+            .then(|| lost as f64 / all as f64 > base + self.config.max_common_loss_increase * factor)
     }
 
     fn decides(&mut self, now: u64) {
@@ -481,10 +493,10 @@
             return;
         }
         let since = *self.reached.get_or_insert(now);
-        if now >= since + self.rules.observe {
+        if now >= since + self.config.observe_ms {
             let lately = self.lately(now);
             (self.base, self.base_room) = (lately, self.origin(now));
-            (self.journal.phase, self.journal.stages) = (Phase::Rolling, 1);
+            (self.journal.phase, self.journal.stages_begun) = (Phase::Rolling, 1);
         }
     }
 
@@ -507,26 +519,29 @@
             Some(true) => {
                 let since = *self.worse_since.get_or_insert(now);
                 self.hold = Some("old and new are both worse than before".into());
-                if self.journal.back && now >= since + 2 * self.rules.doubt {
+                if self.journal.stage_reverted && now >= since + 2 * self.config.trial_revert_after_ms {
                     // They do not recover without it: it is not to blame.
-                    (self.journal.back, self.journal.recovered, self.worse_since) = (false, 0, None);
-                } else if !self.journal.back
-                    && (self.journal.tried < self.journal.stages || self.journal.recovered > 0)
-                    && now >= since + self.rules.doubt
+                    (self.journal.stage_reverted, self.journal.recoveries, self.worse_since) =
+                        (false, 0, None);
+                } else if !self.journal.stage_reverted
+                    && (self.journal.last_trial_stage < self.journal.stages_begun
+                        || self.journal.recoveries > 0)
+                    && now >= since + self.config.trial_revert_after_ms
                 {
-                    (self.journal.back, self.journal.tried) = (true, self.journal.stages);
+                    (self.journal.stage_reverted, self.journal.last_trial_stage) =
+                        (true, self.journal.stages_begun);
                 }
                 return;
             }
-            Some(false) if self.journal.back => {
-                self.journal.recovered += 1;
-                if self.journal.recovered >= SHOWN {
+            Some(false) if self.journal.stage_reverted => {
+                self.journal.recoveries += 1;
+                if self.journal.recoveries >= SHOWN {
                     return self.undo("worse together: the old recovered each time the last stage went back");
                 }
                 // Forward once more: only what comes again with the change is its doing.
-                self.journal.back = false;
+                self.journal.stage_reverted = false;
                 (self.reached, self.worse_since) = (None, None);
-                self.judge.begins_anew();
+                self.judge.start_stage();
             }
             Some(false) => self.worse_since = None,
             None => {}
@@ -541,20 +556,21 @@
             self.hold = short;
             return;
         }
-        let since = *self.reached.get_or_insert(now + self.rules.settle);
+        let since = *self.reached.get_or_insert(now + self.config.settle_ms);
         let beside = wanted < self.members.len();
         match self.judge.verdict() {
-            _ if now < since + self.rules.watch => {}
-            Verdict::Quiet(judged) if beside && judged < self.rules.requests => {
-                self.hold = Some(format!("too few requests of the new: {judged} of {}", self.rules.requests));
+            _ if now < since + self.config.watch_ms => {}
+            Verdict::NoHarmFound(judged) if beside && judged < self.config.min_requests => {
+                self.hold =
+                    Some(format!("too few requests of the new: {judged} of {}", self.config.min_requests));
             }
-            _ if self.journal.stages < self.stages.len() => {
+            _ if self.journal.stages_begun < self.stages.len() => {
                 if short.is_some() {
                     self.hold = short;
                     return;
                 }
-                (self.journal.stages, self.journal.recovered) = (self.journal.stages + 1, 0);
-                self.judge.begins_anew();
+                (self.journal.stages_begun, self.journal.recoveries) = (self.journal.stages_begun + 1, 0);
+                self.judge.start_stage();
             }
             _ => self.journal.phase = Phase::Confirming,
         }
@@ -568,7 +584,7 @@
             (count > 0).then(|| sum / count)
         };
         let (new, old) = (mean(true)?, mean(false)?);
-        let much = new as f64 > old as f64 * self.rules.memory && new > old + MEMORY_LEAST;
+        let much = new as f64 > old as f64 * self.config.max_memory_ratio && new > old + MEMORY_LEAST;
         much.then(|| format!("the new take {new} kB of memory, the old {old} kB"))
     }
 
@@ -590,7 +606,7 @@
 
     /// What brings each member one step nearer to where it should be. Who is not heard gets its word too: it may be
     /// only the way back that is cut.
-    fn words(&mut self, now: u64) -> Vec<(usize, Word)> {
+    fn words(&mut self, now: u64) -> Vec<(usize, Command)> {
         let wanted = self.wanted();
         let (mut words, mut applied) = (Vec::new(), 0);
         let pace = self.members.len().div_ceil(TURNS);
@@ -599,22 +615,22 @@
             let (epoch, heard) = (self.journal.epoch, &self.heard[n]);
             let word = match (self.journal.phase, self.ours(n, status)) {
                 (Phase::Observing | Phase::Done | Phase::Undone, _) => None,
-                (Phase::Confirming, true) => status.unconfirmed.then_some(Word::Confirm),
-                (_, true) if n < wanted => Some(Word::Renew),
-                (_, true) => Some(Word::Revert),
-                (_, false) if self.controls().contains(&n) && !self.again(n) => Some(Word::Again),
+                (Phase::Confirming, true) => status.unconfirmed.then_some(Command::Confirm),
+                (_, true) if n < wanted => Some(Command::Renew),
+                (_, true) => Some(Command::Revert),
+                (_, false) if self.controls().contains(&n) && !self.again(n) => Some(Command::Restart),
                 (_, false) if n >= wanted => None,
                 // Danger: nothing new is begun while it is held, nor given again to one that may have ended of it.
                 (Phase::Rolling, false) if self.hold.is_some() || heard.refused.is_some() => None,
                 // Danger: a stage of hundreds at once would ask the origin for all their moved keys before it can refuse.
                 (Phase::Rolling, false) if status.staged == Some(epoch) && applied >= pace => None,
-                (_, false) if status.staged == Some(epoch) => Some(Word::Apply),
-                (_, false) => Some(Word::Stage),
+                (_, false) if status.staged == Some(epoch) => Some(Command::Apply),
+                (_, false) => Some(Command::Stage),
             };
             if let Some(word) = word {
-                applied += usize::from(word == Word::Apply);
-                if matches!(word, Word::Apply | Word::Renew) {
-                    self.heard[n].until = now + self.rules.within;
+                applied += usize::from(word == Command::Apply);
+                if matches!(word, Command::Apply | Command::Renew) {
+                    self.heard[n].until = now + self.config.confirm_timeout_ms;
                 }
                 words.push((n, word));
             }
@@ -625,25 +641,25 @@
 
 /// What a member counted between two of its words.
 fn between(
-    last: &Figures,
-    new: &Figures,
+    last: &MemberCounters,
+    new: &MemberCounters,
     passed: Option<&Histogram<u64>>,
-    slow_from: Option<[u64; SLOW_AT.len()]>,
+    slow_from: Option<[u64; SLOW_QUANTILES.len()]>,
 ) -> Sample {
     let mut sample = Sample {
         attempts: new.attempts.saturating_sub(last.attempts),
-        fetches: new.fetches.saturating_sub(last.fetches),
-        slow: slow_from.zip(passed).map_or([0; SLOW_AT.len()], |(from, passed)| {
+        origin_attempts: new.origin_attempts.saturating_sub(last.origin_attempts),
+        slow_requests: slow_from.zip(passed).map_or([0; SLOW_QUANTILES.len()], |(from, passed)| {
             from.map(|from| passed.len() - passed.count_between(0, from).min(passed.len()))
         }),
         ..Sample::default()
     };
-    for (case, ends) in &new.cases {
-        let before = last.cases.get(case).copied().unwrap_or_default();
-        let all = ends.all().saturating_sub(before.all());
+    for (case, ends) in &new.classes {
+        let before = last.classes.get(case).copied().unwrap_or_default();
+        let all = ends.total().saturating_sub(before.total());
         let served = ends.served.saturating_sub(before.served);
         sample.requests += all;
-        sample.lost.insert(case.clone(), (all.saturating_sub(served), all));
+        sample.losses.insert(case.clone(), (all.saturating_sub(served), all));
     }
     sample
 }
--- a/crates/flintwell-rollout/src/judge.rs
+++ b/crates/flintwell-rollout/src/judge.rs
@@ -17,7 +17,7 @@
 const BEGINS: f64 = 2.0; // blocks that the first guess, a difference of the loss, counts for
 /// Shares of the old ones' times so far; slower than such a time is slow. Fetches make the slow end their own: what slows
 /// the quick ones shows in the middle only.
-pub const SLOW_AT: [f64; 4] = [0.5, 0.8, 0.95, TAIL];
+pub const SLOW_QUANTILES: [f64; 4] = [0.5, 0.8, 0.95, TAIL];
 const TAIL: f64 = 0.99; // of the old ones' times; judged in blocks of its own, since a block of 25 holds none of it
 const LEAST_TAIL: u64 = 200; // requests on either side of such a block: two are slower than the tail on the mean
 const SLOW_TAIL: f64 = 3.0; // of a loss; a tail that twice as many fall into has one more of a hundred in it, and is found
@@ -25,7 +25,7 @@
 const FETCHES: f64 = 0.1; // the same for its fetches
 const SLOW: f64 = 0.2; // the same for its being slow; twice as many over a 95th percentile are 5 % of requests
 
-const MEASURES: usize = 3 + SLOW_AT.len(); // of all requests; one more for each class
+const MEASURES: usize = 3 + SLOW_QUANTILES.len(); // of all requests; one more for each class
 
 /// What a group of proxies counted within some time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -33,28 +33,31 @@
     #[serde(rename = "accesses")]
     pub requests: u64,
     /// Turned back or failed, by class, and how many there were.
-    pub lost: BTreeMap<String, (u64, u64)>,
+    #[serde(rename = "lost")]
+    pub losses: BTreeMap<String, (u64, u64)>,
     #[serde(rename = "hand_offs")]
     pub attempts: u64,
-    pub fetches: u64,
+    #[serde(rename = "fetches")]
+    pub origin_attempts: u64,
     /// Requests slower than each of the limits that the judge tells.
-    pub slow: [u64; SLOW_AT.len()],
+    #[serde(rename = "slow")]
+    pub slow_requests: [u64; SLOW_QUANTILES.len()],
 }
 
 impl Sample {
     pub fn add(&mut self, other: &Sample) {
         self.requests += other.requests;
         self.attempts += other.attempts;
-        self.fetches += other.fetches;
-        self.slow.iter_mut().zip(other.slow).for_each(|(sum, slow)| *sum += slow);
-        for (case, (lost, all)) in &other.lost {
-            let sum = self.lost.entry(case.clone()).or_default();
+        self.origin_attempts += other.origin_attempts;
+        self.slow_requests.iter_mut().zip(other.slow_requests).for_each(|(sum, slow)| *sum += slow);
+        for (case, (lost, all)) in &other.losses {
+            let sum = self.losses.entry(case.clone()).or_default();
             *sum = (sum.0 + lost, sum.1 + all);
         }
     }
     /// The share of requests that were not served.
-    pub fn lost_share(&self) -> f64 {
-        let (lost, all) = self.lost.values().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+    pub fn loss_rate(&self) -> f64 {
+        let (lost, all) = self.losses.values().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         share(lost, all)
     }
 }
@@ -65,18 +68,21 @@
 
 /// New and old in one zone and the same seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct SamplePair {
     pub new: Sample,
     pub old: Sample,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct JudgeConfig {
     /// The share of requests lost that has to be found.
-    pub loss: f64,
+    #[serde(rename = "loss")]
+    pub min_detectable_loss: f64,
     /// Of stopping a rollout that is no worse, in all its stages.
-    pub chance: f64,
-    pub stages: usize,
+    #[serde(rename = "chance")]
+    pub max_false_stop_probability: f64,
+    #[serde(rename = "stages")]
+    pub stage_count: usize,
 }
 
 /// One measure's wealth.
@@ -111,7 +117,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// No sign of harm, after so many requests of the new ones.
-    Quiet(u64),
+    NoHarmFound(u64),
     /// By which measure, and by how much on the mean.
     Worse(String, f64),
 }
@@ -119,9 +125,9 @@
 /// Judges one stage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Judge {
-    limits: Limits,
+    limits: JudgeConfig,
     /// Not judged yet: blocks that are still too small, by zone.
-    open: BTreeMap<String, Pair>,
+    open: BTreeMap<String, SamplePair>,
     /// The same of each class: lost and all, of the new and the old.
     open_cases: BTreeMap<String, BTreeMap<String, [(u64, u64); 2]>>,
     /// The same of requests slower than the tail's limit, by zone.
@@ -135,7 +141,7 @@
 }
 
 impl Judge {
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: JudgeConfig) -> Self {
         Judge {
             limits,
             open: BTreeMap::new(),
@@ -149,7 +155,7 @@
     }
 
     /// The groups as they were before the new had anything new: what they differ by then is no harm of the change.
-    pub fn before(&mut self, zone: &str, pair: &Pair) {
+    pub fn record_baseline(&mut self, zone: &str, pair: &SamplePair) {
         let whole = self.block(zone, pair).into_iter().flat_map(|block| block.1);
         for (name, difference) in whole.chain(self.cases(zone, pair)).chain(self.tail(zone, pair)) {
             let (count, sum, squares) = self.before.entry(name).or_default();
@@ -170,32 +176,36 @@
     }
 
     /// A zone's block, once both sides are large enough: each measure's difference in shares.
-    fn block(&mut self, zone: &str, pair: &Pair) -> Option<(u64, Vec<(String, f64)>)> {
+    fn block(&mut self, zone: &str, pair: &SamplePair) -> Option<(u64, Vec<(String, f64)>)> {
         let open = self.open.entry(zone.into()).or_default();
         open.new.add(&pair.new);
         open.old.add(&pair.old);
         if open.new.requests < LEAST || open.old.requests < LEAST {
             return None;
         }
-        let Pair { new, old } = std::mem::take(open);
+        let SamplePair { new, old } = std::mem::take(open);
         let scaled = |scale: f64, part: &dyn Fn(&Sample) -> u64| {
             scale * (share(part(&new), new.requests) - share(part(&old), old.requests))
         };
         let mut measures = vec![
-            ("lost requests".to_owned(), new.lost_share() - old.lost_share()),
+            ("lost requests".to_owned(), new.loss_rate() - old.loss_rate()),
             ("attempts a request".to_owned(), scaled(HAND_OFFS, &|sample| sample.attempts)),
-            ("fetches an access".to_owned(), scaled(FETCHES, &|sample| sample.fetches)),
+            ("fetches an access".to_owned(), scaled(FETCHES, &|sample| sample.origin_attempts)),
         ];
-        for (n, quantile) in SLOW_AT.iter().enumerate().filter(|one| *one.1 < TAIL) {
+        for (n, quantile) in SLOW_QUANTILES.iter().enumerate().filter(|one| *one.1 < TAIL) {
             let name = format!("requests slower than {:.0} % of the old", quantile * 100.0);
-            measures.push((name, scaled(SLOW, &|sample| sample.slow[n])));
+            measures.push((name, scaled(SLOW, &|sample| sample.slow_requests[n])));
         }
         Some((new.requests, measures))
     }
 
     /// New and old in one zone since the last call.
-    pub fn takes(&mut self, zone: &str, pair: &Pair) {
-        let Limits { loss, chance, stages } = self.limits;
+    pub fn compare(&mut self, zone: &str, pair: &SamplePair) {
+        let JudgeConfig {
+            min_detectable_loss: loss,
+            max_false_stop_probability: chance,
+            stage_count: stages,
+        } = self.limits;
         let mut measures: Vec<(String, f64, f64)> = Vec::new();
         if let Some((requests, block)) = self.block(zone, pair) {
             self.judged += requests;
@@ -204,7 +214,7 @@
         let cases = self.cases(zone, pair);
         measures.extend(cases.into_iter().map(|(name, difference)| (name, difference, 1.0)));
         measures.extend(self.tail(zone, pair).map(|(name, difference)| (name, difference, CLIP * loss)));
-        let all = MEASURES + pair.new.lost.len();
+        let all = MEASURES + pair.new.losses.len();
         let enough = ((all * stages.max(1)) as f64 / chance).ln();
         for (name, difference, clip) in measures {
             let margin = MARGIN * loss + self.handicap(&name);
@@ -218,10 +228,10 @@
 
     /// A class of its own may be harmed and hardly show among all, above all a rare one. Its blocks are small, and
     /// lopsided then: cut off on both sides alike they would lean to one, so they count as they are.
-    fn cases(&mut self, zone: &str, pair: &Pair) -> Vec<(String, f64)> {
+    fn cases(&mut self, zone: &str, pair: &SamplePair) -> Vec<(String, f64)> {
         let mut measures = Vec::new();
-        for (case, &new) in &pair.new.lost {
-            let old = pair.old.lost.get(case).copied().unwrap_or_default();
+        for (case, &new) in &pair.new.losses {
+            let old = pair.old.losses.get(case).copied().unwrap_or_default();
             let open = self.open_cases.entry(zone.into()).or_default().entry(case.clone()).or_default();
             for (open, more) in open.iter_mut().zip([new, old]) {
                 *open = (open.0 + more.0, open.1 + more.1);
@@ -236,10 +246,10 @@
     }
 
     /// The slowest of a hundred, in blocks that hold some of them.
-    fn tail(&mut self, zone: &str, pair: &Pair) -> Option<(String, f64)> {
+    fn tail(&mut self, zone: &str, pair: &SamplePair) -> Option<(String, f64)> {
         let open = self.open_tail.entry(zone.into()).or_default();
         for (open, more) in open.iter_mut().zip([&pair.new, &pair.old]) {
-            *open = (open.0 + more.slow[SLOW_AT.len() - 1], open.1 + more.requests);
+            *open = (open.0 + more.slow_requests[SLOW_QUANTILES.len() - 1], open.1 + more.requests);
         }
         if open.iter().any(|one| one.1 < LEAST_TAIL) {
             return None;
@@ -250,7 +260,7 @@
     }
 
     /// The next stage: what was seen counts no more, what the groups differed by before does.
-    pub fn begins_anew(&mut self) {
+    pub fn start_stage(&mut self) {
         self.bets.clear();
         self.open.clear();
         self.open_cases.clear();
@@ -261,13 +271,13 @@
     pub fn verdict(&self) -> Verdict {
         match &self.worse {
             Some((name, by)) => Verdict::Worse(name.clone(), *by),
-            None => Verdict::Quiet(self.judged),
+            None => Verdict::NoHarmFound(self.judged),
         }
     }
 
     /// What takes longer than these is slow.
-    pub fn slow_from(times: &hdrhistogram::Histogram<u64>) -> Option<[u64; SLOW_AT.len()]> {
-        (times.len() >= LEAST).then(|| SLOW_AT.map(|quantile| times.value_at_quantile(quantile)))
+    pub fn slow_thresholds(times: &hdrhistogram::Histogram<u64>) -> Option<[u64; SLOW_QUANTILES.len()]> {
+        (times.len() >= LEAST).then(|| SLOW_QUANTILES.map(|quantile| times.value_at_quantile(quantile)))
     }
 }
 
--- a/crates/flintwell-rollout/src/judge/tests.rs
+++ b/crates/flintwell-rollout/src/judge/tests.rs
@@ -3,7 +3,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Binomial, Distribution};
 
-const LIMITS: Limits = Limits { loss: 0.02, chance: 0.01, stages: 3 };
+const LIMITS: JudgeConfig =
+    JudgeConfig { min_detectable_loss: 0.02, max_false_stop_probability: 0.01, stage_count: 3 };
 
 /// Requests of one second: of two classes, one of them rare, lost at this rate.
 fn second(rng: &mut ChaCha8Rng, requests: u64, lost: f64, rare: f64, fetches: f64) -> Sample {
@@ -12,28 +13,28 @@
     let reads = requests - writes;
     Sample {
         requests,
-        lost: BTreeMap::from([
+        losses: BTreeMap::from([
             ("read".into(), (of(reads, lost), reads)),
             ("write".into(), (of(writes, rare), writes)),
         ]),
         attempts: requests + of(requests, 0.2),
-        fetches: of(requests, fetches),
-        slow: [of(requests, 0.5), of(requests, 0.2), of(requests, 0.05), of(requests, 0.01)],
+        origin_attempts: of(requests, fetches),
+        slow_requests: [of(requests, 0.5), of(requests, 0.2), of(requests, 0.05), of(requests, 0.01)],
     }
 }
 
 /// After how many requests of the new the judge stops, within three minutes of 150 a second; none if it does not.
-fn stops(seed: u64, mut play: impl FnMut(&mut ChaCha8Rng, u64) -> Pair) -> Option<u64> {
+fn stops(seed: u64, mut play: impl FnMut(&mut ChaCha8Rng, u64) -> SamplePair) -> Option<u64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut judge = Judge::new(LIMITS);
     (0..180).find_map(|at| {
         let pair = play(&mut rng, at);
-        judge.takes("a", &pair);
+        judge.compare("a", &pair);
         matches!(judge.verdict(), Verdict::Worse(..)).then_some(judge.judged)
     })
 }
 
-fn count(plays: u64, play: impl Fn(&mut ChaCha8Rng, u64) -> Pair + Copy) -> (usize, u64) {
+fn count(plays: u64, play: impl Fn(&mut ChaCha8Rng, u64) -> SamplePair + Copy) -> (usize, u64) {
     let mut stopped: Vec<u64> = (0..plays).filter_map(|seed| stops(seed, play)).collect();
     stopped.sort_unstable();
     (stopped.len(), stopped.get(stopped.len() * 19 / 20).copied().unwrap_or(0))
@@ -41,13 +42,13 @@
 
 #[test]
 fn two_in_a_hundred_lost_are_found_within_a_stated_number_of_requests() {
-    let (found, most) = count(200, |rng, _| Pair {
+    let (found, most) = count(200, |rng, _| SamplePair {
         new: second(rng, 150, 0.03, 0.03, 0.1),
         old: second(rng, 1_000, 0.01, 0.01, 0.1),
     });
     assert!(found == 200 && most <= 10_000, "{found} of 200, 19 of 20 within {most}");
     // Of one class only, a fifth of all requests.
-    let (found, most) = count(200, |rng, _| Pair {
+    let (found, most) = count(200, |rng, _| SamplePair {
         new: second(rng, 150, 0.0, 0.1, 0.1),
         old: second(rng, 1_000, 0.0, 0.0, 0.1),
     });
@@ -56,13 +57,14 @@
     let rare = |rng: &mut ChaCha8Rng, requests: u64, lost: f64| {
         let mut sample = second(rng, requests, 0.0, 0.0, 0.1);
         let few = Binomial::new(requests, 0.02).expect("a rate").sample(rng);
-        sample.lost.insert("once".into(), ((few as f64 * lost) as u64, few));
+        sample.losses.insert("once".into(), ((few as f64 * lost) as u64, few));
         sample
     };
-    let (found, most) = count(200, |rng, _| Pair { new: rare(rng, 150, 1.0), old: rare(rng, 1_000, 0.0) });
+    let (found, most) =
+        count(200, |rng, _| SamplePair { new: rare(rng, 150, 1.0), old: rare(rng, 1_000, 0.0) });
     assert!(found == 200 && most <= 6_000, "{found} of 200, 19 of 20 within {most}");
     // Twice the fetches, nothing lost.
-    let (found, most) = count(200, |rng, _| Pair {
+    let (found, most) = count(200, |rng, _| SamplePair {
         new: second(rng, 150, 0.0, 0.0, 0.5),
         old: second(rng, 1_000, 0.0, 0.0, 0.1),
     });
@@ -73,8 +75,8 @@
 fn a_tail_that_three_times_as_many_fall_into_is_found() {
     let (found, most) = count(100, |rng, _| {
         let mut new = second(rng, 150, 0.0, 0.0, 0.1);
-        new.slow[3] = Binomial::new(150, 0.033).expect("a rate").sample(rng);
-        Pair { new, old: second(rng, 1_000, 0.0, 0.0, 0.1) }
+        new.slow_requests[3] = Binomial::new(150, 0.033).expect("a rate").sample(rng);
+        SamplePair { new, old: second(rng, 1_000, 0.0, 0.0, 0.1) }
     });
     assert!(found == 100 && most <= 10_000, "{found} of 100, 19 of 20 within {most}");
 }
@@ -82,7 +84,7 @@
 /// No worse than the old, through troubles that meet both alike in the same seconds, is no cause to stop.
 #[test]
 fn false_stops_are_rarer_than_stated_also_while_a_fault_meets_both() {
-    let calm = |rng: &mut ChaCha8Rng, _| Pair {
+    let calm = |rng: &mut ChaCha8Rng, _| SamplePair {
         new: second(rng, 150, 0.02, 0.02, 0.1),
         old: second(rng, 1_000, 0.02, 0.02, 0.1),
     };
@@ -92,20 +94,20 @@
         // Each second is good or bad for all; within a bad one losses are many and differ by chance.
         let base = if at / 20 % 2 == 1 { rng.random_range(0.05..0.6) } else { 0.01 };
         let (new, old) = (rng.random_range(0.8..1.2), rng.random_range(0.95..1.05));
-        let mut pair = Pair {
+        let mut pair = SamplePair {
             new: second(rng, 150, base * new, base * new, 0.1 + base / 2.0),
             old: second(rng, 1_000, base * old, base * old, 0.1 + base / 2.0),
         };
         // What fails is slow before it does.
         for side in [&mut pair.new, &mut pair.old] {
-            side.slow[3] = Binomial::new(side.requests, base / 2.0).expect("a rate").sample(rng);
+            side.slow_requests[3] = Binomial::new(side.requests, base / 2.0).expect("a rate").sample(rng);
         }
         pair
     };
     let (stopped, _) = count(1_000, fault);
     assert!(stopped <= 10, "{stopped} of 1000 under a fault");
     // Against its own past, as it must not be judged, it would be stopped each time.
-    let past = |rng: &mut ChaCha8Rng, at: u64| Pair {
+    let past = |rng: &mut ChaCha8Rng, at: u64| SamplePair {
         new: fault(rng, at).new,
         old: second(rng, 1_000, 0.01, 0.01, 0.1),
     };
@@ -114,7 +116,7 @@
 
 #[test]
 fn what_the_groups_differed_by_before_is_no_harm() {
-    let unlike = |rng: &mut ChaCha8Rng, _: u64| Pair {
+    let unlike = |rng: &mut ChaCha8Rng, _: u64| SamplePair {
         new: second(rng, 150, 0.05, 0.05, 0.1),
         old: second(rng, 1_000, 0.01, 0.01, 0.1),
     };
@@ -122,9 +124,9 @@
         let (mut rng, mut judge) = (ChaCha8Rng::seed_from_u64(seed), Judge::new(LIMITS));
         for at in 0..30 {
             let pair = unlike(&mut rng, at);
-            watched.then(|| judge.before("a", &pair));
+            watched.then(|| judge.record_baseline("a", &pair));
         }
-        (0..120).for_each(|at| judge.takes("a", &unlike(&mut rng, at)));
+        (0..120).for_each(|at| judge.compare("a", &unlike(&mut rng, at)));
         matches!(judge.verdict(), Verdict::Worse(..))
     };
     let stopped = |watched| (0..100).filter(|&seed| judged(seed, watched)).count();
@@ -137,16 +139,24 @@
     let mut judge = Judge::new(LIMITS);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..120 {
-        let bad =
-            Pair { new: second(&mut rng, 200, 0.5, 0.5, 0.1), old: second(&mut rng, 100, 0.5, 0.5, 0.1) };
-        let good =
-            Pair { new: second(&mut rng, 50, 0.0, 0.0, 0.1), old: second(&mut rng, 800, 0.0, 0.0, 0.1) };
-        judge.takes("a", &bad);
-        judge.takes("b", &good);
+        let bad = SamplePair {
+            new: second(&mut rng, 200, 0.5, 0.5, 0.1),
+            old: second(&mut rng, 100, 0.5, 0.5, 0.1),
+        };
+        let good = SamplePair {
+            new: second(&mut rng, 50, 0.0, 0.0, 0.1),
+            old: second(&mut rng, 800, 0.0, 0.0, 0.1),
+        };
+        judge.compare("a", &bad);
+        judge.compare("b", &good);
     }
-    assert!(matches!(judge.verdict(), Verdict::Quiet(judged) if judged > 20_000), "{:?}", judge.verdict());
+    assert!(
+        matches!(judge.verdict(), Verdict::NoHarmFound(judged) if judged > 20_000),
+        "{:?}",
+        judge.verdict()
+    );
     let mut judge = Judge::new(LIMITS);
-    let alone = Pair { new: second(&mut rng, 500, 1.0, 1.0, 0.1), old: Sample::default() };
-    (0..100).for_each(|_| judge.takes("a", &alone));
-    assert_eq!(judge.verdict(), Verdict::Quiet(0), "with no old beside it nothing can be told");
+    let alone = SamplePair { new: second(&mut rng, 500, 1.0, 1.0, 0.1), old: Sample::default() };
+    (0..100).for_each(|_| judge.compare("a", &alone));
+    assert_eq!(judge.verdict(), Verdict::NoHarmFound(0), "with no old beside it nothing can be told");
 }
--- a/crates/flintwell-rollout/src/plan.rs
+++ b/crates/flintwell-rollout/src/plan.rs
@@ -1,6 +1,6 @@
 //! The plan of a rollout, a TOML file. All that is wrong with it is told at once, each with its line.
 
-use crate::conductor::{Place, Rules, in_turns};
+use crate::controller::{FleetMember, RolloutConfig, interleave_zones};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -54,16 +54,16 @@
 pub struct Plan {
     pub fleet: String,
     /// Versions of the program, at supervisors; else settings, at proxies.
-    pub programs: bool,
+    pub is_program_update: bool,
     /// One above the highest that any member knows, where it is not given.
     pub epoch: Option<u64>,
     /// A JSON file, laid over each member's settings in force; beside the plan if it is not absolute.
-    pub settings: String,
+    pub settings_file: String,
     /// Members in their turns, with their second addresses.
-    pub members: Vec<(Place, SocketAddr)>,
+    pub members: Vec<(FleetMember, SocketAddr)>,
     /// How many have it after each stage.
     pub stages: Vec<usize>,
-    pub rules: Rules,
+    pub config: RolloutConfig,
 }
 
 /// A problem and where it stands.
@@ -144,7 +144,7 @@
         numbers
     }
 
-    fn members(&mut self, plan: &DeTable<'_>) -> Vec<(Place, SocketAddr)> {
+    fn members(&mut self, plan: &DeTable<'_>) -> Vec<(FleetMember, SocketAddr)> {
         let Some(value) = plan.get("members") else {
             self.says(0, "no [[members]]");
             return Vec::new();
@@ -183,7 +183,10 @@
                 self.says(line, format!("two members at {addr}"));
             }
             // One without a known address is told of above, and counts for the stages.
-            members.push((Place { name, zone }, addr.parse().unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0)))));
+            members.push((
+                FleetMember { name, zone },
+                addr.parse().unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0))),
+            ));
         }
         members
     }
@@ -247,7 +250,7 @@
 
 impl Plan {
     /// Or all that is wrong with it, each as `FILE:LINE: what`.
-    pub fn read(file: &str, text: &str) -> Result<Self, Vec<String>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<String>> {
         let mut reader = Reader { text, found: Vec::new() };
         let parsed = DeTable::parse(text);
         let plan = match &parsed {
@@ -274,7 +277,7 @@
             told.map(|epoch| epoch as u64)
         });
         let members = reader.members(plan);
-        let places: Vec<Place> = members.iter().map(|member| member.0.clone()).collect();
+        let places: Vec<FleetMember> = members.iter().map(|member| member.0.clone()).collect();
         let zones: BTreeSet<&str> = places.iter().map(|place| &*place.zone).collect();
         let stages = reader.stages(plan, members.len(), zones.len());
         let [observe, settle, watch, within, unheard, doubt] = reader.numbers(plan, "times", &TIMES);
@@ -290,28 +293,29 @@
             return Err(told(file, reader.found));
         }
         let ms = |seconds: f64| (seconds * 1e3).round() as u64;
-        let turns = in_turns(&places);
-        let at = |place: &Place| members.iter().find(|member| member.0 == *place).map(|member| member.1);
+        let turns = interleave_zones(&places);
+        let at =
+            |place: &FleetMember| members.iter().find(|member| member.0 == *place).map(|member| member.1);
         Ok(Plan {
             fleet,
-            programs: what.unwrap_or(false),
+            is_program_update: what.unwrap_or(false),
             epoch,
-            settings,
+            settings_file: settings,
             members: turns.into_iter().filter_map(|place| Some((place.clone(), at(&place)?))).collect(),
             stages,
-            rules: Rules {
-                observe: ms(observe),
-                settle: ms(settle),
-                watch: ms(watch),
-                requests: requests as u64,
-                within: ms(within),
-                unheard: ms(unheard),
-                doubt: ms(doubt),
-                loss,
-                chance,
-                both,
-                memory,
-                controls: what == Some(true),
+            config: RolloutConfig {
+                observe_ms: ms(observe),
+                settle_ms: ms(settle),
+                watch_ms: ms(watch),
+                min_requests: requests as u64,
+                confirm_timeout_ms: ms(within),
+                unreachable_after_ms: ms(unheard),
+                trial_revert_after_ms: ms(doubt),
+                min_detectable_loss: loss,
+                max_false_stop_probability: chance,
+                max_common_loss_increase: both,
+                max_memory_ratio: memory,
+                restart_controls: what == Some(true),
             },
         })
     }
--- a/crates/flintwell-rollout/src/plan/tests.rs
+++ b/crates/flintwell-rollout/src/plan/tests.rs
@@ -28,11 +28,14 @@
 
 #[test]
 fn one_of_each_zone_comes_first_and_what_is_not_told_has_a_stated_value() {
-    let plan = Plan::read("p", WELL).expect("a plan");
+    let plan = Plan::parse("p", WELL).expect("a plan");
     let names: Vec<&str> = plan.members.iter().map(|member| &*member.0.name).collect();
     assert_eq!((names, &*plan.stages), (vec!["n0", "n2", "n1", "n3"], &[2, 4][..]));
-    assert_eq!((plan.rules.watch, plan.rules.loss, plan.rules.settle), (2_000, 0.05, 1_000));
-    let usual = Plan::read("p", &WELL.replace("stages = [\"canary\", \"50%\", \"100%\"]\n", ""));
+    assert_eq!(
+        (plan.config.watch_ms, plan.config.min_detectable_loss, plan.config.settle_ms),
+        (2_000, 0.05, 1_000)
+    );
+    let usual = Plan::parse("p", &WELL.replace("stages = [\"canary\", \"50%\", \"100%\"]\n", ""));
     assert_eq!(usual.expect("a plan").stages, vec![2, 3, 4]);
 }
 
@@ -44,7 +47,7 @@
         .replace("watch_s = 2", "watch_s = -2\nunheard_s = 60")
         .replace("name = \"n2\"\nzone", "name = \"n1\"\nzona")
         .replace("127.0.0.1:4", "nowhere");
-    let told = Plan::read("p.toml", &wrong).expect_err("wrong");
+    let told = Plan::parse("p.toml", &wrong).expect_err("wrong");
     for (line, what) in [
         (1, "fleet is missing"),
         (2, r#"unknown key "fleat"; the nearest is "fleet""#),
@@ -63,5 +66,5 @@
             "{line} {what}: {told:#?}"
         );
     }
-    assert_eq!(Plan::read("p", "fleet = ").expect_err("no TOML").len(), 1);
+    assert_eq!(Plan::parse("p", "fleet = ").expect_err("no TOML").len(), 1);
 }
--- a/crates/flintwell-rollout/src/wire/tests.rs
+++ b/crates/flintwell-rollout/src/wire/tests.rs
@@ -2,17 +2,17 @@
 
 #[test]
 fn times_come_back_as_they_were_and_what_is_none_is_refused() {
-    let mut times = new_times();
+    let mut times = new_latency_histogram();
     (1..1_000u64).for_each(|n| times.saturating_record(n * 1_000));
     times.saturating_record(u64::MAX);
-    let text = encode_times(&times);
-    assert_eq!(decode_times(&text), Some(times));
+    let text = encode_histogram(&times);
+    assert_eq!(decode_histogram(&text), Some(times));
     assert!(text.len() < 8_192, "{}", text.len());
     for wrong in ["", "AAAA", "no base", &text[..40]] {
-        assert_eq!(decode_times(wrong), None);
+        assert_eq!(decode_histogram(wrong), None);
     }
     let other = Histogram::new_with_bounds(1, 1_000, 1).expect("bounds");
-    assert_eq!(decode_times(&encode_times(&other)), None, "it would not merge");
+    assert_eq!(decode_histogram(&encode_histogram(&other)), None, "it would not merge");
 }
 
 #[test]
--- a/crates/flintwell-rollout/tests/fleet.rs
+++ b/crates/flintwell-rollout/tests/fleet.rs
@@ -1,9 +1,13 @@
 //! Whole fleets in virtual time: the real members and the real conductor, words lost, doubled and late, whoever rolls
 //! out killed between any two of its steps, members killed and cut off, troubles that meet old and new alike.
 
-use flintwell_rollout::conductor::{Conductor, Evidence, Journal, Phase, Place, Rules, Word, in_turns};
+use flintwell_rollout::controller::{
+    Command, Controller, Evidence, FleetMember, Journal, Phase, RolloutConfig, interleave_zones,
+};
 use flintwell_rollout::member::{Member, Record};
-use flintwell_rollout::wire::{Ends, Figures, Named, PROTOCOL, Stage, hash};
+use flintwell_rollout::wire::{
+    EpochRequest, MemberCounters, PROTOCOL_VERSION, RequestCounts, StageRequest, hash,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Binomial, Distribution};
@@ -22,7 +26,7 @@
     harm: f64,
     /// Lost by all, old and new, once so many members have it.
     together: Option<usize>,
-    /// Ends so long after it got the change, ms.
+    /// RequestCounts so long after it got the change, ms.
     crash: Option<u64>,
     /// Fetches a request more.
     fetches: f64,
@@ -55,13 +59,13 @@
     again: Option<(u64, usize)>,
     started: u64,
     carried_since: Option<u64>,
-    figures: Figures,
+    figures: MemberCounters,
 }
 
 impl One {
     fn fresh(&mut self, now: u64) {
         self.started = now + 1;
-        self.figures = Figures { started_ms: self.started, ..Figures::default() };
+        self.figures = MemberCounters { started_ms: self.started, ..MemberCounters::default() };
     }
 }
 
@@ -77,20 +81,20 @@
     ended_at: u64,
 }
 
-fn rules() -> Rules {
-    Rules {
-        observe: 3_000,
-        settle: 500,
-        watch: 8_000,
-        requests: 5_000,
-        within: 6_000,
-        unheard: 2_000,
-        doubt: 5_000,
-        loss: 0.02,
-        chance: 0.01,
-        both: 0.05,
-        memory: 1.5,
-        controls: false,
+fn rules() -> RolloutConfig {
+    RolloutConfig {
+        observe_ms: 3_000,
+        settle_ms: 500,
+        watch_ms: 8_000,
+        min_requests: 5_000,
+        confirm_timeout_ms: 6_000,
+        unreachable_after_ms: 2_000,
+        trial_revert_after_ms: 5_000,
+        min_detectable_loss: 0.02,
+        max_false_stop_probability: 0.01,
+        max_common_loss_increase: 0.05,
+        max_memory_ratio: 1.5,
+        restart_controls: false,
     }
 }
 
@@ -100,27 +104,31 @@
 
 fn play(seed: u64, day: Day) -> Play {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let places: Vec<Place> =
-        (0..24).map(|n| Place { name: format!("n{n}"), zone: ["a", "b", "c"][n % 3].into() }).collect();
-    let places = in_turns(&places);
+    let places: Vec<FleetMember> =
+        (0..24).map(|n| FleetMember { name: format!("n{n}"), zone: ["a", "b", "c"][n % 3].into() }).collect();
+    let places = interleave_zones(&places);
     let stages = vec![3, 8, 24];
     let mut fleet: Vec<One> = places
         .iter()
         .map(|_| One {
-            member: Member::start("f", None, &configured()),
+            member: Member::new("f", None, &configured()),
             disk: None,
             again: None,
             started: 1,
             carried_since: None,
-            figures: Figures::default(),
+            figures: MemberCounters::default(),
         })
         .collect();
     let begin = |now, journal: &Journal| {
         let hash = hash(&json!({"v": 1}));
         let members = places.iter().map(|place| (place.clone(), hash.clone())).collect();
-        Conductor::new(
+        Controller::new(
             now,
-            Rules { controls: day.controls, settle: if day.moves > 0.0 { 6_000 } else { 500 }, ..rules() },
+            RolloutConfig {
+                restart_controls: day.controls,
+                settle_ms: if day.moves > 0.0 { 6_000 } else { 500 },
+                ..rules()
+            },
             members,
             stages.clone(),
             journal.clone(),
@@ -129,13 +137,13 @@
     let mut disk = Journal::new(EPOCH);
     let mut conductor = Some(begin(0, &disk));
     let (mut kept, mut worst) = (None, 0);
-    let (mut away, mut late): (u64, Vec<(usize, Word)>) = (0, Vec::new());
+    let (mut away, mut late): (u64, Vec<(usize, Command)>) = (0, Vec::new());
     let (mut most, mut lost_past_time, mut ended_at) = (0, 0, 0);
     // Long enough for every time to run out once it is over.
     for round in 0..2_400u64 {
         let now = round * TURN;
         // Members: time, crashes, traffic.
-        let having = fleet.iter().filter(|one| one.member.in_force().epoch == EPOCH).count();
+        let having = fleet.iter().filter(|one| one.member.active().epoch == EPOCH).count();
         most = most.max(having);
         let fault = day.fault.is_some_and(|(from, to)| (from..to).contains(&now));
         let (mut asked, mut fetched) = (0, Vec::new());
@@ -143,15 +151,15 @@
             if let Some(record) = one.member.tick(now) {
                 one.disk = Some(record);
             }
-            let new = one.member.in_force().epoch == EPOCH;
+            let new = one.member.active().epoch == EPOCH;
             one.carried_since = new.then(|| one.carried_since.unwrap_or(now));
             let due = day.crash.zip(one.carried_since).is_some_and(|(after, since)| now >= since + after);
             if due || rng.random::<f64>() < day.member_kills / 24.0 {
-                one.member = Member::start("f", one.disk.clone(), &configured());
+                one.member = Member::new("f", one.disk.clone(), &configured());
                 one.carried_since = None;
                 one.fresh(now);
             }
-            let new = one.member.in_force().epoch == EPOCH;
+            let new = one.member.active().epoch == EPOCH;
             let together = day.together.is_some_and(|most| having >= most);
             let rate = 0.01 + if new { day.harm } else { 0.0 } + if fault || together { 0.3 } else { 0.0 };
             let lost = Binomial::new(RATE, rate).expect("a rate").sample(&mut rng);
@@ -161,29 +169,30 @@
             let fetches =
                 0.1 + if new { day.fetches } else { 0.0 } + if fresh { day.learns } else { 0.0 } + moved;
             let figures = &mut one.figures;
-            let ends = figures.cases.entry("read".into()).or_default();
-            *ends = Ends { served: ends.served + RATE - lost, refused: ends.refused + lost, failed: 0 };
+            let ends = figures.classes.entry("read".into()).or_default();
+            *ends =
+                RequestCounts { served: ends.served + RATE - lost, refused: ends.refused + lost, failed: 0 };
             figures.attempts += RATE;
             let fetches = Binomial::new(RATE, fetches).expect("a rate").sample(&mut rng);
-            figures.fetches += fetches;
+            figures.origin_attempts += fetches;
             asked += fetches;
             fetched.push(fetches);
             figures.memory_kb = 5_000 + if new { day.leaks * since / 1_000 } else { 0 };
             let status = one.member.status(now, "", "", one.started);
-            lost_past_time += usize::from(status.unconfirmed && status.left_ms == 0);
+            lost_past_time += usize::from(status.unconfirmed && status.remaining_ms == 0);
         }
         // The origin refuses what is over its room, of each member its part.
         let refused = day.room.map_or(0, |room| asked.saturating_sub(room));
         worst = worst.max(refused);
         for (one, fetches) in fleet.iter_mut().zip(fetched) {
-            one.figures.refused += refused * fetches / asked.max(1);
+            one.figures.origin_refusals += refused * fetches / asked.max(1);
         }
         // Whoever rolls out.
-        if conductor.is_none() && away == 0 && !disk.over() {
+        if conductor.is_none() && away == 0 && !disk.is_finished() {
             conductor = Some(begin(now, &disk));
             let recalled = kept.clone().filter(|_| day.recalls);
             recalled.into_iter().for_each(|kept| {
-                conductor.iter_mut().for_each(|running| running.recalls(Evidence::clone(&kept)))
+                conductor.iter_mut().for_each(|running| running.restore_evidence(Evidence::clone(&kept)))
             });
         }
         away = away.saturating_sub(1);
@@ -195,12 +204,13 @@
             }
             let mut status = one.member.status(now, &places[n].name, "1", one.started);
             status.fleet = "f".into();
-            status.again = one.again;
-            let figures = Figures { epoch: status.epoch, started_ms: one.started, ..one.figures.clone() };
-            running.hears(now, n, status, Some(figures));
+            status.restarted_for = one.again;
+            let figures =
+                MemberCounters { epoch: status.epoch, started_ms: one.started, ..one.figures.clone() };
+            running.on_report(now, n, status, Some(figures));
         }
         let words = running.step(now);
-        let stage_now = running.journal().stages;
+        let stage_now = running.journal().stages_begun;
         // Killed before, between or after its write and its words.
         if round < KILLED && rng.random::<f64>() < day.kills {
             if rng.random::<bool>() {
@@ -211,13 +221,13 @@
         }
         disk = running.journal().clone();
         kept = Some(running.evidence());
-        if disk.over() {
+        if disk.is_finished() {
             ended_at = now;
             conductor = None;
             continue;
         }
         // What came late of the round before comes again now.
-        let doubled: Vec<(usize, Word)> =
+        let doubled: Vec<(usize, Command)> =
             words.iter().filter(|_| rng.random::<f64>() < day.loss).copied().collect();
         for (n, word) in late.drain(..).chain(words) {
             if cut(n) || rng.random::<f64>() < day.loss {
@@ -225,51 +235,52 @@
             }
             let one = &mut fleet[n];
             let settings = json!({"v": 1});
-            let named = Named {
-                protocol: PROTOCOL,
+            let named = EpochRequest {
+                protocol: PROTOCOL_VERSION,
                 fleet: "f".into(),
                 epoch: EPOCH,
                 hash: hash(&settings),
-                within_ms: rules().within,
+                confirm_timeout_ms: rules().confirm_timeout_ms,
                 stage: 0,
             };
             let step = match word {
-                Word::Stage => {
+                Command::Stage => {
                     let (fleet, hash) = ("f".into(), hash(&settings));
-                    let stage = Stage { protocol: PROTOCOL, fleet, epoch: EPOCH, hash, settings };
+                    let stage =
+                        StageRequest { protocol: PROTOCOL_VERSION, fleet, epoch: EPOCH, hash, settings };
                     one.member.stage(&stage, |_, _| Ok(())).ok()
                 }
-                Word::Apply => {
+                Command::Apply => {
                     // A version begins its process anew.
-                    if day.learns > 0.0 && one.member.in_force().epoch != EPOCH {
+                    if day.learns > 0.0 && one.member.active().epoch != EPOCH {
                         one.fresh(now);
                     }
                     one.member.apply(now, &named).ok().flatten()
                 }
-                Word::Again => {
+                Command::Restart => {
                     one.again = Some((EPOCH, stage_now));
                     one.fresh(now);
                     None
                 }
-                Word::Confirm => one.member.confirm(&named).ok().flatten(),
-                Word::Renew => {
+                Command::Confirm => one.member.confirm(&named).ok().flatten(),
+                Command::Renew => {
                     let _ = one.member.renew(now, &named);
                     None
                 }
-                Word::Revert => {
+                Command::Revert => {
                     one.disk = one.member.revert(&named).ok().or(one.disk.take());
                     None
                 }
             };
             if let Some(step) = step {
                 one.disk = Some(step.record.clone());
-                one.member.take(step);
+                one.member.commit(step);
             }
         }
         late = doubled;
     }
     let mut ends = BTreeMap::new();
-    fleet.iter().for_each(|one| *ends.entry(one.member.in_force().epoch).or_default() += 1);
+    fleet.iter().for_each(|one| *ends.entry(one.member.active().epoch).or_default() += 1);
     let unconfirmed = fleet.iter().filter(|one| one.member.record().unconfirmed).count();
     Play { journal: disk, most, lost_past_time, refused: worst, ends, unconfirmed, ended_at }
 }
@@ -284,7 +295,7 @@
         play.ends,
         play.journal
     );
-    assert!(play.journal.over(), "seed {seed}: {:?}", play.journal);
+    assert!(play.journal.is_finished(), "seed {seed}: {:?}", play.journal);
     let epoch = if play.journal.phase == Phase::Done { EPOCH } else { 0 };
     assert!(play.ends.contains_key(&epoch), "seed {seed}: {:?} {:?}", play.ends, play.journal);
 }
@@ -297,7 +308,7 @@
         let day = Day { loss: 0.1, kills: 0.003, fault, cut, ..Day::default() };
         let play = play(seed, day);
         whole(seed, &play);
-        assert_eq!(play.journal.phase, Phase::Done, "seed {seed}: {}", play.journal.why);
+        assert_eq!(play.journal.phase, Phase::Done, "seed {seed}: {}", play.journal.reason);
     }
 }
 
@@ -324,12 +335,12 @@
         let play = play(seed, Day { together: Some(8), loss: 0.05, ..Day::default() });
         whole(seed, &play);
         assert_eq!((play.journal.phase, play.most), (Phase::Undone, 8), "seed {seed}: {:?}", play.journal);
-        assert!(play.journal.why.contains("worse together"), "{}", play.journal.why);
+        assert!(play.journal.reason.contains("worse together"), "{}", play.journal.reason);
     }
 }
 
 #[test]
-fn a_hundred_kills_of_one_who_rolls_out_and_fifty_of_members_leave_one_epoch_in_force() {
+fn a_hundred_kills_of_one_who_rolls_out_and_fifty_of_members_leave_one_epoch_active() {
     let mut ended = 0;
     for seed in 0..30 {
         let play = play(seed, Day { loss: 0.1, kills: 0.02, member_kills: 0.004, ..Day::default() });
@@ -362,7 +373,7 @@
         let play = play(seed, Day { leaks: 4_000, loss: 0.05, ..Day::default() });
         whole(seed, &play);
         assert_eq!((play.journal.phase, play.most), (Phase::Undone, 3), "seed {seed}: {:?}", play.journal);
-        assert!(play.journal.why.contains("memory"), "{}", play.journal.why);
+        assert!(play.journal.reason.contains("memory"), "{}", play.journal.reason);
     }
 }
 
@@ -378,9 +389,9 @@
             (free.journal.phase, tight.journal.phase),
             (Phase::Done, Phase::Done),
             "seed {seed}: {} {}; {}",
-            free.journal.why,
+            free.journal.reason,
             free.most,
-            tight.journal.why
+            tight.journal.reason
         );
         // All sixteen of the last stage at once would ask for 36 + 16 * 7.5, and 86 of those would be refused.
         assert!(tight.refused <= 60 && tight.ended_at > free.ended_at, "{} refused", tight.refused);
--- a/crates/flintwell-rollout/tests/words.rs
+++ b/crates/flintwell-rollout/tests/words.rs
@@ -3,7 +3,7 @@
 //! doubling or delay between them and those who roll out can bring about.
 
 use flintwell_rollout::member::{Member, Record};
-use flintwell_rollout::wire::{Named, PROTOCOL, Stage, hash};
+use flintwell_rollout::wire::{EpochRequest, PROTOCOL_VERSION, StageRequest, hash};
 use serde_json::json;
 use stateright::{Checker, Model, Property};
 
@@ -38,13 +38,13 @@
 
 struct OneMember;
 
-fn named(epoch: u64) -> Named {
-    Named {
-        protocol: PROTOCOL,
+fn named(epoch: u64) -> EpochRequest {
+    EpochRequest {
+        protocol: PROTOCOL_VERSION,
         fleet: "f".into(),
         epoch,
         hash: hash(&json!({ "v": epoch })),
-        within_ms: WITHIN,
+        confirm_timeout_ms: WITHIN,
         stage: 0,
     }
 }
@@ -54,7 +54,7 @@
     type Action = Happens;
 
     fn init_states(&self) -> Vec<State> {
-        let member = Member::start("f", None, &json!({}));
+        let member = Member::new("f", None, &json!({}));
         let (disk, spoken, confirmed) = (None, None, Vec::new());
         vec![State { now: 0, member, disk, spoken, confirmed, taken_under_fence: false }]
     }
@@ -74,13 +74,13 @@
     fn next_state(&self, last: &State, action: Happens) -> Option<State> {
         let mut state = last.clone();
         let (now, fence) = (state.now, state.member.record().fence);
-        let before = state.member.in_force().epoch;
+        let before = state.member.active().epoch;
         let word;
         let step = match action {
             Happens::Stage(epoch) => {
                 let settings = json!({ "v": epoch });
                 let (fleet, hash) = ("f".into(), hash(&settings));
-                let stage = Stage { protocol: PROTOCOL, fleet, epoch, hash, settings };
+                let stage = StageRequest { protocol: PROTOCOL_VERSION, fleet, epoch, hash, settings };
                 word = epoch;
                 state.member.stage(&stage, |_, _| Ok(())).ok()?
             }
@@ -111,13 +111,13 @@
                 state.disk = Some(state.member.revert(&named(epoch)).ok()?);
                 state.taken_under_fence |= epoch < fence;
                 state.confirmed.retain(|&one| one != epoch);
-                if state.member.in_force().epoch != before {
+                if state.member.active().epoch != before {
                     state.spoken = None;
                 }
                 return Some(state);
             }
             Happens::Restart => {
-                state.member = Member::start("f", state.disk.clone(), &json!({}));
+                state.member = Member::new("f", state.disk.clone(), &json!({}));
                 state.spoken = None;
                 return Some(state);
             }
@@ -130,9 +130,9 @@
             }
         };
         state.disk = Some(step.record.clone());
-        state.member.take(step);
+        state.member.commit(step);
         state.taken_under_fence |= word < fence;
-        let (record, epoch) = (state.member.record(), state.member.in_force().epoch);
+        let (record, epoch) = (state.member.record(), state.member.active().epoch);
         state.spoken = match state.spoken {
             _ if !record.unconfirmed => None,
             Some(spoken) if spoken.0 == epoch => Some(spoken),
@@ -151,18 +151,18 @@
                 !state.taken_under_fence
             }),
             Property::always("a start brings back nothing that is not confirmed", |_, state: &State| {
-                let started = Member::start("f", state.disk.clone(), &json!({}));
-                let epoch = started.in_force().epoch;
-                epoch == 0 || state.confirmed.contains(&epoch) || state.member.in_force().epoch == epoch
+                let started = Member::new("f", state.disk.clone(), &json!({}));
+                let epoch = started.active().epoch;
+                epoch == 0 || state.confirmed.contains(&epoch) || state.member.active().epoch == epoch
             }),
             Property::always("what is confirmed goes only by a word", |_, state: &State| {
                 let last = state.confirmed.last();
                 last.is_none_or(|&last| {
-                    state.member.in_force().epoch >= last || state.member.record().fence > last
+                    state.member.active().epoch >= last || state.member.record().fence > last
                 })
             }),
             Property::sometimes("two changes one after the other", |_, state: &State| {
-                state.confirmed.len() > 1 && state.member.in_force().epoch == 3
+                state.confirmed.len() > 1 && state.member.active().epoch == 3
             }),
         ]
     }
--- a/crates/flintwell-state/src/tests.rs
+++ b/crates/flintwell-state/src/tests.rs
@@ -8,7 +8,7 @@
     let state = folder.path().join("state");
     let disk = Disk::open(&state).expect("a folder");
     assert_eq!(disk.read(), Ok(None));
-    let record = Member::start("f", None, &json!({"a": 1.5})).record().clone();
+    let record = Member::new("f", None, &json!({"a": 1.5})).record().clone();
     disk.write(&record).expect("written");
     assert_eq!(disk.read(), Ok(Some(record.clone())));
     let (file, text) = (state.join(RECORD), fs::read(state.join(RECORD)).expect("it"));
--- a/crates/flintwell-supervise/src/keeper.rs
+++ b/crates/flintwell-supervise/src/keeper.rs
@@ -2,8 +2,8 @@
 
 use crate::Settings;
 use crate::speech::{Call, ask, hear};
-use flintwell_rollout::member::{Member, Refusal, Step, Version};
-use flintwell_rollout::wire::{Figures, Named, Stage, Status};
+use flintwell_rollout::member::{Member, Refusal, Transition, Version};
+use flintwell_rollout::wire::{EpochRequest, MemberCounters, StageRequest, Status};
 use flintwell_state::Disk;
 use hyper::{Method, StatusCode};
 use rustix::process::{Pid, Signal, kill_process};
@@ -39,7 +39,7 @@
 /// Why one is being started.
 enum For {
     /// To take over with a change, which is in force from then on.
-    Change(Box<Step>),
+    Change(Box<Transition>),
     /// What should run does not.
     Service,
     /// The same beside itself, to be as fresh as those that have a change of this stage.
@@ -152,9 +152,9 @@
             let (epoch, hash) = (run.version.epoch, run.version.hash.clone());
             self.runs = None;
             if self.member.record().unconfirmed {
-                let protocol = flintwell_rollout::wire::PROTOCOL;
+                let protocol = flintwell_rollout::wire::PROTOCOL_VERSION;
                 let fleet = self.settings.fleet.clone();
-                let word = Named { protocol, fleet, epoch, hash, within_ms: 0, stage: 0 };
+                let word = EpochRequest { protocol, fleet, epoch, hash, confirm_timeout_ms: 0, stage: 0 };
                 if self.member.revert(&word).is_ok() {
                     self.record();
                 }
@@ -163,11 +163,11 @@
             }
         }
         if let Some(record) = self.member.tick(now) {
-            say(&format!("not confirmed in time, back to epoch {}", record.in_force.epoch));
+            say(&format!("not confirmed in time, back to epoch {}", record.active.epoch));
             self.record();
         }
         self.follows_start(ready);
-        let wanted = self.member.in_force().clone();
+        let wanted = self.member.active().clone();
         let other = self.runs.as_ref().is_none_or(|run| run.version != wanted);
         if self.starts.is_none() && other && Instant::now() >= self.not_before {
             self.begin(&wanted, For::Service);
@@ -195,7 +195,7 @@
                     return self
                         .fails(format!("not recorded, nothing has changed: {error}"), For::Change(step));
                 }
-                self.member.take(step.from(self.now()));
+                self.member.commit(step.with_timer_from(self.now()));
             } else if let For::Again(stage) = purpose {
                 self.again = Some(stage);
             }
@@ -220,8 +220,8 @@
         if let Some(run) = &self.runs {
             (status.epoch, status.hash) = (run.version.epoch, run.version.hash.clone());
         }
-        status.failed.clone_from(&self.failed);
-        status.again = self.again;
+        status.apply_error.clone_from(&self.failed);
+        status.restarted_for = self.again;
         status
     }
 
@@ -229,14 +229,14 @@
         let refused = |refusal: Refusal| (StatusCode::CONFLICT, refusal.to_string());
         let wrong = |error: serde_json::Error| (StatusCode::BAD_REQUEST, error.to_string());
         let now = self.now();
-        let named = || serde_json::from_slice::<Named>(&call.body).map_err(wrong);
+        let named = || serde_json::from_slice::<EpochRequest>(&call.body).map_err(wrong);
         match &*call.path {
             "stage" => {
-                let stage: Stage = serde_json::from_slice(&call.body).map_err(wrong)?;
+                let stage: StageRequest = serde_json::from_slice(&call.body).map_err(wrong)?;
                 let step = self.member.stage(&stage, check).map_err(refused)?;
                 self.write(&step)?;
                 self.failed = None;
-                self.member.take(step);
+                self.member.commit(step);
             }
             "apply" => {
                 let step = self.member.apply(now, &named()?).map_err(refused)?;
@@ -246,7 +246,7 @@
                 }
                 // Said twice, or while it starts, it is as said once.
                 if let Some(step) = step.filter(|_| self.starts.is_none() && self.failed.is_none()) {
-                    let version = step.record.in_force.clone();
+                    let version = step.record.active.clone();
                     self.begin(&version, For::Change(Box::new(step)));
                 }
             }
@@ -264,14 +264,14 @@
                 let idle = self.starts.is_none() && self.leaving.is_empty();
                 let stage = (named.epoch, named.stage);
                 if idle && self.again != Some(stage) && self.runs.is_some() {
-                    let version = self.member.in_force().clone();
+                    let version = self.member.active().clone();
                     self.begin(&version, For::Again(stage));
                 }
             }
             "confirm" => {
                 if let Some(step) = self.member.confirm(&named()?).map_err(refused)? {
                     self.write(&step)?;
-                    self.member.take(step);
+                    self.member.commit(step);
                 }
             }
             "revert" => {
@@ -288,7 +288,7 @@
         Ok(())
     }
 
-    fn write(&self, step: &Step) -> Result<(), (StatusCode, String)> {
+    fn write(&self, step: &Transition) -> Result<(), (StatusCode, String)> {
         self.disk.write(&step.record).map_err(|error| {
             (StatusCode::INSUFFICIENT_STORAGE, format!("not recorded, nothing has changed: {error}"))
         })
@@ -328,12 +328,12 @@
     };
     match (&*call.path, running) {
         ("status", _) => json(serde_json::to_string(&keeper.borrow().status())),
-        ("settings", _) => json(serde_json::to_string(&keeper.borrow().member.in_force().settings)),
+        ("settings", _) => json(serde_json::to_string(&keeper.borrow().member.active().settings)),
         ("figures", Some((at, epoch, started_ms))) => {
             let told = ask(at, "/api/rollout/figures").await;
-            let figures = told.and_then(|text| serde_json::from_slice::<Figures>(&text).ok());
+            let figures = told.and_then(|text| serde_json::from_slice::<MemberCounters>(&text).ok());
             // Its settings may have epochs of their own; here the version counts.
-            let figures = Figures { epoch, started_ms, ..figures.unwrap_or_default() };
+            let figures = MemberCounters { epoch, started_ms, ..figures.unwrap_or_default() };
             json(serde_json::to_string(&figures))
         }
         ("nodes", Some((at, ..))) => match ask(at, "/api/rollout/nodes").await {
@@ -362,7 +362,7 @@
     let disk = Disk::open(&settings.state)?;
     let first = json!({"program": settings.program});
     check(&first, &first)?;
-    let member = Member::start(&settings.fleet, disk.read().map_err(|why| say(&why)).ok().flatten(), &first);
+    let member = Member::new(&settings.fleet, disk.read().map_err(|why| say(&why)).ok().flatten(), &first);
     disk.write(member.record()).map_err(|error| format!("state {}: {error}", settings.state.display()))?;
     let began = Instant::now();
     let keeper = Rc::new(RefCell::new(Keeper {
--- a/crates/flintwell-supervise/src/speech.rs
+++ b/crates/flintwell-supervise/src/speech.rs
@@ -38,7 +38,7 @@
                 let answer = answer.clone();
                 async move {
                     let (head, body) = request.into_parts();
-                    let most = flintwell_rollout::wire::MESSAGE_MOST;
+                    let most = flintwell_rollout::wire::MAX_MESSAGE_BYTES;
                     let (status, text) = match Limited::new(body, most).collect().await {
                         Ok(body) => {
                             let path = head.uri.path().strip_prefix("/api/rollout/").unwrap_or("").to_owned();
@@ -66,6 +66,7 @@
 
 /// What the process says to a GET, if it says yes.
 pub async fn ask(at: SocketAddr, path: &str) -> Option<Bytes> {
-    let (status, text) = flintwell_call::send_request(at, Method::GET, path, Bytes::new(), ASKED).await.ok()?;
+    let (status, text) =
+        flintwell_call::send_request(at, Method::GET, path, Bytes::new(), ASKED).await.ok()?;
     status.is_success().then_some(text)
 }
--- a/crates/flintwell/src/management/api.rs
+++ b/crates/flintwell/src/management/api.rs
@@ -11,7 +11,7 @@
 use crate::process::shutdown::Shutdown;
 use crate::requests::dispatcher::Dispatcher;
 use bytes::Bytes;
-use flintwell_rollout::wire::MESSAGE_MOST;
+use flintwell_rollout::wire::MAX_MESSAGE_BYTES;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue};
@@ -103,7 +103,7 @@
     let reply = match head.method {
         Method::GET => rollout.get(endpoint),
         Method::POST => {
-            let text = Limited::new(body, MESSAGE_MOST).collect().await;
+            let text = Limited::new(body, MAX_MESSAGE_BYTES).collect().await;
             rollout.post(endpoint, &text.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes())
         }
         _ => return Err(StatusCode::METHOD_NOT_ALLOWED),
--- a/crates/flintwell/src/management/metrics.rs
+++ b/crates/flintwell/src/management/metrics.rs
@@ -3,7 +3,7 @@
 use crate::nodes::send_guard::Violations;
 use crate::process::counter::{Counter, increment};
 use flintwell_core::interface::Micros;
-use flintwell_rollout::wire::{self, encode_times, new_times};
+use flintwell_rollout::wire::{self, encode_histogram, new_latency_histogram};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -86,7 +86,7 @@
     pub fn new(classes: &[String], records_latency: bool) -> Rc<Self> {
         let metrics = Metrics {
             classes: RefCell::default(),
-            latencies: records_latency.then(|| RefCell::new(new_times())),
+            latencies: records_latency.then(|| RefCell::new(new_latency_histogram())),
             in_flight: Counter::default(),
             cache_attempts: Counter::default(),
             origin_attempts: Counter::default(),
@@ -153,25 +153,25 @@
     }
 
     /// Metrics that a rollout compares between proxies.
-    pub fn rollout_figures(&self, epoch: u64, started_ms: u64) -> wire::Figures {
-        let ends = |outcomes: &OutcomeCounts| wire::Ends {
+    pub fn rollout_figures(&self, epoch: u64, started_ms: u64) -> wire::MemberCounters {
+        let ends = |outcomes: &OutcomeCounts| wire::RequestCounts {
             served: outcomes.served.get(),
             refused: outcomes.refused.get(),
             failed: outcomes.failed.get(),
         };
         let classes = self.classes.borrow();
-        wire::Figures {
+        wire::MemberCounters {
             epoch,
             started_ms,
-            cases: classes.iter().map(|(class, outcomes)| (class.clone(), ends(outcomes))).collect(),
+            classes: classes.iter().map(|(class, outcomes)| (class.clone(), ends(outcomes))).collect(),
             attempts: self.cache_attempts.get(),
-            fetches: self.origin_attempts.get(),
-            refused: self.origin_refusals.get(),
+            origin_attempts: self.origin_attempts.get(),
+            origin_refusals: self.origin_refusals.get(),
             memory_kb: memory_kb().unwrap_or(0),
-            times: self
+            latencies: self
                 .latencies
                 .as_ref()
-                .map_or_else(String::new, |latencies| encode_times(&latencies.borrow())),
+                .map_or_else(String::new, |latencies| encode_histogram(&latencies.borrow())),
         }
     }
 }
--- a/crates/flintwell/src/management/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -6,7 +6,7 @@
 use crate::management::metrics::Metrics;
 use crate::process::clock::Clock;
 use flintwell_rollout::member::{Member, Refusal};
-use flintwell_rollout::wire::{Named, Stage, Status};
+use flintwell_rollout::wire::{EpochRequest, StageRequest, Status};
 use flintwell_settings::check_change;
 use flintwell_state::Disk;
 use hyper::StatusCode;
@@ -69,11 +69,11 @@
         match endpoint {
             "status" => self.status_reply(),
             "settings" => {
-                serde_json::to_string(&self.member.borrow().in_force().settings).map_err(internal_error)
+                serde_json::to_string(&self.member.borrow().active().settings).map_err(internal_error)
             }
             "nodes" => serde_json::to_string(&self.registry.effective_list()).map_err(internal_error),
             "figures" => {
-                let epoch = self.member.borrow().in_force().epoch;
+                let epoch = self.member.borrow().active().epoch;
                 serde_json::to_string(&self.metrics.rollout_figures(epoch, self.started_ms))
                     .map_err(internal_error)
             }
@@ -86,21 +86,25 @@
         let now = self.now();
         let (step, applies) = match endpoint {
             "stage" => {
-                let stage: Stage = decode(body)?;
+                let stage: StageRequest = decode(body)?;
                 (Some(self.member.borrow().stage(&stage, check_change).map_err(conflict)?), false)
             }
-            "apply" => (self.member.borrow().apply(now, &decode::<Named>(body)?).map_err(conflict)?, true),
-            "confirm" => (self.member.borrow().confirm(&decode::<Named>(body)?).map_err(conflict)?, false),
+            "apply" => {
+                (self.member.borrow().apply(now, &decode::<EpochRequest>(body)?).map_err(conflict)?, true)
+            }
+            "confirm" => {
+                (self.member.borrow().confirm(&decode::<EpochRequest>(body)?).map_err(conflict)?, false)
+            }
             "renew" => {
-                self.member.borrow_mut().renew(now, &decode::<Named>(body)?).map_err(conflict)?;
+                self.member.borrow_mut().renew(now, &decode::<EpochRequest>(body)?).map_err(conflict)?;
                 self.changed.notify_one();
                 (None, false)
             }
             "revert" => {
-                let before = self.member.borrow().in_force().epoch;
-                let reverted = self.member.borrow_mut().revert(&decode::<Named>(body)?);
+                let before = self.member.borrow().active().epoch;
+                let reverted = self.member.borrow_mut().revert(&decode::<EpochRequest>(body)?);
                 reverted.map_err(conflict)?;
-                if self.member.borrow().in_force().epoch != before {
+                if self.member.borrow().active().epoch != before {
                     self.apply_reverted(before);
                 }
                 (None, false)
@@ -115,11 +119,11 @@
                 let why = format!("change could not be recorded; nothing has changed: {error}");
                 return Err((StatusCode::INSUFFICIENT_STORAGE, why));
             }
-            self.member.borrow_mut().take(step);
+            self.member.borrow_mut().commit(step);
             if applies {
                 let member = self.member.borrow();
-                (self.apply)(&member.in_force().settings);
-                log_line!("settings of epoch {} in force, not yet confirmed", member.in_force().epoch);
+                (self.apply)(&member.active().settings);
+                log_line!("settings of epoch {} in force, not yet confirmed", member.active().epoch);
             }
             self.changed.notify_one();
         }
@@ -130,8 +134,8 @@
     /// at the next start anyway.
     fn apply_reverted(&self, from: u64) {
         let member = self.member.borrow();
-        (self.apply)(&member.in_force().settings);
-        log_line!("settings of epoch {from} reverted to epoch {}", member.in_force().epoch);
+        (self.apply)(&member.active().settings);
+        log_line!("settings of epoch {from} reverted to epoch {}", member.active().epoch);
         if let Err(error) = self.disk.write(member.record()) {
             log_line!("rollout state not written to disk: {error}");
         }
@@ -140,11 +144,11 @@
     /// Reverts settings whose confirmation does not arrive in time.
     pub async fn run(&self) {
         loop {
-            let due = self.member.borrow().due();
+            let due = self.member.borrow().expires_at();
             let wait = due.map_or(IDLE_SLEEP, |due| Duration::from_millis(due.saturating_sub(self.now())));
             tokio::select! {
                 () = sleep(wait) => {
-                    let before = self.member.borrow().in_force().epoch;
+                    let before = self.member.borrow().active().epoch;
                     let reverted = self.member.borrow_mut().tick(self.now());
                     if reverted.is_some() {
                         self.apply_reverted(before);
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -125,9 +125,9 @@
                 log_line!("{why}");
                 None
             });
-            let member = Member::start(&rollout.fleet, record, &config.settings_json);
+            let member = Member::new(&rollout.fleet, record, &config.settings_json);
             // The settings confirmed last take precedence over the file.
-            let in_force = &member.in_force().settings;
+            let in_force = &member.active().settings;
             (config.settings, config.network) = (decode(in_force)?, decode_network(in_force)?);
             disk.write(member.record()).map_err(|e| format!("rollout.state: {e}"))?;
             Some((disk, member))
