--- a/crates/flintwell-rollout/src/lib.rs
+++ b/crates/flintwell-rollout/src/lib.rs
@@ -1,4 +1,5 @@
-//! A change of settings that goes through the fleet in stages. Decisions only: no I/O, no clock; times are told.
+//! Staged rollout of settings or program versions over a fleet. Decisions only, without I/O or clock: the caller passes
+//! the time.
 
 pub mod controller;
 pub mod judge;
--- a/crates/flintwell-rollout/src/wire.rs
+++ b/crates/flintwell-rollout/src/wire.rs
@@ -1,4 +1,4 @@
-//! What a member and the one who rolls out say to each other, as JSON at the second address.
+//! Messages between the rollout controller and the members: JSON bodies of the management API.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,17 +9,19 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-pub const PROTOCOL_VERSION: u32 = 1; // raised when a message changes its meaning; each version takes the one before too
-pub const MAX_MESSAGE_BYTES: usize = 262_144; // bytes; whole settings of hundreds of classes
-const LONGEST: u64 = 600_000_000; // us; past any deadline, longer times count as this
-const DIGITS: u8 = 2; // significant digits of a time; 1 % is finer than any limit of a plan
+/// Incremented when the meaning of a message changes. Each version also accepts the previous one.
+pub const PROTOCOL_VERSION: u32 = 1;
+/// Largest message accepted; the settings of hundreds of classes fit into it.
+pub const MAX_MESSAGE_BYTES: usize = 262_144;
+const MAX_LATENCY_US: u64 = 600_000_000; // beyond any deadline; longer times are recorded as this
+const SIGNIFICANT_DIGITS: u8 = 2; // a resolution of 1 % is finer than any limit of a plan
 
-/// A name for the content of settings: the same on every machine, since keys are sorted.
+/// Identifies settings by their content: the same on every machine, since the keys are sorted.
 pub fn hash(settings: &Value) -> String {
     Sha256::digest(settings.to_string()).iter().take(16).map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Asks for settings to be held ready.
+/// Asks a member to validate and hold settings until they are applied.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, Hash)]
 pub struct StageRequest {
     pub protocol: u32,
@@ -29,55 +31,58 @@
     pub settings: Value,
 }
 
-/// Names an epoch: to apply what is staged, to renew its time, to confirm it or to go back from it.
+/// Request about an epoch: apply what is staged, renew its timeout, confirm it or revert it.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, Hash)]
 pub struct EpochRequest {
     pub protocol: u32,
     pub fleet: String,
     pub epoch: u64,
-    /// Of the settings that are meant. Danger: two who roll out may come to one number for two contents, and the
-    /// one's words would renew, confirm or take back what the other put in force.
+    /// Hash of the settings meant. Two controllers may choose the same epoch for different settings; without the hash
+    /// one of them would renew, confirm or revert what the other applied.
     pub hash: String,
-    /// How long it stays in force without another word, where it is applied or renewed.
+    /// For apply and renew: the change is reverted if no further request arrives within this time.
     #[serde(default, rename = "within_ms")]
     pub confirm_timeout_ms: u64,
-    /// The stage for which a process with the old version is to begin anew, beside those with the new one.
+    /// For restart: the stage for which a control member, which keeps its version, starts a fresh process.
     #[serde(default)]
     pub stage: usize,
 }
 
-/// What a member says of itself.
+/// A member's report on its own state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq, Hash)]
 pub struct Status {
     pub protocol: u32,
     pub fleet: String,
     pub name: String,
-    /// The version of the program.
+    /// Version of the program.
     pub program: String,
-    /// The epoch in force, and the hash of its settings.
+    /// The active epoch.
     pub epoch: u64,
+    /// Hash of the active settings.
     pub hash: String,
-    /// In force until it is confirmed or its time is up.
+    /// The active epoch is reverted unless it is confirmed in time.
     pub unconfirmed: bool,
+    /// Time until an unconfirmed epoch is reverted.
     #[serde(rename = "left_ms")]
     pub remaining_ms: u64,
+    /// The staged epoch.
     pub staged: Option<u64>,
-    /// What it would go back to.
+    /// The epoch that a revert would restore.
     #[serde(rename = "former")]
     pub previous: Option<u64>,
-    /// The highest epoch that it was ever asked to stage; no lower one is taken.
+    /// The highest epoch that was ever staged; requests with a lower one are refused.
     pub fence: u64,
-    /// When this process began, Unix time.
+    /// When this process started, Unix time.
     pub started_ms: u64,
-    /// Why what is staged could not be put in force, where that takes a while.
+    /// Why the staged version could not be applied, for members that apply asynchronously.
     #[serde(default, rename = "failed")]
     pub apply_error: Option<String>,
-    /// The change and its stage for which it began anew last, with the version it had.
+    /// Epoch and stage for which this member last started a fresh process of the version that it had.
     #[serde(default, rename = "again")]
     pub restarted_for: Option<(u64, usize)>,
 }
 
-/// RequestCounts of requests of one class since the process began.
+/// Requests of one class since the process started, by outcome.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct RequestCounts {
     #[serde(rename = "honoured")]
@@ -89,50 +94,55 @@
 }
 
 impl RequestCounts {
+    /// Requests of all outcomes.
     pub fn total(&self) -> u64 {
         self.served + self.refused + self.failed
     }
 }
 
-/// What a member counted since its process began.
+/// A member's counters since its process started.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MemberCounters {
     pub epoch: u64,
     pub started_ms: u64,
+    /// Request counts by class.
     #[serde(rename = "cases")]
     pub classes: BTreeMap<String, RequestCounts>,
     #[serde(rename = "hand_offs")]
     pub attempts: u64,
-    /// Attempts to the origin.
+    /// Attempts sent to the origin.
     #[serde(rename = "fetches")]
     pub origin_attempts: u64,
-    /// Of those, turned away by it; one before this was counted tells none.
+    /// Attempts that the origin refused; absent in reports of older versions, which did not count them.
     #[serde(default, rename = "refused")]
     pub origin_refusals: u64,
     pub memory_kb: u64,
-    /// Microseconds from a request's last byte to its answer: an HDR histogram, V2, in base 64.
+    /// Microseconds from a request's last byte to its response: an HDR histogram (V2) in base64.
     #[serde(rename = "times")]
     pub latencies: String,
 }
 
+/// An empty latency histogram with the bounds that all members use.
 pub fn new_latency_histogram() -> Histogram<u64> {
     // Cannot fail: the bounds are constants that the library allows.
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).unwrap_or_else(|_| unreachable!("constant bounds"))
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("constant bounds"))
 }
 
-pub fn encode_histogram(times: &Histogram<u64>) -> String {
+/// Encodes a histogram for `MemberCounters::latencies`.
+pub fn encode_histogram(histogram: &Histogram<u64>) -> String {
     let mut bytes = Vec::new();
-    match V2Serializer::new().serialize(times, &mut bytes) {
+    match V2Serializer::new().serialize(histogram, &mut bytes) {
         Ok(_) => STANDARD.encode(bytes),
         Err(_) => String::new(),
     }
 }
 
-/// None where the text holds no histogram, or one with other bounds.
+/// None if the text is not a histogram, or one with other bounds.
 pub fn decode_histogram(text: &str) -> Option<Histogram<u64>> {
     let bytes = STANDARD.decode(text).ok()?;
-    let times: Histogram<u64> = Deserializer::new().deserialize(&mut &bytes[..]).ok()?;
-    (times.high() == LONGEST && times.sigfig() == DIGITS).then_some(times)
+    let histogram: Histogram<u64> = Deserializer::new().deserialize(&mut &bytes[..]).ok()?;
+    (histogram.high() == MAX_LATENCY_US && histogram.sigfig() == SIGNIFICANT_DIGITS).then_some(histogram)
 }
 
 #[cfg(test)]
--- a/crates/flintwell-rollout/src/wire/tests.rs
+++ b/crates/flintwell-rollout/src/wire/tests.rs
@@ -1,23 +1,27 @@
 use super::*;
 
 #[test]
-fn times_come_back_as_they_were_and_what_is_none_is_refused() {
-    let mut times = new_latency_histogram();
-    (1..1_000u64).for_each(|n| times.saturating_record(n * 1_000));
-    times.saturating_record(u64::MAX);
-    let text = encode_histogram(&times);
-    assert_eq!(decode_histogram(&text), Some(times));
+fn histogram_round_trips_and_invalid_text_is_refused() {
+    let mut latencies = new_latency_histogram();
+    (1..1_000u64).for_each(|n| latencies.saturating_record(n * 1_000));
+    latencies.saturating_record(u64::MAX);
+    let text = encode_histogram(&latencies);
+    assert_eq!(decode_histogram(&text), Some(latencies));
     assert!(text.len() < 8_192, "{}", text.len());
-    for wrong in ["", "AAAA", "no base", &text[..40]] {
-        assert_eq!(decode_histogram(wrong), None);
+    for invalid in ["", "AAAA", "no base", &text[..40]] {
+        assert_eq!(decode_histogram(invalid), None);
     }
-    let other = Histogram::new_with_bounds(1, 1_000, 1).expect("bounds");
-    assert_eq!(decode_histogram(&encode_histogram(&other)), None, "it would not merge");
+    let other = Histogram::new_with_bounds(1, 1_000, 1).expect("valid bounds");
+    assert_eq!(
+        decode_histogram(&encode_histogram(&other)),
+        None,
+        "histograms with other bounds cannot be merged"
+    );
 }
 
 #[test]
-fn the_hash_is_of_the_content_and_not_of_its_order() {
-    let read = |text: &str| hash(&serde_json::from_str(text).expect("JSON"));
-    assert_eq!(read(r#"{"a":1,"b":[2]}"#), read(r#"{"b":[2], "a":1}"#));
-    assert_ne!(read(r#"{"a":1}"#), read(r#"{"a":2}"#));
+fn hash_depends_on_content_and_not_on_key_order() {
+    let hash_of = |text: &str| hash(&serde_json::from_str(text).expect("JSON"));
+    assert_eq!(hash_of(r#"{"a":1,"b":[2]}"#), hash_of(r#"{"b":[2], "a":1}"#));
+    assert_ne!(hash_of(r#"{"a":1}"#), hash_of(r#"{"a":2}"#));
 }
