--- a/crates/flintwell-rollout/src/judge.rs
+++ b/crates/flintwell-rollout/src/judge.rs
@@ -1,283 +1,312 @@
-//! Is the new worse than the old? Both are compared in the same seconds and zone by zone, never with their own past.
+//! Decides whether the changed members (new) do worse than the unchanged ones (old). Both are compared over the same
+//! seconds and zone by zone, never with their own past.
 //!
 //! Each measure is a test by betting (Waudby-Smith and Ramdas, "Estimating means of bounded random variables by
-//! betting", JRSS B 2024): a wealth that starts at 1 and is multiplied, block by block, by 1 + stake * (difference -
-//! margin). While the new is no worse than the margin its expected growth is at most none, whatever the blocks depend
-//! on within themselves, so by Ville's inequality the chance that it ever reaches 1 / chance is at most `chance`, however
-//! often it is looked at. The chance of a rollout is shared by its measures and stages.
+//! betting", JRSS B 2024): a wealth that starts at 1 is multiplied, block by block, by 1 + stake * (difference -
+//! margin). While the new group is no worse than the margin, the wealth does not grow in expectation, whatever the
+//! dependence within a block. By Ville's inequality the probability that it ever reaches 1 / p is then at most p,
+//! however often it is checked. The false-stop probability of a rollout is divided among its measures and stages.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-const LEAST: u64 = 25; // requests on either side of a block; under it a share is a throw of the dice
-const LEAST_CASE: u64 = 3; // the same of one class, which may be rare; its differences are not cut off, so few will do
-const CLIP: f64 = 3.0; // times the loss to be found; what a block may weigh at most, so that one burst decides nothing
-const MARGIN: f64 = 0.25; // of the loss; what the new may be worse by at no cost
-const STAKE_MOST: f64 = 0.8; // of what would lose all on one block
-const BEGINS: f64 = 2.0; // blocks that the first guess, a difference of the loss, counts for
-/// Shares of the old ones' times so far; slower than such a time is slow. Fetches make the slow end their own: what slows
-/// the quick ones shows in the middle only.
-pub const SLOW_QUANTILES: [f64; 4] = [0.5, 0.8, 0.95, TAIL];
-const TAIL: f64 = 0.99; // of the old ones' times; judged in blocks of its own, since a block of 25 holds none of it
-const LEAST_TAIL: u64 = 200; // requests on either side of such a block: two are slower than the tail on the mean
-const SLOW_TAIL: f64 = 3.0; // of a loss; a tail that twice as many fall into has one more of a hundred in it, and is found
-const HAND_OFFS: f64 = 0.1; // of a loss; a request's attempts count so much, since one more in ten is much
-const FETCHES: f64 = 0.1; // the same for its fetches
-const SLOW: f64 = 0.2; // the same for its being slow; twice as many over a 95th percentile are 5 % of requests
+const MIN_BLOCK_REQUESTS: u64 = 25; // on either side; the loss rate of a smaller block is mostly noise
+const MIN_CLASS_BLOCK_REQUESTS: u64 = 3; // lower, since a class may be rare and its differences are not clipped
+const CLIP_FACTOR: f64 = 3.0; // times the loss to detect; limits the weight of a block, so that one burst does not decide
+const MARGIN_FACTOR: f64 = 0.25; // times the loss to detect; tolerated difference
+const MAX_STAKE: f64 = 0.8; // relative to the stake that a single block could lose entirely
+const PRIOR_BLOCKS: f64 = 2.0; // weight, in blocks, of the initial guess that the difference is the loss to detect
+/// Quantiles of the old group's latencies; a request above such a latency counts as slow. Requests that reach the origin
+/// dominate the tail by themselves, so a change that slows down the fast requests shows only at the median.
+pub const SLOW_QUANTILES: [f64; 4] = [0.5, 0.8, 0.95, TAIL_QUANTILE];
+const TAIL_QUANTILE: f64 = 0.99; // judged in blocks of its own, since a block of 25 requests usually has none above it
+const MIN_TAIL_BLOCK_REQUESTS: u64 = 200; // on either side; two of them are above the tail quantile on average
+const TAIL_WEIGHT: f64 = 3.0; // in lost requests; a doubled tail is one more request in a hundred, and has to be detected
+const ATTEMPT_WEIGHT: f64 = 0.1; // in lost requests; one more attempt per ten requests is already a large increase
+const ORIGIN_ATTEMPT_WEIGHT: f64 = 0.1; // in lost requests, for the same reason
+const SLOW_WEIGHT: f64 = 0.2; // in lost requests; twice as many above the 95th percentile are 5 % of all requests
 
-const MEASURES: usize = 3 + SLOW_QUANTILES.len(); // of all requests; one more for each class
+const OVERALL_MEASURES: usize = 3 + SLOW_QUANTILES.len(); // over all requests; each class adds one
 
-/// What a group of proxies counted within some time.
+/// Counts of a group of proxies over some time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     #[serde(rename = "accesses")]
     pub requests: u64,
-    /// Turned back or failed, by class, and how many there were.
+    /// By class: requests refused or failed, and all requests.
     #[serde(rename = "lost")]
     pub losses: BTreeMap<String, (u64, u64)>,
     #[serde(rename = "hand_offs")]
     pub attempts: u64,
     #[serde(rename = "fetches")]
     pub origin_attempts: u64,
-    /// Requests slower than each of the limits that the judge tells.
+    /// Requests above each threshold of `Judge::slow_thresholds`.
     #[serde(rename = "slow")]
     pub slow_requests: [u64; SLOW_QUANTILES.len()],
 }
 
 impl Sample {
+    /// Adds the counts of another sample.
     pub fn add(&mut self, other: &Sample) {
         self.requests += other.requests;
         self.attempts += other.attempts;
         self.origin_attempts += other.origin_attempts;
         self.slow_requests.iter_mut().zip(other.slow_requests).for_each(|(sum, slow)| *sum += slow);
-        for (case, (lost, all)) in &other.losses {
-            let sum = self.losses.entry(case.clone()).or_default();
+        for (class, (lost, all)) in &other.losses {
+            let sum = self.losses.entry(class.clone()).or_default();
             *sum = (sum.0 + lost, sum.1 + all);
         }
     }
     /// The share of requests that were not served.
     pub fn loss_rate(&self) -> f64 {
-        let (lost, all) = self.losses.values().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        share(lost, all)
+        let (lost, all) = self.losses.values().fold((0, 0), |sum, class| (sum.0 + class.0, sum.1 + class.1));
+        ratio(lost, all)
     }
 }
 
-fn share(part: u64, all: u64) -> f64 {
+fn ratio(part: u64, all: u64) -> f64 {
     part as f64 / all.max(1) as f64
 }
 
-/// New and old in one zone and the same seconds.
+/// Samples of the new and the old group in one zone over the same seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SamplePair {
     pub new: Sample,
     pub old: Sample,
 }
 
+/// Sensitivity and error bound of the judge.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JudgeConfig {
-    /// The share of requests lost that has to be found.
+    /// The increase of the share of lost requests that has to be detected.
     #[serde(rename = "loss")]
     pub min_detectable_loss: f64,
-    /// Of stopping a rollout that is no worse, in all its stages.
+    /// Upper bound, over all stages, of the probability of stopping a change that does no harm.
     #[serde(rename = "chance")]
     pub max_false_stop_probability: f64,
+    /// Number of stages of the rollout.
     #[serde(rename = "stages")]
     pub stage_count: usize,
 }
 
-/// One measure's wealth.
+/// The wealth of one measure.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Bet {
-    wealth_log: f64,
+    #[serde(rename = "wealth_log")]
+    log_wealth: f64,
     blocks: f64,
-    sum: f64,
-    squares: f64,
+    /// Sum of the clipped differences.
+    #[serde(rename = "sum")]
+    difference_sum: f64,
+    /// Sum of the squared deviations.
+    #[serde(rename = "squares")]
+    squared_deviations: f64,
 }
 
 impl Bet {
     fn new(loss: f64, clip: f64) -> Self {
-        Bet { wealth_log: 0.0, blocks: BEGINS, sum: BEGINS * loss, squares: BEGINS * clip * clip / 4.0 }
+        Bet {
+            log_wealth: 0.0,
+            blocks: PRIOR_BLOCKS,
+            difference_sum: PRIOR_BLOCKS * loss,
+            squared_deviations: PRIOR_BLOCKS * clip * clip / 4.0,
+        }
     }
 
-    /// The stake is chosen by what came before, never by the block itself: that is what makes the bound hold.
-    fn takes(&mut self, difference: f64, margin: f64, clip: f64) {
+    /// The stake depends on earlier blocks only, never on this one: the error bound holds only then.
+    fn add_block(&mut self, difference: f64, margin: f64, clip: f64) {
         let gain = difference.clamp(-clip, clip) - margin;
-        let mean = self.sum / self.blocks - margin;
-        let spread = self.squares / self.blocks;
-        let stake = (mean / (spread + mean * mean).max(1e-12)).clamp(0.0, STAKE_MOST / (clip + margin));
-        self.wealth_log += (stake * gain).ln_1p();
+        let mean = self.difference_sum / self.blocks - margin;
+        let variance = self.squared_deviations / self.blocks;
+        let stake = (mean / (variance + mean * mean).max(1e-12)).clamp(0.0, MAX_STAKE / (clip + margin));
+        self.log_wealth += (stake * gain).ln_1p();
         self.blocks += 1.0;
-        self.sum += gain + margin;
-        let off = gain - mean;
-        self.squares += off * off;
+        self.difference_sum += gain + margin;
+        let deviation = gain - mean;
+        self.squared_deviations += deviation * deviation;
     }
 }
 
-/// What the judge says.
+/// Result of the comparison so far.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// No sign of harm, after so many requests of the new ones.
+    /// No sign of harm; the number of requests of the new group that were judged.
     NoHarmFound(u64),
-    /// By which measure, and by how much on the mean.
+    /// The measure that shows harm, and its mean difference.
     Worse(String, f64),
 }
 
-/// Judges one stage.
+/// Compares the two groups during one stage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Judge {
-    limits: JudgeConfig,
-    /// Not judged yet: blocks that are still too small, by zone.
-    open: BTreeMap<String, SamplePair>,
-    /// The same of each class: lost and all, of the new and the old.
-    open_cases: BTreeMap<String, BTreeMap<String, [(u64, u64); 2]>>,
-    /// The same of requests slower than the tail's limit, by zone.
-    open_tail: BTreeMap<String, [(u64, u64); 2]>,
+    #[serde(rename = "limits")]
+    config: JudgeConfig,
+    /// Blocks that are still too small to be judged, by zone.
+    #[serde(rename = "open")]
+    pending_blocks: BTreeMap<String, SamplePair>,
+    /// The same by zone and class: lost and all requests of the new and the old group.
+    #[serde(rename = "open_cases")]
+    pending_class_blocks: BTreeMap<String, BTreeMap<String, [(u64, u64); 2]>>,
+    /// The same by zone, for requests above the tail threshold.
+    #[serde(rename = "open_tail")]
+    pending_tail_blocks: BTreeMap<String, [(u64, u64); 2]>,
     bets: BTreeMap<String, Bet>,
-    /// What the groups differed by before anything was changed.
-    before: BTreeMap<String, (f64, f64, f64)>,
-    /// Of the new, in blocks that were judged.
-    judged: u64,
+    /// By measure: count, sum and sum of squares of the differences seen before the change.
+    #[serde(rename = "before")]
+    baseline: BTreeMap<String, (f64, f64, f64)>,
+    /// Requests of the new group in judged blocks.
+    #[serde(rename = "judged")]
+    judged_requests: u64,
     worse: Option<(String, f64)>,
 }
 
 impl Judge {
-    pub fn new(limits: JudgeConfig) -> Self {
+    /// A judge without any evidence.
+    pub fn new(config: JudgeConfig) -> Self {
         Judge {
-            limits,
-            open: BTreeMap::new(),
-            open_cases: BTreeMap::new(),
-            open_tail: BTreeMap::new(),
+            config,
+            pending_blocks: BTreeMap::new(),
+            pending_class_blocks: BTreeMap::new(),
+            pending_tail_blocks: BTreeMap::new(),
             bets: BTreeMap::new(),
-            before: BTreeMap::new(),
-            judged: 0,
+            baseline: BTreeMap::new(),
+            judged_requests: 0,
             worse: None,
         }
     }
 
-    /// The groups as they were before the new had anything new: what they differ by then is no harm of the change.
+    /// Records how the groups differ before the change; this difference is not counted as harm later.
     pub fn record_baseline(&mut self, zone: &str, pair: &SamplePair) {
-        let whole = self.block(zone, pair).into_iter().flat_map(|block| block.1);
-        for (name, difference) in whole.chain(self.cases(zone, pair)).chain(self.tail(zone, pair)) {
-            let (count, sum, squares) = self.before.entry(name).or_default();
+        let overall = self.overall_differences(zone, pair).into_iter().flat_map(|block| block.1);
+        let classes = self.class_differences(zone, pair);
+        for (name, difference) in overall.chain(classes).chain(self.tail_difference(zone, pair)) {
+            let (count, sum, squares) = self.baseline.entry(name).or_default();
             *count += 1.0;
             *sum += difference;
             *squares += difference * difference;
         }
     }
 
-    /// How much worse the new were before the change, with the doubt of that mean.
-    fn handicap(&self, name: &str) -> f64 {
-        let Some((count, sum, squares)) = self.before.get(name).filter(|before| before.0 >= 3.0) else {
+    /// How much worse the new group was before the change: the mean difference plus its standard error.
+    fn baseline_difference(&self, name: &str) -> f64 {
+        let Some((count, sum, squares)) = self.baseline.get(name).filter(|baseline| baseline.0 >= 3.0) else {
             return 0.0;
         };
         let mean = sum / count;
-        let doubt = ((squares / count - mean * mean).max(0.0) / count).sqrt();
-        (mean + doubt).max(0.0)
+        let standard_error = ((squares / count - mean * mean).max(0.0) / count).sqrt();
+        (mean + standard_error).max(0.0)
     }
 
-    /// A zone's block, once both sides are large enough: each measure's difference in shares.
-    fn block(&mut self, zone: &str, pair: &SamplePair) -> Option<(u64, Vec<(String, f64)>)> {
-        let open = self.open.entry(zone.into()).or_default();
-        open.new.add(&pair.new);
-        open.old.add(&pair.old);
-        if open.new.requests < LEAST || open.old.requests < LEAST {
+    /// Once a zone's block is large enough on both sides: the requests of the new group and the difference of each
+    /// measure. The names of measures are stored in the evidence.
+    fn overall_differences(&mut self, zone: &str, pair: &SamplePair) -> Option<(u64, Vec<(String, f64)>)> {
+        let pending = self.pending_blocks.entry(zone.into()).or_default();
+        pending.new.add(&pair.new);
+        pending.old.add(&pair.old);
+        if pending.new.requests < MIN_BLOCK_REQUESTS || pending.old.requests < MIN_BLOCK_REQUESTS {
             return None;
         }
-        let SamplePair { new, old } = std::mem::take(open);
-        let scaled = |scale: f64, part: &dyn Fn(&Sample) -> u64| {
-            scale * (share(part(&new), new.requests) - share(part(&old), old.requests))
+        let SamplePair { new, old } = std::mem::take(pending);
+        let weighted = |weight: f64, part: &dyn Fn(&Sample) -> u64| {
+            weight * (ratio(part(&new), new.requests) - ratio(part(&old), old.requests))
         };
         let mut measures = vec![
             ("lost requests".to_owned(), new.loss_rate() - old.loss_rate()),
-            ("attempts a request".to_owned(), scaled(HAND_OFFS, &|sample| sample.attempts)),
-            ("fetches an access".to_owned(), scaled(FETCHES, &|sample| sample.origin_attempts)),
+            ("attempts a request".to_owned(), weighted(ATTEMPT_WEIGHT, &|sample| sample.attempts)),
+            (
+                "fetches an access".to_owned(),
+                weighted(ORIGIN_ATTEMPT_WEIGHT, &|sample| sample.origin_attempts),
+            ),
         ];
-        for (n, quantile) in SLOW_QUANTILES.iter().enumerate().filter(|one| *one.1 < TAIL) {
+        for (n, quantile) in
+            SLOW_QUANTILES.iter().enumerate().filter(|(_, quantile)| **quantile < TAIL_QUANTILE)
+        {
             let name = format!("requests slower than {:.0} % of the old", quantile * 100.0);
-            measures.push((name, scaled(SLOW, &|sample| sample.slow_requests[n])));
+            measures.push((name, weighted(SLOW_WEIGHT, &|sample| sample.slow_requests[n])));
         }
         Some((new.requests, measures))
     }
 
-    /// New and old in one zone since the last call.
+    /// Compares the groups in one zone over the time since the last call.
     pub fn compare(&mut self, zone: &str, pair: &SamplePair) {
-        let JudgeConfig {
-            min_detectable_loss: loss,
-            max_false_stop_probability: chance,
-            stage_count: stages,
-        } = self.limits;
+        let JudgeConfig { min_detectable_loss, max_false_stop_probability, stage_count } = self.config;
+        let clip = CLIP_FACTOR * min_detectable_loss;
         let mut measures: Vec<(String, f64, f64)> = Vec::new();
-        if let Some((requests, block)) = self.block(zone, pair) {
-            self.judged += requests;
-            measures.extend(block.into_iter().map(|(name, difference)| (name, difference, CLIP * loss)));
+        if let Some((requests, block)) = self.overall_differences(zone, pair) {
+            self.judged_requests += requests;
+            measures.extend(block.into_iter().map(|(name, difference)| (name, difference, clip)));
         }
-        let cases = self.cases(zone, pair);
-        measures.extend(cases.into_iter().map(|(name, difference)| (name, difference, 1.0)));
-        measures.extend(self.tail(zone, pair).map(|(name, difference)| (name, difference, CLIP * loss)));
-        let all = MEASURES + pair.new.losses.len();
-        let enough = ((all * stages.max(1)) as f64 / chance).ln();
+        let classes = self.class_differences(zone, pair);
+        measures.extend(classes.into_iter().map(|(name, difference)| (name, difference, 1.0)));
+        measures.extend(self.tail_difference(zone, pair).map(|(name, difference)| (name, difference, clip)));
+        let measure_count = OVERALL_MEASURES + pair.new.losses.len();
+        let log_threshold = ((measure_count * stage_count.max(1)) as f64 / max_false_stop_probability).ln();
         for (name, difference, clip) in measures {
-            let margin = MARGIN * loss + self.handicap(&name);
-            let bet = self.bets.entry(name.clone()).or_insert_with(|| Bet::new(loss, clip));
-            bet.takes(difference, margin, clip + margin);
-            if bet.wealth_log >= enough && self.worse.is_none() {
-                self.worse = Some((name, bet.sum / bet.blocks));
+            let margin = MARGIN_FACTOR * min_detectable_loss + self.baseline_difference(&name);
+            let bet = self.bets.entry(name.clone()).or_insert_with(|| Bet::new(min_detectable_loss, clip));
+            bet.add_block(difference, margin, clip + margin);
+            if bet.log_wealth >= log_threshold && self.worse.is_none() {
+                self.worse = Some((name, bet.difference_sum / bet.blocks));
             }
         }
     }
 
-    /// A class of its own may be harmed and hardly show among all, above all a rare one. Its blocks are small, and
-    /// lopsided then: cut off on both sides alike they would lean to one, so they count as they are.
-    fn cases(&mut self, zone: &str, pair: &SamplePair) -> Vec<(String, f64)> {
+    /// Loss differences by class: harm to a single class, above all a rare one, hardly shows among all requests. The
+    /// blocks are small and their differences skewed; clipping at the same value on both sides would bias them, so they
+    /// are not clipped.
+    fn class_differences(&mut self, zone: &str, pair: &SamplePair) -> Vec<(String, f64)> {
         let mut measures = Vec::new();
-        for (case, &new) in &pair.new.losses {
-            let old = pair.old.losses.get(case).copied().unwrap_or_default();
-            let open = self.open_cases.entry(zone.into()).or_default().entry(case.clone()).or_default();
-            for (open, more) in open.iter_mut().zip([new, old]) {
-                *open = (open.0 + more.0, open.1 + more.1);
+        for (class, &new) in &pair.new.losses {
+            let old = pair.old.losses.get(class).copied().unwrap_or_default();
+            let zone_blocks = self.pending_class_blocks.entry(zone.into()).or_default();
+            let pending = zone_blocks.entry(class.clone()).or_default();
+            for (sum, added) in pending.iter_mut().zip([new, old]) {
+                *sum = (sum.0 + added.0, sum.1 + added.1);
             }
-            if open.iter().all(|one| one.1 >= LEAST_CASE) {
-                let [new, old] = std::mem::take(open);
-                let difference = share(new.0, new.1) - share(old.0, old.1);
-                measures.push((format!("lost requests of {case}"), difference));
+            if pending.iter().all(|side| side.1 >= MIN_CLASS_BLOCK_REQUESTS) {
+                let [new, old] = std::mem::take(pending);
+                let difference = ratio(new.0, new.1) - ratio(old.0, old.1);
+                measures.push((format!("lost requests of {class}"), difference));
             }
         }
         measures
     }
 
-    /// The slowest of a hundred, in blocks that hold some of them.
-    fn tail(&mut self, zone: &str, pair: &SamplePair) -> Option<(String, f64)> {
-        let open = self.open_tail.entry(zone.into()).or_default();
-        for (open, more) in open.iter_mut().zip([&pair.new, &pair.old]) {
-            *open = (open.0 + more.slow_requests[SLOW_QUANTILES.len() - 1], open.1 + more.requests);
+    /// Difference in the slowest hundredth of requests, in blocks large enough to contain some of them.
+    fn tail_difference(&mut self, zone: &str, pair: &SamplePair) -> Option<(String, f64)> {
+        let pending = self.pending_tail_blocks.entry(zone.into()).or_default();
+        for (sum, added) in pending.iter_mut().zip([&pair.new, &pair.old]) {
+            *sum = (sum.0 + added.slow_requests[SLOW_QUANTILES.len() - 1], sum.1 + added.requests);
         }
-        if open.iter().any(|one| one.1 < LEAST_TAIL) {
+        if pending.iter().any(|side| side.1 < MIN_TAIL_BLOCK_REQUESTS) {
             return None;
         }
-        let [new, old] = std::mem::take(open);
-        let difference = SLOW_TAIL * (share(new.0, new.1) - share(old.0, old.1));
-        Some((format!("requests slower than {:.0} % of the old", TAIL * 100.0), difference))
+        let [new, old] = std::mem::take(pending);
+        let difference = TAIL_WEIGHT * (ratio(new.0, new.1) - ratio(old.0, old.1));
+        Some((format!("requests slower than {:.0} % of the old", TAIL_QUANTILE * 100.0), difference))
     }
 
-    /// The next stage: what was seen counts no more, what the groups differed by before does.
+    /// Discards the evidence of the previous stage. The baseline is kept.
     pub fn start_stage(&mut self) {
         self.bets.clear();
-        self.open.clear();
-        self.open_cases.clear();
-        self.open_tail.clear();
-        self.judged = 0;
+        self.pending_blocks.clear();
+        self.pending_class_blocks.clear();
+        self.pending_tail_blocks.clear();
+        self.judged_requests = 0;
     }
 
+    /// The verdict on the current stage.
     pub fn verdict(&self) -> Verdict {
         match &self.worse {
             Some((name, by)) => Verdict::Worse(name.clone(), *by),
-            None => Verdict::NoHarmFound(self.judged),
+            None => Verdict::NoHarmFound(self.judged_requests),
         }
     }
 
-    /// What takes longer than these is slow.
-    pub fn slow_thresholds(times: &hdrhistogram::Histogram<u64>) -> Option<[u64; SLOW_QUANTILES.len()]> {
-        (times.len() >= LEAST).then(|| SLOW_QUANTILES.map(|quantile| times.value_at_quantile(quantile)))
+    /// The latencies at `SLOW_QUANTILES`; none if too few requests were recorded.
+    pub fn slow_thresholds(latencies: &hdrhistogram::Histogram<u64>) -> Option<[u64; SLOW_QUANTILES.len()]> {
+        (latencies.len() >= MIN_BLOCK_REQUESTS)
+            .then(|| SLOW_QUANTILES.map(|quantile| latencies.value_at_quantile(quantile)))
     }
 }
 
