--- a/crates/flintwell-rollout/src/member.rs
+++ b/crates/flintwell-rollout/src/member.rs
@@ -1,17 +1,20 @@
-//! What one proxy decides about a change of its settings: which it takes, when it goes back by itself.
+//! State of one member during a rollout: which changes it accepts and when it reverts by itself.
 //!
-//! A change comes in four words: stage, apply, renew while it is watched, confirm. Applied and not confirmed it goes
-//! back once its time is up, whoever asked for it being gone, and at a start, since it may be why the process ended. So
-//! going back needs no write: what lies on disk says unconfirmed already.
+//! A change goes through stage, apply, renew (while it is watched) and confirm. An applied change that is not confirmed
+//! is reverted when its timeout expires, since the controller may be gone, and at a restart, since the change may be why
+//! the process ended. Reverting therefore needs no write: the record on disk already says unconfirmed.
 
 use crate::wire::{EpochRequest, PROTOCOL_VERSION, StageRequest, Status, hash};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-pub const MAX_CONFIRM_TIMEOUT_MS: u64 = 600_000; // ms; the longest time that a change may stand unconfirmed
-const PROTOCOLS: std::ops::RangeInclusive<u32> = PROTOCOL_VERSION.saturating_sub(1)..=PROTOCOL_VERSION + 1; // before and after
+/// The longest time that a change may stay unconfirmed.
+pub const MAX_CONFIRM_TIMEOUT_MS: u64 = 600_000;
+// The previous and the next version are accepted as well.
+const ACCEPTED_PROTOCOLS: std::ops::RangeInclusive<u32> =
+    PROTOCOL_VERSION.saturating_sub(1)..=PROTOCOL_VERSION + 1;
 
-/// Settings, and under what number they came.
+/// Settings and the epoch that introduced them.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, Hash)]
 pub struct Version {
     pub epoch: u64,
@@ -19,11 +22,11 @@
     pub settings: Value,
 }
 
-/// What outlives the process.
+/// The state on disk.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, Hash)]
 pub struct Record {
     pub fleet: String,
-    /// The hash of the configuration file's settings, on which this stands.
+    /// Hash of the configuration file's settings at the time of writing; the record does not apply to other settings.
     #[serde(rename = "base")]
     pub config_hash: String,
     #[serde(rename = "in_force")]
@@ -34,7 +37,7 @@
     pub fence: u64,
 }
 
-/// Why a word was not taken; nothing has changed then.
+/// Why a request was refused. A refused request changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     UnsupportedProtocol(u32),
@@ -43,15 +46,15 @@
         epoch: u64,
         fence: u64,
     },
-    /// Another change is in force that is not confirmed yet.
+    /// Another change is active and not confirmed yet.
     ChangeInProgress(u64),
     HashMismatch,
-    /// The settings themselves, or what can't change while we run.
+    /// The settings are invalid, or differ in a setting that cannot change at run time.
     InvalidSettings(String),
     NotStaged(u64),
     NotActive(u64),
     NoPrevious,
-    /// Over the longest time unconfirmed, or none.
+    /// The confirm timeout is zero or above `MAX_CONFIRM_TIMEOUT_MS`.
     InvalidTimeout(u64),
 }
 
@@ -59,60 +62,61 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             Refusal::UnsupportedProtocol(theirs) => {
-                write!(f, "protocol {theirs}, this is {PROTOCOL_VERSION}")
+                write!(f, "protocol {theirs} is not supported; this is {PROTOCOL_VERSION}")
             }
             Refusal::WrongFleet(fleet) => write!(f, "fleet {fleet:?} is not ours"),
             Refusal::Fenced { epoch, fence } => write!(f, "epoch {epoch} is older than {fence}"),
-            Refusal::ChangeInProgress(epoch) => write!(f, "epoch {epoch} is in force and not confirmed"),
+            Refusal::ChangeInProgress(epoch) => write!(f, "epoch {epoch} is active and not confirmed"),
             Refusal::HashMismatch => write!(f, "the hash is not that of the settings"),
             Refusal::InvalidSettings(why) => write!(f, "{why}"),
             Refusal::NotStaged(epoch) => write!(f, "epoch {epoch} is not staged"),
-            Refusal::NotActive(epoch) => write!(f, "epoch {epoch} is not in force"),
-            Refusal::NoPrevious => write!(f, "there is nothing to go back to"),
+            Refusal::NotActive(epoch) => write!(f, "epoch {epoch} is not active"),
+            Refusal::NoPrevious => write!(f, "there is no previous version to revert to"),
             Refusal::InvalidTimeout(ms) => {
-                write!(f, "within_ms is {ms}; 1 to {MAX_CONFIRM_TIMEOUT_MS} is needed")
+                write!(f, "within_ms is {ms}; it has to be from 1 to {MAX_CONFIRM_TIMEOUT_MS}")
             }
         }
     }
 }
 
-/// A step that holds once its record lies on disk.
+/// A state change that the caller commits after its record has been written to disk.
 #[derive(Clone, Debug)]
 pub struct Transition {
     pub record: Record,
-    until: Option<u64>,
-    within: u64,
+    expires_at: Option<u64>,
+    confirm_timeout_ms: u64,
     staged: Option<Version>,
 }
 
 impl Transition {
-    /// Its time counts from then, where putting it in force took a while.
+    /// Counts the confirm timeout from `now`, for changes that took a while to apply.
     pub fn with_timer_from(self, now: u64) -> Self {
-        Transition { until: self.until.map(|_| now + self.within), ..self }
+        Transition { expires_at: self.expires_at.map(|_| now + self.confirm_timeout_ms), ..self }
     }
 }
 
+/// One member's record, staged version and timeout.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     record: Record,
     staged: Option<Version>,
-    /// When an unconfirmed change goes back, on the teller's clock, ms.
-    until: Option<u64>,
+    /// When an unconfirmed change is reverted, in ms on the caller's clock.
+    expires_at: Option<u64>,
 }
 
 impl Member {
-    /// At a start: the record as left on disk, if there is one, and the settings of the configuration file.
-    pub fn new(fleet: &str, left: Option<Record>, configured: &Value) -> Self {
-        let base = hash(configured);
-        let left = left.filter(|record| record.fleet == fleet);
-        let fence = left.as_ref().map_or(0, |record| record.fence);
-        // A file changed by hand since then goes before the record; the fence stays.
-        let record = match left.filter(|record| record.config_hash == base) {
+    /// State at process start, from the record on disk, if any, and the settings of the configuration file.
+    pub fn new(fleet: &str, stored: Option<Record>, configured: &Value) -> Self {
+        let config_hash = hash(configured);
+        let stored = stored.filter(|record| record.fleet == fleet);
+        let fence = stored.as_ref().map_or(0, |record| record.fence);
+        // If the configuration file has been edited since, it takes precedence over the record; the fence is kept.
+        let record = match stored.filter(|record| record.config_hash == config_hash) {
             Some(Record { previous: Some(previous), unconfirmed: true, .. }) => {
-                // Danger: what ended the process in the middle of a change would end it again at each start.
+                // An unconfirmed change is not restored: if it made the process end, it would do so at each start.
                 Record {
                     fleet: fleet.into(),
-                    config_hash: base,
+                    config_hash,
                     active: previous,
                     previous: None,
                     unconfirmed: false,
@@ -121,152 +125,152 @@
             }
             Some(record) => record,
             None => {
-                let active = Version { epoch: 0, hash: base.clone(), settings: configured.clone() };
-                Record {
-                    fleet: fleet.into(),
-                    config_hash: base,
-                    active,
-                    previous: None,
-                    unconfirmed: false,
-                    fence,
-                }
+                let active = Version { epoch: 0, hash: config_hash.clone(), settings: configured.clone() };
+                Record { fleet: fleet.into(), config_hash, active, previous: None, unconfirmed: false, fence }
             }
         };
-        Member { record, staged: None, until: None }
+        Member { record, staged: None, expires_at: None }
     }
 
+    /// The version in use.
     pub fn active(&self) -> &Version {
         &self.record.active
     }
 
+    /// The record to keep on disk.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    fn ours(&self, protocol: u32, fleet: &str, epoch: u64) -> Result<(), Refusal> {
-        if !PROTOCOLS.contains(&protocol) {
+    fn check_addressed(&self, protocol: u32, fleet: &str, epoch: u64) -> Result<(), Refusal> {
+        if !ACCEPTED_PROTOCOLS.contains(&protocol) {
             return Err(Refusal::UnsupportedProtocol(protocol));
         }
         if fleet != self.record.fleet {
             return Err(Refusal::WrongFleet(fleet.into()));
         }
-        // Danger: of two who roll out the older would undo, word by word, what the younger does.
+        // With two controllers, the one with the older epoch would revert each step of the other.
         if epoch < self.record.fence {
             return Err(Refusal::Fenced { epoch, fence: self.record.fence });
         }
         Ok(())
     }
 
-    /// Holds settings ready. `check` says what is wrong with them beside those in force.
+    /// Validates settings and holds them until they are applied. `check` compares the active settings with the new ones.
     pub fn stage(
         &self,
-        word: &StageRequest,
+        request: &StageRequest,
         check: impl FnOnce(&Value, &Value) -> Result<(), String>,
     ) -> Result<Transition, Refusal> {
-        self.ours(word.protocol, &word.fleet, word.epoch)?;
-        if self.record.unconfirmed && self.record.active.epoch != word.epoch {
+        self.check_addressed(request.protocol, &request.fleet, request.epoch)?;
+        if self.record.unconfirmed && self.record.active.epoch != request.epoch {
             return Err(Refusal::ChangeInProgress(self.record.active.epoch));
         }
-        if hash(&word.settings) != word.hash {
+        if hash(&request.settings) != request.hash {
             return Err(Refusal::HashMismatch);
         }
-        // One epoch stands for one content, whoever asks.
-        let version = Version { epoch: word.epoch, hash: word.hash.clone(), settings: word.settings.clone() };
+        // An epoch stands for one content only, whichever controller asks.
+        let version =
+            Version { epoch: request.epoch, hash: request.hash.clone(), settings: request.settings.clone() };
         let known = [Some(&self.record.active), self.staged.as_ref()];
-        if known.into_iter().flatten().any(|known| known.epoch == word.epoch && known.hash != word.hash) {
-            return Err(Refusal::Fenced { epoch: word.epoch, fence: word.epoch + 1 });
+        if known.into_iter().flatten().any(|known| known.epoch == request.epoch && known.hash != request.hash)
+        {
+            return Err(Refusal::Fenced { epoch: request.epoch, fence: request.epoch + 1 });
         }
-        check(&self.record.active.settings, &word.settings).map_err(Refusal::InvalidSettings)?;
-        let record = Record { fence: word.epoch, ..self.record.clone() };
-        Ok(Transition { record, until: self.until, within: 0, staged: Some(version) })
+        check(&self.record.active.settings, &request.settings).map_err(Refusal::InvalidSettings)?;
+        let record = Record { fence: request.epoch, ..self.record.clone() };
+        Ok(Transition { record, expires_at: self.expires_at, confirm_timeout_ms: 0, staged: Some(version) })
     }
 
-    /// Puts what is staged in force, for so long unless it is renewed. None: it is in force already.
-    pub fn apply(&self, now: u64, word: &EpochRequest) -> Result<Option<Transition>, Refusal> {
-        self.ours(word.protocol, &word.fleet, word.epoch)?;
-        within(word)?;
-        if self.is_in_force(word) {
+    /// Makes the staged version active until the confirm timeout expires. None if it is active already.
+    pub fn apply(&self, now: u64, request: &EpochRequest) -> Result<Option<Transition>, Refusal> {
+        self.check_addressed(request.protocol, &request.fleet, request.epoch)?;
+        check_timeout(request)?;
+        if self.is_active(request) {
             return Ok(None);
         }
         if self.record.unconfirmed {
             return Err(Refusal::ChangeInProgress(self.record.active.epoch));
         }
-        let staged = self.staged.clone().filter(|staged| is(staged, word));
-        let version = staged.ok_or(Refusal::NotStaged(word.epoch))?;
+        let staged = self.staged.clone().filter(|staged| is_version(staged, request));
+        let version = staged.ok_or(Refusal::NotStaged(request.epoch))?;
         let previous = Some(self.record.active.clone());
         let record = Record { active: version, previous, unconfirmed: true, ..self.record.clone() };
-        let within = word.confirm_timeout_ms;
-        Ok(Some(Transition { record, until: Some(now + within), within, staged: None }))
+        let confirm_timeout_ms = request.confirm_timeout_ms;
+        let expires_at = Some(now + confirm_timeout_ms);
+        Ok(Some(Transition { record, expires_at, confirm_timeout_ms, staged: None }))
     }
 
-    /// What is not confirmed stays for so long from now.
-    pub fn renew(&mut self, now: u64, word: &EpochRequest) -> Result<(), Refusal> {
-        self.ours(word.protocol, &word.fleet, word.epoch)?;
-        within(word)?;
-        self.stands(word)?;
+    /// Restarts the timeout of an unconfirmed change.
+    pub fn renew(&mut self, now: u64, request: &EpochRequest) -> Result<(), Refusal> {
+        self.check_addressed(request.protocol, &request.fleet, request.epoch)?;
+        check_timeout(request)?;
+        self.check_active(request)?;
         if self.record.unconfirmed {
-            self.until = Some(now + word.confirm_timeout_ms);
+            self.expires_at = Some(now + request.confirm_timeout_ms);
         }
         Ok(())
     }
 
-    /// It stays for good. None: it is confirmed already.
-    pub fn confirm(&self, word: &EpochRequest) -> Result<Option<Transition>, Refusal> {
-        self.ours(word.protocol, &word.fleet, word.epoch)?;
-        self.stands(word)?;
-        let step = || Transition {
+    /// Makes the active change permanent. None if it is confirmed already.
+    pub fn confirm(&self, request: &EpochRequest) -> Result<Option<Transition>, Refusal> {
+        self.check_addressed(request.protocol, &request.fleet, request.epoch)?;
+        self.check_active(request)?;
+        let transition = || Transition {
             record: Record { unconfirmed: false, ..self.record.clone() },
-            until: None,
-            within: 0,
+            expires_at: None,
+            confirm_timeout_ms: 0,
             staged: self.staged.clone(),
         };
-        Ok(self.record.unconfirmed.then(step))
+        Ok(self.record.unconfirmed.then(transition))
     }
 
-    /// Back to what was in force before, at once; also from one confirmed, for as long as that is known. Returns
-    /// the record, whose writing may fail: at a start an unconfirmed one goes back anyway.
-    pub fn revert(&mut self, word: &EpochRequest) -> Result<Record, Refusal> {
-        self.ours(word.protocol, &word.fleet, word.epoch)?;
-        if !self.is_in_force(word) {
-            // It never came, or has gone back: then only what is staged goes.
-            self.staged.take_if(|staged| is(staged, word));
+    /// Restores the previous version at once, also from a confirmed change, as long as the previous one is known. Returns
+    /// the record; writing it may fail, since a restart reverts an unconfirmed change anyway.
+    pub fn revert(&mut self, request: &EpochRequest) -> Result<Record, Refusal> {
+        self.check_addressed(request.protocol, &request.fleet, request.epoch)?;
+        if !self.is_active(request) {
+            // Never applied or already reverted: only the staged version is dropped.
+            self.staged.take_if(|staged| is_version(staged, request));
             return Ok(self.record.clone());
         }
-        self.goes_back().ok_or(Refusal::NoPrevious)
+        self.restore_previous().ok_or(Refusal::NoPrevious)
     }
 
-    /// An unconfirmed change whose time is up goes back by itself.
+    /// Reverts an unconfirmed change whose timeout has expired.
     pub fn tick(&mut self, now: u64) -> Option<Record> {
-        let due = self.until.is_some_and(|until| now >= until);
-        if due { self.goes_back() } else { None }
+        let expired = self.expires_at.is_some_and(|at| now >= at);
+        if expired { self.restore_previous() } else { None }
     }
 
-    /// When that is.
+    /// When an unconfirmed change is reverted; none if there is none.
     pub fn expires_at(&self) -> Option<u64> {
-        self.until
+        self.expires_at
     }
 
-    fn goes_back(&mut self) -> Option<Record> {
+    fn restore_previous(&mut self) -> Option<Record> {
         let previous = self.record.previous.take()?;
         self.record.active = previous;
         self.record.unconfirmed = false;
-        (self.until, self.staged) = (None, None);
+        (self.expires_at, self.staged) = (None, None);
         Some(self.record.clone())
     }
 
-    fn is_in_force(&self, word: &EpochRequest) -> bool {
-        is(&self.record.active, word)
+    fn is_active(&self, request: &EpochRequest) -> bool {
+        is_version(&self.record.active, request)
     }
 
-    fn stands(&self, word: &EpochRequest) -> Result<(), Refusal> {
-        if self.is_in_force(word) { Ok(()) } else { Err(Refusal::NotActive(word.epoch)) }
+    fn check_active(&self, request: &EpochRequest) -> Result<(), Refusal> {
+        if self.is_active(request) { Ok(()) } else { Err(Refusal::NotActive(request.epoch)) }
     }
 
-    /// The step's record lies on disk.
-    pub fn commit(&mut self, step: Transition) {
-        (self.record, self.until, self.staged) = (step.record, step.until, step.staged);
+    /// Adopts a transition; its record has to be on disk.
+    pub fn commit(&mut self, transition: Transition) {
+        (self.record, self.expires_at, self.staged) =
+            (transition.record, transition.expires_at, transition.staged);
     }
 
+    /// The status that the management API shows.
     pub fn status(&self, now: u64, name: &str, program: &str, started_ms: u64) -> Status {
         Status {
             protocol: PROTOCOL_VERSION,
@@ -276,7 +280,7 @@
             epoch: self.record.active.epoch,
             hash: self.record.active.hash.clone(),
             unconfirmed: self.record.unconfirmed,
-            remaining_ms: self.until.map_or(0, |until| until.saturating_sub(now)),
+            remaining_ms: self.expires_at.map_or(0, |at| at.saturating_sub(now)),
             staged: self.staged.as_ref().map(|staged| staged.epoch),
             previous: self.record.previous.as_ref().map(|previous| previous.epoch),
             fence: self.record.fence,
@@ -287,14 +291,14 @@
     }
 }
 
-/// Whether the word means this one: the same number for the same content.
-fn is(version: &Version, word: &EpochRequest) -> bool {
-    (version.epoch, &version.hash) == (word.epoch, &word.hash)
+/// Whether the request means this version: the same epoch with the same content.
+fn is_version(version: &Version, request: &EpochRequest) -> bool {
+    (version.epoch, &version.hash) == (request.epoch, &request.hash)
 }
 
-fn within(word: &EpochRequest) -> Result<(), Refusal> {
-    let well = (1..=MAX_CONFIRM_TIMEOUT_MS).contains(&word.confirm_timeout_ms);
-    if well { Ok(()) } else { Err(Refusal::InvalidTimeout(word.confirm_timeout_ms)) }
+fn check_timeout(request: &EpochRequest) -> Result<(), Refusal> {
+    let is_valid = (1..=MAX_CONFIRM_TIMEOUT_MS).contains(&request.confirm_timeout_ms);
+    if is_valid { Ok(()) } else { Err(Refusal::InvalidTimeout(request.confirm_timeout_ms)) }
 }
 
 #[cfg(test)]
