--- a/crates/flintwell-rollout/src/plan.rs
+++ b/crates/flintwell-rollout/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a rollout, a TOML file. All that is wrong with it is told at once, each with its line.
+//! Parser for the plan of a rollout, a TOML file. It reports all errors at once, each with its line.
 
 use crate::controller::{FleetMember, RolloutConfig, interleave_zones};
 use std::collections::BTreeSet;
@@ -6,101 +6,106 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-const MEMBERS_MOST: usize = 4_096; // proxies; far above any fleet
-const LOSS: f64 = 0.02; // of requests; what has to be found where the plan says nothing
-const CHANCE: f64 = 0.01; // of stopping a good change, a rollout
-const OBSERVE: f64 = 5.0; // s
-const SETTLE: f64 = 1.0; // s; connections and joins of the old settings end within it
-const WATCH: f64 = 20.0; // s
-const ACCESSES: f64 = 10_000.0; // requests; within them two in a hundred lost are found 19 times of 20
-const WITHIN: f64 = 15.0; // s; several rounds of words, and a restart of the one who rolls out
-const UNHEARD: f64 = 3.0; // s
-const DOUBT: f64 = 15.0; // s
-const BOTH: f64 = 0.05; // of requests
-const MEMORY: f64 = 1.5; // times
+const MAX_MEMBERS: usize = 4_096; // proxies; far more than any fleet has
 
-/// A key with its least and most, and what holds where it is not given.
-struct Number {
+// Defaults of a plan. Durations are in seconds.
+const DEFAULT_LOSS: f64 = 0.02; // share of requests
+const DEFAULT_CHANCE: f64 = 0.01; // of stopping a harmless change, per rollout
+const DEFAULT_OBSERVE_S: f64 = 5.0;
+const DEFAULT_SETTLE_S: f64 = 1.0; // connections and coalesced requests of the old settings end within it
+const DEFAULT_WATCH_S: f64 = 20.0;
+const DEFAULT_REQUESTS: f64 = 10_000.0; // a loss of 2 % is detected within them 19 times out of 20
+const DEFAULT_CONFIRM_TIMEOUT_S: f64 = 15.0; // several rounds of requests, and a restart of the controller
+const DEFAULT_UNHEARD_S: f64 = 3.0;
+const DEFAULT_DOUBT_S: f64 = 15.0;
+const DEFAULT_BOTH_WORSE: f64 = 0.05; // share of requests
+const DEFAULT_MEMORY: f64 = 1.5; // relative to the old group
+
+/// A numeric key with its range and default.
+struct NumberKey {
     key: &'static str,
-    least: f64,
-    most: f64,
-    given: f64,
+    min: f64,
+    max: f64,
+    default: f64,
 }
 
-const fn number(key: &'static str, least: f64, most: f64, given: f64) -> Number {
-    Number { key, least, most, given }
+const fn number_key(key: &'static str, min: f64, max: f64, default: f64) -> NumberKey {
+    NumberKey { key, min, max, default }
 }
 
-/// Times in seconds, as people write them.
-const TIMES: [Number; 6] = [
-    number("observe_s", 0.1, 3_600.0, OBSERVE),
-    number("settle_s", 0.0, 600.0, SETTLE),
-    number("watch_s", 0.1, 86_400.0, WATCH),
-    number("confirm_within_s", 1.0, 600.0, WITHIN),
-    number("unheard_s", 0.2, 600.0, UNHEARD),
-    number("doubt_s", 0.5, 3_600.0, DOUBT),
+/// Durations, in seconds.
+const TIME_KEYS: [NumberKey; 6] = [
+    number_key("observe_s", 0.1, 3_600.0, DEFAULT_OBSERVE_S),
+    number_key("settle_s", 0.0, 600.0, DEFAULT_SETTLE_S),
+    number_key("watch_s", 0.1, 86_400.0, DEFAULT_WATCH_S),
+    number_key("confirm_within_s", 1.0, 600.0, DEFAULT_CONFIRM_TIMEOUT_S),
+    number_key("unheard_s", 0.2, 600.0, DEFAULT_UNHEARD_S),
+    number_key("doubt_s", 0.5, 3_600.0, DEFAULT_DOUBT_S),
 ];
-const LIMITS: [Number; 5] = [
-    number("loss", 0.001, 0.5, LOSS),
-    number("chance", 1e-6, 0.2, CHANCE),
-    number("accesses", 500.0, 1e9, ACCESSES),
-    number("both_worse", 0.001, 1.0, BOTH),
-    number("memory", 1.0, 100.0, MEMORY),
+const LIMIT_KEYS: [NumberKey; 5] = [
+    number_key("loss", 0.001, 0.5, DEFAULT_LOSS),
+    number_key("chance", 1e-6, 0.2, DEFAULT_CHANCE),
+    number_key("accesses", 500.0, 1e9, DEFAULT_REQUESTS),
+    number_key("both_worse", 0.001, 1.0, DEFAULT_BOTH_WORSE),
+    number_key("memory", 1.0, 100.0, DEFAULT_MEMORY),
 ];
-const KEYS: [&str; 8] = ["fleet", "what", "epoch", "settings", "stages", "times", "limits", "members"];
+const PLAN_KEYS: [&str; 8] = ["fleet", "what", "epoch", "settings", "stages", "times", "limits", "members"];
 const MEMBER_KEYS: [&str; 3] = ["name", "zone", "at"];
 
+/// A validated plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub fleet: String,
-    /// Versions of the program, at supervisors; else settings, at proxies.
+    /// Whether the plan updates the program, through supervisors; otherwise settings, through the proxies.
     pub is_program_update: bool,
-    /// One above the highest that any member knows, where it is not given.
+    /// If not given, one above the highest epoch that any member knows.
     pub epoch: Option<u64>,
-    /// A JSON file, laid over each member's settings in force; beside the plan if it is not absolute.
+    /// JSON file merged over each member's active settings; a relative path is relative to the plan's folder.
     pub settings_file: String,
-    /// Members in their turns, with their second addresses.
+    /// Members in the order in which they change, with the addresses of their management APIs.
     pub members: Vec<(FleetMember, SocketAddr)>,
-    /// How many have it after each stage.
+    /// The number of changed members after each stage.
     pub stages: Vec<usize>,
     pub config: RolloutConfig,
 }
 
-/// A problem and where it stands.
-struct Found {
+/// An error and its line.
+struct PlanError {
     line: usize,
-    what: String,
+    message: String,
 }
 
+/// Reads values from a parsed plan and collects the errors.
 struct Reader<'a> {
     text: &'a str,
-    found: Vec<Found>,
+    errors: Vec<PlanError>,
 }
 
 impl Reader<'_> {
-    fn says(&mut self, at: usize, what: impl Into<String>) {
-        let line = self.text.as_bytes()[..at.min(self.text.len())].iter().filter(|&&byte| byte == b'\n');
-        self.found.push(Found { line: line.count() + 1, what: what.into() });
+    /// Records an error at a byte offset of the text.
+    fn error(&mut self, at: usize, message: impl Into<String>) {
+        let newlines = self.text.as_bytes()[..at.min(self.text.len())].iter().filter(|&&byte| byte == b'\n');
+        self.errors.push(PlanError { line: newlines.count() + 1, message: message.into() });
     }
 
-    /// Every key that is not known, with the nearest that is.
-    fn keys(&mut self, table: &DeTable<'_>, known: &[&str]) {
+    /// Reports each unknown key with the most similar known one.
+    fn check_keys(&mut self, table: &DeTable<'_>, known: &[&str]) {
         for key in table.keys() {
             let name: &str = key.get_ref();
             if !known.contains(&name) {
-                let nearest = known.iter().min_by_key(|one| distance(one, name)).copied().unwrap_or("");
-                self.says(key.span().start, format!("unknown key {name:?}; the nearest is {nearest:?}"));
+                let nearest = known.iter().min_by_key(|known| distance(known, name)).copied().unwrap_or("");
+                self.error(key.span().start, format!("unknown key {name:?}; the nearest is {nearest:?}"));
             }
         }
     }
 
-    fn text_of(&mut self, table: &DeTable<'_>, key: &str, at: usize) -> String {
+    fn string(&mut self, table: &DeTable<'_>, key: &str, at: usize) -> String {
         match table.get(key) {
             Some(value) => match value.get_ref() {
                 DeValue::String(text) if !text.is_empty() => return text.to_string(),
-                _ => self.says(value.span().start, format!("{key} has to be a text that is not empty")),
+                _ => self.error(value.span().start, format!("{key} has to be a non-empty string")),
             },
-            None => self.says(at, format!("{key} is missing")),
+            None => self.error(at, format!("{key} is missing")),
         }
         String::new()
     }
@@ -115,29 +120,30 @@
         }
     }
 
-    /// All numbers of a section, in the order of `known`.
+    /// The numbers of a section in the order of `known`, with the default for each that is missing.
     fn numbers<const N: usize>(
         &mut self,
         plan: &DeTable<'_>,
         section: &str,
-        known: &[Number; N],
+        known: &[NumberKey; N],
     ) -> [f64; N] {
         let mut numbers = [0.0; N];
-        known.iter().zip(&mut numbers).for_each(|(one, number)| *number = one.given);
+        known.iter().zip(&mut numbers).for_each(|(known, number)| *number = known.default);
         let Some(value) = plan.get(section) else { return numbers };
         let DeValue::Table(table) = value.get_ref() else {
-            self.says(value.span().start, format!("{section} has to be a section"));
+            self.error(value.span().start, format!("{section} has to be a table"));
             return numbers;
         };
-        let names: Vec<&str> = known.iter().map(|one| one.key).collect();
-        self.keys(table, &names);
-        for (one, number) in known.iter().zip(&mut numbers) {
-            let Some(value) = table.get(one.key) else { continue };
-            match self.number(value).filter(|told| (one.least..=one.most).contains(told)) {
-                Some(told) => *number = told,
+        let names: Vec<&str> = known.iter().map(|known| known.key).collect();
+        self.check_keys(table, &names);
+        for (known, number) in known.iter().zip(&mut numbers) {
+            let Some(value) = table.get(known.key) else { continue };
+            match self.number(value).filter(|number| (known.min..=known.max).contains(number)) {
+                Some(valid) => *number = valid,
                 None => {
-                    let span = format!("{} has to be a number from {} to {}", one.key, one.least, one.most);
-                    self.says(value.span().start, span);
+                    let message =
+                        format!("{} has to be a number from {} to {}", known.key, known.min, known.max);
+                    self.error(value.span().start, message);
                 }
             }
         }
@@ -146,43 +152,43 @@
 
     fn members(&mut self, plan: &DeTable<'_>) -> Vec<(FleetMember, SocketAddr)> {
         let Some(value) = plan.get("members") else {
-            self.says(0, "no [[members]]");
+            self.error(0, "[[members]] is missing");
             return Vec::new();
         };
         let DeValue::Array(entries) = value.get_ref() else {
-            self.says(value.span().start, "members has to be written as [[members]]");
+            self.error(value.span().start, "members has to be an array of tables, [[members]]");
             return Vec::new();
         };
-        if entries.is_empty() || entries.len() > MEMBERS_MOST {
-            self.says(
+        if entries.is_empty() || entries.len() > MAX_MEMBERS {
+            self.error(
                 value.span().start,
-                format!("{} members; 1 to {MEMBERS_MOST} are needed", entries.len()),
+                format!("{} members; the number has to be from 1 to {MAX_MEMBERS}", entries.len()),
             );
         }
-        let (mut members, mut names, mut places) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
+        let (mut members, mut names, mut addrs) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
         for entry in entries.iter() {
             let at = entry.span().start;
             let DeValue::Table(table) = entry.get_ref() else {
-                self.says(at, "a member has to be a section");
+                self.error(at, "a member has to be a table");
                 continue;
             };
-            self.keys(table, &MEMBER_KEYS);
-            let name = self.text_of(table, "name", at);
+            self.check_keys(table, &MEMBER_KEYS);
+            let name = self.string(table, "name", at);
             let zone =
-                if table.contains_key("zone") { self.text_of(table, "zone", at) } else { String::new() };
-            let addr = self.text_of(table, "at", at);
+                if table.contains_key("zone") { self.string(table, "zone", at) } else { String::new() };
+            let addr = self.string(table, "at", at);
             let line = table.get("at").map_or(at, |value| value.span().start);
-            let read = addr.parse::<SocketAddr>();
-            if let (Err(error), false) = (&read, addr.is_empty()) {
-                self.says(line, format!("at = {addr:?}: {error}"));
+            let parsed = addr.parse::<SocketAddr>();
+            if let (Err(error), false) = (&parsed, addr.is_empty()) {
+                self.error(line, format!("at = {addr:?}: {error}"));
             }
             if !name.is_empty() && !names.insert(name.clone()) {
-                self.says(at, format!("member {name:?} is there twice"));
+                self.error(at, format!("member {name:?} is there twice"));
             }
-            if read.is_ok_and(|addr| !places.insert(addr)) {
-                self.says(line, format!("two members at {addr}"));
+            if parsed.is_ok_and(|addr| !addrs.insert(addr)) {
+                self.error(line, format!("two members have the address {addr}"));
             }
-            // One without a known address is told of above, and counts for the stages.
+            // A member with an invalid address was reported above; it still counts for the stages.
             members.push((
                 FleetMember { name, zone },
                 addr.parse().unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0))),
@@ -191,17 +197,18 @@
         members
     }
 
-    /// "canary" (one of each zone), "10%" or a number of members; each more than the one before, the last all.
+    /// Each stage is "canary" (one member of each zone), a share like "10%" or a number of members. Each is larger than the
+    /// one before, and the last is all members.
     fn stages(&mut self, plan: &DeTable<'_>, members: usize, zones: usize) -> Vec<usize> {
         let Some(value) = plan.get("stages") else {
-            let usual = [zones, (members / 10).max(zones + 1), (members * 3).div_ceil(10), members];
-            let mut stages: Vec<usize> = usual.into_iter().map(|count| count.min(members)).collect();
+            let default = [zones, (members / 10).max(zones + 1), (members * 3).div_ceil(10), members];
+            let mut stages: Vec<usize> = default.into_iter().map(|count| count.min(members)).collect();
             stages.sort_unstable();
             stages.dedup();
             return stages;
         };
         let DeValue::Array(entries) = value.get_ref() else {
-            self.says(value.span().start, r#"stages has to be a list like ["canary", "10%", "100%"]"#);
+            self.error(value.span().start, r#"stages has to be an array like ["canary", "10%", "100%"]"#);
             return Vec::new();
         };
         let (mut stages, mut last_share): (Vec<usize>, f64) = (Vec::new(), 0.0);
@@ -211,119 +218,124 @@
                 DeValue::String(word) => {
                     let share = word.strip_suffix('%').and_then(|share| share.trim().parse::<f64>().ok());
                     let share = share.filter(|share| *share > 0.0 && *share <= 100.0);
-                    let falls = share.is_some_and(|share| share <= std::mem::replace(&mut last_share, share));
-                    if falls {
-                        self.says(entry.span().start, "a stage has to be larger than the one before");
+                    let is_not_larger =
+                        share.is_some_and(|share| share <= std::mem::replace(&mut last_share, share));
+                    if is_not_larger {
+                        self.error(entry.span().start, "a stage has to be larger than the one before");
                     }
                     share.map(|share| (share / 100.0 * members as f64).ceil() as usize)
                 }
                 _ => self.number(entry).map(|number| number as usize),
             };
             match count.filter(|&count| count > 0 && count <= members) {
-                // In a small fleet a few in a hundred may be no more than one of each zone.
+                // In a small fleet a small share may be no more members than the canaries.
                 Some(count) if matches!(entry.get_ref(), DeValue::String(_)) => {
                     if stages.last().is_none_or(|&last| count > last) {
                         stages.push(count);
                     }
                 }
                 Some(count) if stages.last().is_none_or(|&last| count > last) => stages.push(count),
-                Some(_) => self.says(entry.span().start, "a stage has to be larger than the one before"),
+                Some(_) => self.error(entry.span().start, "a stage has to be larger than the one before"),
                 None => {
-                    let known =
+                    let message =
                         format!(r#"a stage is "canary", a share like "10%", or 1 to {members} members"#);
-                    self.says(entry.span().start, known);
+                    self.error(entry.span().start, message);
                 }
             }
         }
         if members > 0 && stages.last() != Some(&members) {
-            self.says(value.span().start, "the last stage has to be all members, \"100%\"");
+            self.error(value.span().start, "the last stage has to be all members, \"100%\"");
         }
         stages
     }
 }
 
-/// How many letters differ, roughly: enough to find a slip of the pen.
+/// A rough count of differing letters, enough to find a misspelt key.
 fn distance(one: &str, other: &str) -> usize {
     let count = |a: &str, b: &str| a.chars().filter(|c| !b.contains(*c)).count();
     count(one, other) + count(other, one) + one.len().abs_diff(other.len())
 }
 
 impl Plan {
-    /// Or all that is wrong with it, each as `FILE:LINE: what`.
+    /// Parses and validates a plan. On failure returns all errors, each as `FILE:LINE: message`.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<String>> {
-        let mut reader = Reader { text, found: Vec::new() };
+        let mut reader = Reader { text, errors: Vec::new() };
         let parsed = DeTable::parse(text);
         let plan = match &parsed {
             Ok(table) => table.get_ref(),
             Err(error) => {
-                reader.says(error.span().map_or(0, |span| span.start), error.message().to_owned());
-                return Err(told(file, reader.found));
+                reader.error(error.span().map_or(0, |span| span.start), error.message().to_owned());
+                return Err(format_errors(file, reader.errors));
             }
         };
-        reader.keys(plan, &KEYS);
-        let (fleet, settings) = (reader.text_of(plan, "fleet", 0), reader.text_of(plan, "settings", 0));
-        let what = match plan.get("what").map(|value| (value.get_ref(), value.span().start)) {
+        reader.check_keys(plan, &PLAN_KEYS);
+        let (fleet, settings_file) = (reader.string(plan, "fleet", 0), reader.string(plan, "settings", 0));
+        let is_program_update = match plan.get("what").map(|value| (value.get_ref(), value.span().start)) {
             None => Some(false),
             Some((DeValue::String(word), _)) if word == "settings" => Some(false),
             Some((DeValue::String(word), _)) if word == "programs" => Some(true),
             Some((_, at)) => {
-                reader.says(at, r#"what is "settings" or "programs""#);
+                reader.error(at, r#"what has to be "settings" or "programs""#);
                 None
             }
         };
         let epoch = plan.get("epoch").and_then(|value| {
-            let told = reader.number(value).filter(|epoch| *epoch >= 1.0 && epoch.fract() == 0.0);
-            told.is_none().then(|| reader.says(value.span().start, "epoch has to be a whole number above 0"));
-            told.map(|epoch| epoch as u64)
+            let number = reader.number(value).filter(|epoch| *epoch >= 1.0 && epoch.fract() == 0.0);
+            number.is_none().then(|| reader.error(value.span().start, "epoch has to be a positive integer"));
+            number.map(|epoch| epoch as u64)
         });
         let members = reader.members(plan);
-        let places: Vec<FleetMember> = members.iter().map(|member| member.0.clone()).collect();
-        let zones: BTreeSet<&str> = places.iter().map(|place| &*place.zone).collect();
+        let fleet_members: Vec<FleetMember> = members.iter().map(|member| member.0.clone()).collect();
+        let zones: BTreeSet<&str> = fleet_members.iter().map(|member| &*member.zone).collect();
         let stages = reader.stages(plan, members.len(), zones.len());
-        let [observe, settle, watch, within, unheard, doubt] = reader.numbers(plan, "times", &TIMES);
-        let [loss, chance, requests, both, memory] = reader.numbers(plan, "limits", &LIMITS);
-        if unheard >= within {
+        let [observe, settle, watch, confirm_timeout, unheard, doubt] =
+            reader.numbers(plan, "times", &TIME_KEYS);
+        let [loss, chance, requests, both_worse, memory] = reader.numbers(plan, "limits", &LIMIT_KEYS);
+        if unheard >= confirm_timeout {
             let at = plan.get("times").map_or(0, |value| value.span().start);
-            reader.says(
+            reader.error(
                 at,
-                "unheard_s has to be under confirm_within_s, or a member goes back before it is missed",
+                "unheard_s has to be under confirm_within_s, or a member reverts before it counts as unreachable",
             );
         }
-        if !reader.found.is_empty() {
-            return Err(told(file, reader.found));
+        if !reader.errors.is_empty() {
+            return Err(format_errors(file, reader.errors));
         }
         let ms = |seconds: f64| (seconds * 1e3).round() as u64;
-        let turns = interleave_zones(&places);
-        let at =
-            |place: &FleetMember| members.iter().find(|member| member.0 == *place).map(|member| member.1);
+        let ordered = interleave_zones(&fleet_members);
+        let addr =
+            |wanted: &FleetMember| members.iter().find(|member| member.0 == *wanted).map(|member| member.1);
         Ok(Plan {
             fleet,
-            is_program_update: what.unwrap_or(false),
+            is_program_update: is_program_update.unwrap_or(false),
             epoch,
-            settings_file: settings,
-            members: turns.into_iter().filter_map(|place| Some((place.clone(), at(&place)?))).collect(),
+            settings_file,
+            members: ordered
+                .into_iter()
+                .filter_map(|member| Some((member.clone(), addr(&member)?)))
+                .collect(),
             stages,
             config: RolloutConfig {
                 observe_ms: ms(observe),
                 settle_ms: ms(settle),
                 watch_ms: ms(watch),
                 min_requests: requests as u64,
-                confirm_timeout_ms: ms(within),
+                confirm_timeout_ms: ms(confirm_timeout),
                 unreachable_after_ms: ms(unheard),
                 trial_revert_after_ms: ms(doubt),
                 min_detectable_loss: loss,
                 max_false_stop_probability: chance,
-                max_common_loss_increase: both,
+                max_common_loss_increase: both_worse,
                 max_memory_ratio: memory,
-                restart_controls: what == Some(true),
+                restart_controls: is_program_update == Some(true),
             },
         })
     }
 }
 
-fn told(file: &str, mut found: Vec<Found>) -> Vec<String> {
-    found.sort_by_key(|one| one.line);
-    found.into_iter().map(|one| format!("{file}:{}: {}", one.line, one.what)).collect()
+fn format_errors(file: &str, mut errors: Vec<PlanError>) -> Vec<String> {
+    errors.sort_by_key(|error| error.line);
+    errors.into_iter().map(|error| format!("{file}:{}: {}", error.line, error.message)).collect()
 }
 
 #[cfg(test)]
--- a/crates/flintwell-rollout/src/plan/tests.rs
+++ b/crates/flintwell-rollout/src/plan/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const WELL: &str = r#"
+const VALID: &str = r#"
 fleet = "f"
 settings = "new.json"
 stages = ["canary", "50%", "100%"]
@@ -27,28 +27,28 @@
 "#;
 
 #[test]
-fn one_of_each_zone_comes_first_and_what_is_not_told_has_a_stated_value() {
-    let plan = Plan::parse("p", WELL).expect("a plan");
+fn canaries_of_each_zone_come_first_and_missing_keys_get_defaults() {
+    let plan = Plan::parse("p", VALID).expect("a plan");
     let names: Vec<&str> = plan.members.iter().map(|member| &*member.0.name).collect();
     assert_eq!((names, &*plan.stages), (vec!["n0", "n2", "n1", "n3"], &[2, 4][..]));
     assert_eq!(
         (plan.config.watch_ms, plan.config.min_detectable_loss, plan.config.settle_ms),
         (2_000, 0.05, 1_000)
     );
-    let usual = Plan::parse("p", &WELL.replace("stages = [\"canary\", \"50%\", \"100%\"]\n", ""));
-    assert_eq!(usual.expect("a plan").stages, vec![2, 3, 4]);
+    let default_stages = Plan::parse("p", &VALID.replace("stages = [\"canary\", \"50%\", \"100%\"]\n", ""));
+    assert_eq!(default_stages.expect("a plan").stages, vec![2, 3, 4]);
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once_with_its_line() {
-    let wrong = WELL
+fn all_errors_are_reported_at_once_with_their_lines() {
+    let invalid = VALID
         .replace("fleet = \"f\"", "fleat = \"f\"")
         .replace("[\"canary\", \"50%\", \"100%\"]", "[3, 2, \"120%\"]")
         .replace("watch_s = 2", "watch_s = -2\nunheard_s = 60")
         .replace("name = \"n2\"\nzone", "name = \"n1\"\nzona")
         .replace("127.0.0.1:4", "nowhere");
-    let told = Plan::parse("p.toml", &wrong).expect_err("wrong");
-    for (line, what) in [
+    let errors = Plan::parse("p.toml", &invalid).expect_err("invalid");
+    for (line, message) in [
         (1, "fleet is missing"),
         (2, r#"unknown key "fleat"; the nearest is "fleet""#),
         (4, "a stage has to be larger"),
@@ -60,11 +60,11 @@
         (18, "member \"n1\" is there twice"),
         (25, "at = \"nowhere\""),
     ] {
-        let place = format!("p.toml:{line}: ");
+        let prefix = format!("p.toml:{line}: ");
         assert!(
-            told.iter().any(|one| one.starts_with(&place) && one.contains(what)),
-            "{line} {what}: {told:#?}"
+            errors.iter().any(|error| error.starts_with(&prefix) && error.contains(message)),
+            "{line} {message}: {errors:#?}"
         );
     }
-    assert_eq!(Plan::parse("p", "fleet = ").expect_err("no TOML").len(), 1);
+    assert_eq!(Plan::parse("p", "fleet = ").expect_err("not TOML").len(), 1);
 }
