--- a/crates/flintwell-rollout/src/controller.rs
+++ b/crates/flintwell-rollout/src/controller.rs
@@ -1,6 +1,8 @@
-//! The one who rolls out: a state machine over what members say of themselves. What it has decided lies in a journal
-//! before a word goes out; all else is worked out anew from the members' own words, so that it goes on after its end at
-//! any point, and every word may be lost, doubled or late.
+//! The rollout controller: a state machine over the reports of the members. Its decisions are written to a journal
+//! before any request is sent; everything else is derived from the members' reports. The controller can therefore be
+//! killed and resumed at any point, and requests may be lost, duplicated or delayed.
+//!
+//! "New" members run the change, "old" members do not.
 
 use crate::judge::{Judge, JudgeConfig, SLOW_QUANTILES, Sample, SamplePair, Verdict};
 use crate::wire::{MemberCounters, Status, decode_histogram, new_latency_histogram};
@@ -8,27 +10,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-const RECENT: u64 = 3_000; // ms; over which the old ones' losses are looked at, some steps of a second each
-const TIMES: u64 = 5_000; // ms; a spell of the old ones' times, of which the last two count
-const RECENT_LEAST: u64 = 60; // requests within it; under that a share says nothing
-const SHOWN: u32 = 2; // recoveries at which harm that meets all counts as the change's doing
-const RECOVERED: f64 = 0.5; // of the limit at which both count as worse; under it they are well again
-const LATE: u64 = 2_000; // ms past its time after which a member that is not heard has gone back for sure
-const TURNS: usize = 24; // rounds in which a whole fleet changes at the quickest, so that the origin's answer is seen between
-const ROOM: f64 = 0.1; // of fetches refused, above what was refused while observed; from there the origin has no room
-const ROOM_SEEN: u64 = 1_000; // ms; over which its refusals are looked at: longer, and more has changed meanwhile
-const ROOM_LEAST: u64 = 20; // fetches within it; under that a share says nothing
-const MEMORY_LEAST: u64 = 16_384; // kB more than the old ones; less is no leak, whatever the ratio
-
-/// What a stage was judged by so far. Kept beside the journal, so that a kill costs what came since it was written and
-/// no more; without it the stage's evidence would begin anew, and its chance of a false stop with it.
+const LOSS_WINDOW_MS: u64 = 3_000; // several steps of one second each
+const MIN_WINDOW_REQUESTS: u64 = 60; // in the loss window; the loss rate of fewer requests is not meaningful
+const LATENCY_WINDOW_MS: u64 = 5_000; // the current and the previous window of old members' latencies are used
+const RECOVERIES_TO_UNDO: u32 = 2; // after so many recoveries on a trial revert, the change is to blame
+const RECOVERY_FACTOR: f64 = 0.5; // of the limit for common losses; below it the old members have recovered
+const EXPIRY_SLACK_MS: u64 = 2_000; // after the timeout; an unreachable member has reverted by then
+const MIN_ROUNDS_PER_FLEET: usize = 24; // for applying to a whole fleet, so that the origin's reaction is seen meanwhile
+const MAX_REFUSAL_INCREASE: f64 = 0.1; // of the origin's refusal rate over the baseline; above it the origin is full
+const REFUSAL_WINDOW_MS: u64 = 1_000; // short, since more members change in the meantime
+const MIN_WINDOW_ORIGIN_ATTEMPTS: u64 = 20; // in the refusal window; the rate of fewer attempts is not meaningful
+const MIN_MEMORY_EXCESS_KB: u64 = 16_384; // over the old members; less is not a leak, whatever the ratio
+
+/// The evidence on the current stage. It is stored beside the journal, so that a kill of the controller costs only what
+/// came after the last write; without it the stage's evidence would start again, and so would its false-stop
+/// probability.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     epoch: u64,
-    stages: usize,
+    #[serde(rename = "stages")]
+    stages_begun: usize,
     judge: Judge,
-    base: (u64, u64),
-    base_room: (u64, u64),
+    #[serde(rename = "base")]
+    baseline_losses: (u64, u64),
+    #[serde(rename = "base_room")]
+    baseline_refusals: (u64, u64),
 }
 
 /// One proxy of the fleet.
@@ -38,34 +44,37 @@
     pub zone: String,
 }
 
-/// What a plan says of times and limits; times in ms.
+/// Durations and limits of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutConfig {
-    /// Watched with nothing changed, to know what the groups differ by anyway.
+    /// Time before the first stage in which the baseline difference between the groups is measured.
     pub observe_ms: u64,
-    /// After a stage's last member has changed, before it is judged.
+    /// Time between the change of a stage's last member and the start of judging.
     pub settle_ms: u64,
-    /// At least so long is each stage judged.
+    /// Minimum time for which each stage is judged.
     pub watch_ms: u64,
-    /// Requests of the new that each stage is judged by at least, where there are old ones beside.
+    /// Minimum number of requests of the new members by which each stage is judged, as long as there are old members.
     pub min_requests: u64,
-    /// A change stays so long without our word.
+    /// An applied change is reverted by the member if no request arrives for this time.
     pub confirm_timeout_ms: u64,
-    /// A member not heard for so long is unheard.
+    /// A member without a report for this time counts as unreachable.
     pub unreachable_after_ms: u64,
-    /// Both worse for so long: a stage goes back to see whether the old ones recover.
+    /// If old and new are both worse for this time, the stage is reverted to see whether the old members recover.
     pub trial_revert_after_ms: u64,
+    /// The increase of the share of lost requests that has to be detected.
     pub min_detectable_loss: f64,
+    /// Upper bound of the probability of stopping a harmless change.
     pub max_false_stop_probability: f64,
-    /// The old ones' losses, above those while observed, from which on both count as worse.
+    /// Increase of the old members' loss rate over the baseline above which old and new both count as worse.
     pub max_common_loss_increase: f64,
-    /// Times the old ones' memory.
+    /// Largest mean memory of the new members relative to the old ones.
     pub max_memory_ratio: f64,
-    /// A change begins its process anew: so as many old ones do, and only those are compared with. What a fresh
-    /// process has to learn is the same on both sides then.
+    /// Set if the change restarts the process. As many old members then restart as well, and only those are compared
+    /// with, so that both groups warm up alike.
     pub restart_controls: bool,
 }
 
+/// Phase of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
     Observing,
@@ -76,29 +85,32 @@
     Undone,
 }
 
-/// What lies on disk before it is acted on.
+/// The controller's decisions, written to disk before they are acted on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Journal {
     pub epoch: u64,
     pub phase: Phase,
-    /// Stages begun.
+    /// Number of stages begun.
     #[serde(rename = "stages")]
     pub stages_begun: usize,
-    /// The last stage is back for a while, to see whether it is to blame.
+    /// The last stage is reverted for a while, to see whether it causes the losses.
     #[serde(rename = "back")]
     pub stage_reverted: bool,
-    /// Of the stages so tried, the last one.
+    /// The last stage that was reverted for this reason.
     #[serde(rename = "tried")]
     pub last_trial_stage: usize,
-    /// How often the old ones recovered then. Once may be chance: what ailed them may have ended just then.
+    /// How often the old members recovered during such a trial. One recovery may be chance: an unrelated fault may have
+    /// ended at that moment.
     #[serde(rename = "recovered")]
     pub recoveries: u32,
     pub paused: bool,
+    /// Why the rollout was undone.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
 impl Journal {
+    /// The journal of a rollout that has not changed anything yet.
     pub fn new(epoch: u64) -> Self {
         Journal {
             epoch,
@@ -111,11 +123,13 @@
             reason: String::new(),
         }
     }
+    /// Whether the rollout is done or undone.
     pub fn is_finished(&self) -> bool {
         matches!(self.phase, Phase::Done | Phase::Undone)
     }
 }
 
+/// Command for a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Command {
     Stage,
@@ -123,66 +137,71 @@
     Renew,
     Confirm,
     Revert,
-    /// Begin anew with what you have.
+    /// Start a fresh process of the same version.
     Restart,
 }
 
-/// What was heard of a member last.
+/// What is known of a member.
 #[derive(Clone, Debug, Default)]
-struct Heard {
-    at: u64,
+struct MemberState {
+    last_seen: u64,
     status: Option<Status>,
-    figures: Option<MemberCounters>,
-    times: Option<Histogram<u64>>,
-    /// Since its last word with the change in force.
-    delta: Option<(bool, Sample)>,
-    /// It runs the change, since this process's start.
-    carried: Option<u64>,
-    /// Its time is up at the latest then.
-    until: u64,
-    refused: Option<String>,
+    counters: Option<MemberCounters>,
+    latencies: Option<Histogram<u64>>,
+    /// Whether the member ran the change at its last report, and its counts since the report before.
+    new_sample: Option<(bool, Sample)>,
+    /// Start time of the process that runs the change; none if the member does not run it.
+    changed_process: Option<u64>,
+    /// When an unconfirmed change is reverted at the latest.
+    expires_at: u64,
+    refusal: Option<String>,
 }
 
+/// State machine of one rollout.
 pub struct Controller {
     config: RolloutConfig,
     members: Vec<FleetMember>,
-    /// Of what each member is to get. Danger: another's change may stand there under the same number.
-    hashes: Vec<String>,
-    /// How many members have the change after each stage; they come in the members' order.
+    /// Hash of each member's target settings. Without it, another controller's change with the same epoch would be taken
+    /// for ours.
+    target_hashes: Vec<String>,
+    /// The number of changed members after each stage, in the members' order.
     stages: Vec<usize>,
     journal: Journal,
-    heard: Vec<Heard>,
+    member_states: Vec<MemberState>,
     judge: Judge,
-    /// When the phase was reached, or the stage as it is now by all its members, and they have settled.
-    reached: Option<u64>,
-    began: u64,
-    /// Lost and all of the old ones, by when they were told.
-    recent: Vec<(u64, u64, u64)>,
-    base: (u64, u64),
-    /// Refused by the origin and sent to it, of all members, by when they were told; and while observed.
-    room: Vec<(u64, u64, u64)>,
-    base_room: (u64, u64),
-    /// Since when the stage waits for the origin's room.
-    short_since: Option<u64>,
+    /// While observing: when all members became reachable. In a stage: when all its members have changed and settled,
+    /// which may be in the future.
+    measuring_since: Option<u64>,
+    started_at: u64,
+    /// Lost and all requests of the old members, with the time of the report.
+    old_losses: Vec<(u64, u64, u64)>,
+    baseline_losses: (u64, u64),
+    /// Refused and all origin attempts of all members, with the time of the report.
+    origin_refusals: Vec<(u64, u64, u64)>,
+    baseline_refusals: (u64, u64),
+    /// Since when the origin is too full for further changes.
+    origin_full_since: Option<u64>,
     worse_since: Option<u64>,
-    /// Of the old ones, within this spell and the one before.
-    old_times: [Histogram<u64>; 2],
-    spell: u64,
-    restarts: (u64, u64),
-    hold: Option<String>,
+    /// Latencies of the old members in the current and the previous window.
+    old_latencies: [Histogram<u64>; 2],
+    latency_window_start: u64,
+    /// Process ends of new and of old members.
+    process_ends: (u64, u64),
+    hold_reason: Option<String>,
 }
 
-/// Members in the order in which they change: one of each zone first, then zone by zone in turn.
+/// The order in which members change: one of each zone first, then the zones in rotation.
 pub fn interleave_zones(members: &[FleetMember]) -> Vec<FleetMember> {
     let mut zones: BTreeMap<&str, Vec<&FleetMember>> = BTreeMap::new();
     members.iter().for_each(|member| zones.entry(&member.zone).or_default().push(member));
-    let most = zones.values().map(Vec::len).max().unwrap_or(0);
-    let turn = |n: usize| zones.values().filter_map(move |zone| zone.get(n));
-    (0..most).flat_map(turn).map(|place| (*place).clone()).collect()
+    let largest = zones.values().map(Vec::len).max().unwrap_or(0);
+    let nth_of_each = |n: usize| zones.values().filter_map(move |zone| zone.get(n));
+    (0..largest).flat_map(nth_of_each).map(|member| (*member).clone()).collect()
 }
 
 impl Controller {
-    /// `members` in their turns, with the hash of what each is to get; `journal` as it lies on disk.
+    /// `members` are in the order in which they change, each with the hash of its target settings; `journal` is the one on
+    /// disk.
     pub fn new(
         now: u64,
         config: RolloutConfig,
@@ -190,7 +209,7 @@
         stages: Vec<usize>,
         journal: Journal,
     ) -> Self {
-        let (members, hashes): (Vec<FleetMember>, Vec<String>) = members.into_iter().unzip();
+        let (members, target_hashes): (Vec<FleetMember>, Vec<String>) = members.into_iter().unzip();
         let judge = Judge::new(JudgeConfig {
             min_detectable_loss: config.min_detectable_loss,
             max_false_stop_probability: config.max_false_stop_probability,
@@ -198,72 +217,82 @@
         });
         Controller {
             config,
-            heard: vec![Heard::default(); members.len()],
+            member_states: vec![MemberState::default(); members.len()],
             members,
-            hashes,
+            target_hashes,
             stages,
             journal,
             judge,
-            reached: None,
-            began: now,
-            recent: Vec::new(),
-            base: (0, 0),
-            room: Vec::new(),
-            base_room: (0, 0),
-            short_since: None,
+            measuring_since: None,
+            started_at: now,
+            old_losses: Vec::new(),
+            baseline_losses: (0, 0),
+            origin_refusals: Vec::new(),
+            baseline_refusals: (0, 0),
+            origin_full_since: None,
             worse_since: None,
-            old_times: [new_latency_histogram(), new_latency_histogram()],
-            spell: now,
-            restarts: (0, 0),
-            hold: None,
+            old_latencies: [new_latency_histogram(), new_latency_histogram()],
+            latency_window_start: now,
+            process_ends: (0, 0),
+            hold_reason: None,
         }
     }
 
+    /// The journal to keep on disk.
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
-    /// To be kept, where it may be asked for again.
+    /// The evidence to store for a controller that resumes this rollout.
     pub fn evidence(&self) -> Evidence {
-        let Journal { epoch, stages_begun: stages, .. } = self.journal;
-        let (judge, base, base_room) = (self.judge.clone(), self.base, self.base_room);
-        Evidence { epoch, stages, judge, base, base_room }
+        Evidence {
+            epoch: self.journal.epoch,
+            stages_begun: self.journal.stages_begun,
+            judge: self.judge.clone(),
+            baseline_losses: self.baseline_losses,
+            baseline_refusals: self.baseline_refusals,
+        }
     }
-    /// What was kept by whoever rolled out before us. Of an earlier stage only what was observed still counts.
-    pub fn restore_evidence(&mut self, kept: Evidence) {
-        if kept.epoch != self.journal.epoch || self.journal.phase != Phase::Rolling {
+    /// Restores the evidence of an earlier controller. If it is of an earlier stage, only the baseline counts.
+    pub fn restore_evidence(&mut self, stored: Evidence) {
+        if stored.epoch != self.journal.epoch || self.journal.phase != Phase::Rolling {
             return;
         }
-        (self.judge, self.base, self.base_room) = (kept.judge, kept.base, kept.base_room);
-        if kept.stages != self.journal.stages_begun {
+        self.judge = stored.judge;
+        (self.baseline_losses, self.baseline_refusals) = (stored.baseline_losses, stored.baseline_refusals);
+        if stored.stages_begun != self.journal.stages_begun {
             self.judge.start_stage();
         }
     }
-    /// Why it neither goes on nor back.
+    /// Why the rollout is waiting; none if it is not.
     pub fn hold_reason(&self) -> Option<&str> {
-        self.hold.as_deref()
+        self.hold_reason.as_deref()
     }
+    /// The verdict on the current stage.
     pub fn verdict(&self) -> Verdict {
         self.judge.verdict()
     }
+    /// The last status of a member.
     pub fn status(&self, n: usize) -> Option<&Status> {
-        self.heard[n].status.as_ref()
+        self.member_states[n].status.as_ref()
     }
+    /// Why a member refused the change.
     pub fn refusal(&self, n: usize) -> Option<&str> {
-        self.heard[n].refused.as_deref()
+        self.member_states[n].refusal.as_deref()
     }
 
-    /// The staff's words.
+    /// Pauses or resumes the rollout.
     pub fn set_paused(&mut self, paused: bool) {
         self.journal.paused = paused;
     }
-    pub fn undo(&mut self, why: &str) {
+    /// Starts to revert all members.
+    pub fn undo(&mut self, reason: &str) {
         if !matches!(self.journal.phase, Phase::Undone | Phase::Undoing) {
-            (self.journal.phase, self.journal.reason) = (Phase::Undoing, why.into());
+            (self.journal.phase, self.journal.reason) = (Phase::Undoing, reason.into());
         }
     }
 
     /// How many members should have the change now.
-    fn wanted(&self) -> usize {
+    fn target_count(&self) -> usize {
         match self.journal.phase {
             Phase::Observing | Phase::Undoing | Phase::Undone => 0,
             Phase::Rolling => {
@@ -274,253 +303,273 @@
         }
     }
 
-    /// The old ones that begin anew beside this stage's new: the next in turn, as many as there are new, or the rest.
+    /// Old members that restart as controls of this stage: the next in order, as many as there are new ones, or the rest.
     fn controls(&self) -> std::ops::Range<usize> {
-        let wanted = self.wanted();
-        let rolling = self.journal.phase == Phase::Rolling && self.config.restart_controls;
-        wanted..if rolling { (2 * wanted).min(self.members.len()) } else { wanted }
+        let target = self.target_count();
+        let has_controls = self.journal.phase == Phase::Rolling && self.config.restart_controls;
+        target..if has_controls { (2 * target).min(self.members.len()) } else { target }
     }
 
-    /// Whether a control has begun anew for this stage.
-    fn again(&self, n: usize) -> bool {
-        let for_us = (self.journal.epoch, self.journal.stages_begun);
-        self.heard[n].status.as_ref().is_some_and(|status| status.restarted_for == Some(for_us))
+    /// Whether a control has restarted for this stage.
+    fn has_restarted(&self, n: usize) -> bool {
+        let current_stage = (self.journal.epoch, self.journal.stages_begun);
+        let status = self.member_states[n].status.as_ref();
+        status.is_some_and(|status| status.restarted_for == Some(current_stage))
     }
 
-    fn has(&self, n: usize) -> bool {
-        self.heard[n].status.as_ref().is_some_and(|status| self.ours(n, status))
+    fn has_change(&self, n: usize) -> bool {
+        self.member_states[n].status.as_ref().is_some_and(|status| self.is_target(n, status))
     }
 
-    fn ours(&self, n: usize, status: &Status) -> bool {
-        (status.epoch, &status.hash) == (self.journal.epoch, &self.hashes[n])
+    /// Whether this status shows the change of this rollout as active.
+    fn is_target(&self, n: usize, status: &Status) -> bool {
+        (status.epoch, &status.hash) == (self.journal.epoch, &self.target_hashes[n])
     }
 
-    fn unheard(&self, now: u64, n: usize) -> bool {
-        now > self.heard[n].at.max(self.began) + self.config.unreachable_after_ms
-            || self.heard[n].status.is_none()
+    fn is_unreachable(&self, now: u64, n: usize) -> bool {
+        let state = &self.member_states[n];
+        now > state.last_seen.max(self.started_at) + self.config.unreachable_after_ms
+            || state.status.is_none()
     }
 
-    /// A member's own word on where it stands and what it counted.
-    pub fn on_report(&mut self, now: u64, n: usize, status: Status, figures: Option<MemberCounters>) {
-        let ours = self.ours(n, &status);
-        let wanted = self.wanted();
-        let heard = &mut self.heard[n];
-        heard.at = now;
-        // Danger: what failed for an earlier change is still told, and is no word on ours.
+    /// Handles a member's report: its status and counters.
+    pub fn on_report(&mut self, now: u64, n: usize, status: Status, counters: Option<MemberCounters>) {
+        let has_change = self.is_target(n, &status);
+        let target = self.target_count();
+        let state = &mut self.member_states[n];
+        state.last_seen = now;
+        // An error of an earlier change is still reported; it must not count as a refusal of this one.
         if status.staged == Some(self.journal.epoch) {
-            heard.refused = status.apply_error.clone().or(heard.refused.take());
+            state.refusal = status.apply_error.clone().or(state.refusal.take());
         }
-        heard.until = if ours && status.unconfirmed { now + status.remaining_ms } else { 0 };
-        // Danger: one that ended with the change in force comes back without it, and would be given it again for ever.
-        match heard.carried {
+        state.expires_at = if has_change && status.unconfirmed { now + status.remaining_ms } else { 0 };
+        // A process that ends with the change active comes back without it. Unless such ends are counted, the member would
+        // be given the change again for ever.
+        match state.changed_process {
             Some(started) if status.started_ms != started => {
-                // One that goes back on our word may begin anew for that.
-                self.restarts.0 += u64::from(n < wanted);
+                // A member that is being reverted may restart for that, which does not count.
+                self.process_ends.0 += u64::from(n < target);
             }
             _ => {
-                // One that began anew on our word has not ended.
-                let known = heard.status.as_ref().map(|status| (status.started_ms, status.restarted_for));
-                let other = known.is_some_and(|(known, again)| {
-                    known != status.started_ms && again == status.restarted_for
+                // A restart that was requested is not a process end.
+                let known = state.status.as_ref().map(|status| (status.started_ms, status.restarted_for));
+                let ended = known.is_some_and(|(started, restarted_for)| {
+                    started != status.started_ms && restarted_for == status.restarted_for
                 });
-                self.restarts.1 += u64::from(other && !ours);
+                self.process_ends.1 += u64::from(ended && !has_change);
             }
         }
-        heard.carried = ours.then_some(status.started_ms);
-        let times = figures.as_ref().and_then(|figures| decode_histogram(&figures.latencies));
-        let last = heard.figures.take();
-        let same = |last: &MemberCounters, new: &MemberCounters| {
+        state.changed_process = has_change.then_some(status.started_ms);
+        let latencies = counters.as_ref().and_then(|counters| decode_histogram(&counters.latencies));
+        let last = state.counters.take();
+        let is_same_run = |last: &MemberCounters, new: &MemberCounters| {
             (last.started_ms, last.epoch) == (new.started_ms, new.epoch) && new.epoch == status.epoch
         };
-        if let (Some(last), Some(new)) = (last, figures.as_ref())
-            && same(&last, new)
+        if let (Some(last), Some(new)) = (last, counters.as_ref())
+            && is_same_run(&last, new)
         {
-            // Danger: times of a cold start would stay among them, and what is slow now would look quick beside.
-            if now >= self.spell + TIMES {
-                self.spell = now;
-                self.old_times.swap(0, 1);
-                self.old_times[0].reset();
+            // Old windows are discarded: latencies of a cold start would otherwise stay in the histogram, and slow requests
+            // would look fast in comparison.
+            if now >= self.latency_window_start + LATENCY_WINDOW_MS {
+                self.latency_window_start = now;
+                self.old_latencies.swap(0, 1);
+                self.old_latencies[0].reset();
             }
-            let [current, before] = &self.old_times;
-            let mut both = before.clone();
+            let [current, previous] = &self.old_latencies;
+            let mut both = previous.clone();
             let _ = both.add(current);
-            let slow_from = Judge::slow_thresholds(&both);
-            let mut passed = times.clone();
-            if let (Some(passed), Some(before)) = (&mut passed, &heard.times) {
-                // One that can't be taken off was of another process.
-                let _ = passed.subtract(before);
+            let slow_thresholds = Judge::slow_thresholds(&both);
+            let mut recent = latencies.clone();
+            if let (Some(recent), Some(before)) = (&mut recent, &state.latencies) {
+                // The subtraction fails only if the earlier histogram is of another process.
+                let _ = recent.subtract(before);
             }
-            let of = |told: fn(&MemberCounters) -> u64| told(new).saturating_sub(told(&last));
-            self.room.push((now, of(|told| told.origin_refusals), of(|told| told.origin_attempts)));
-            let sample = between(&last, new, passed.as_ref(), slow_from);
-            if !ours {
-                // Bounds are alike, or it would not have been read.
-                let _ = passed.map(|passed| self.old_times[0].add(&passed));
-                let lost = sample.losses.values().map(|one| one.0).sum();
-                self.recent.push((now, lost, sample.requests));
+            let increase = |count: fn(&MemberCounters) -> u64| count(new).saturating_sub(count(&last));
+            self.origin_refusals.push((
+                now,
+                increase(|counters| counters.origin_refusals),
+                increase(|counters| counters.origin_attempts),
+            ));
+            let sample = sample_between(&last, new, recent.as_ref(), slow_thresholds);
+            if !has_change {
+                // Cannot fail: histograms with other bounds are not decoded.
+                let _ = recent.map(|recent| self.old_latencies[0].add(&recent));
+                let lost = sample.losses.values().map(|class| class.0).sum();
+                self.old_losses.push((now, lost, sample.requests));
             }
-            heard.delta = Some((ours, sample));
+            state.new_sample = Some((has_change, sample));
         }
-        (heard.status, heard.figures, heard.times) = (Some(status), figures, times);
+        (state.status, state.counters, state.latencies) = (Some(status), counters, latencies);
     }
 
-    /// Where a member stands after a word, as its answer says.
+    /// Handles the status in the response to a command.
     pub fn on_status(&mut self, now: u64, n: usize, status: Status) {
-        let ours = self.ours(n, &status);
-        let heard = &mut self.heard[n];
-        // An end of its process is told by `hears` alone.
-        if heard.status.as_ref().is_some_and(|known| known.started_ms == status.started_ms) {
-            heard.carried = ours.then_some(status.started_ms);
-            heard.until = if ours && status.unconfirmed { now + status.remaining_ms } else { 0 };
-            (heard.at, heard.status) = (now, Some(status));
+        let has_change = self.is_target(n, &status);
+        let state = &mut self.member_states[n];
+        // The status of a restarted process is left to `on_report`, which counts process ends.
+        if state.status.as_ref().is_some_and(|known| known.started_ms == status.started_ms) {
+            state.changed_process = has_change.then_some(status.started_ms);
+            state.expires_at = if has_change && status.unconfirmed { now + status.remaining_ms } else { 0 };
+            (state.last_seen, state.status) = (now, Some(status));
         }
     }
 
-    /// What a member would not do.
-    pub fn on_refusal(&mut self, n: usize, why: String) {
-        self.heard[n].refused = Some(why);
+    /// Handles a member's refusal of a command.
+    pub fn on_refusal(&mut self, n: usize, reason: String) {
+        self.member_states[n].refusal = Some(reason);
     }
 
-    /// Looks at all, decides, and says what each member is to be told. The journal has to lie on disk before that.
+    /// Evaluates the reports, decides, and returns the commands for the members. The journal has to be on disk before they
+    /// are sent.
     pub fn step(&mut self, now: u64) -> Vec<(usize, Command)> {
-        self.judges(now);
+        self.judge_samples(now);
         let before = (self.journal.phase, self.journal.stages_begun);
-        self.decides(now);
+        self.decide(now);
         if (self.journal.phase, self.journal.stages_begun) != before {
-            (self.reached, self.worse_since, self.short_since) = (None, None, None);
+            (self.measuring_since, self.worse_since, self.origin_full_since) = (None, None, None);
         }
-        self.words(now)
+        self.commands(now)
     }
 
-    /// New beside old, zone by zone, in what all told since the last look.
-    fn judges(&mut self, now: u64) {
+    /// Passes the samples reported since the last step to the judge, zone by zone.
+    fn judge_samples(&mut self, now: u64) {
         let mut zones: BTreeMap<&str, SamplePair> = BTreeMap::new();
-        let carriers = match self.journal.phase {
-            // As it will be at the first stage.
+        let future_canaries = match self.journal.phase {
+            // The baseline compares the groups of the first stage.
             Phase::Observing => self.stages.first().copied().unwrap_or(0),
             _ => 0,
         };
         let controls = self.controls();
-        // Danger: a change that itself leaves the origin no room would wait half-way for ever, and never be judged.
-        let waits = self.short_since.is_some_and(|since| now >= since + self.config.settle_ms);
-        // Danger: judged while it settles, what every change costs at first would be held against this one.
-        let judged = self.reached.is_some_and(|settled| now >= settled) || waits;
-        for (n, heard) in self.heard.iter_mut().enumerate() {
-            let Some((ours, sample)) = heard.delta.take() else { continue };
-            if !controls.is_empty() && !ours && !controls.contains(&n) {
+        // A change that itself fills the origin would otherwise wait halfway for ever and never be judged.
+        let is_held_by_origin =
+            self.origin_full_since.is_some_and(|since| now >= since + self.config.settle_ms);
+        // Nothing is judged while the stage settles: the initial cost of any change would count as harm of this one.
+        let is_judging = self.measuring_since.is_some_and(|since| now >= since) || is_held_by_origin;
+        for (n, state) in self.member_states.iter_mut().enumerate() {
+            let Some((has_change, sample)) = state.new_sample.take() else { continue };
+            if !controls.is_empty() && !has_change && !controls.contains(&n) {
                 continue;
             }
             let pair = zones.entry(&self.members[n].zone).or_default();
-            let side = if ours || n < carriers { &mut pair.new } else { &mut pair.old };
+            let side = if has_change || n < future_canaries { &mut pair.new } else { &mut pair.old };
             side.add(&sample);
         }
         for (zone, pair) in zones {
             match self.journal.phase {
                 Phase::Observing => self.judge.record_baseline(zone, &pair),
-                Phase::Rolling if judged => self.judge.compare(zone, &pair),
+                Phase::Rolling if is_judging => self.judge.compare(zone, &pair),
                 _ => {}
             }
         }
     }
 
-    /// The old ones' lost and all within the last seconds.
-    fn lately(&mut self, now: u64) -> (u64, u64) {
-        self.recent.retain(|told| told.0 + RECENT > now);
-        self.recent.iter().fold((0, 0), |sum, told| (sum.0 + told.1, sum.1 + told.2))
+    /// Lost and all requests of the old members within the loss window.
+    fn recent_old_losses(&mut self, now: u64) -> (u64, u64) {
+        self.old_losses.retain(|entry| entry.0 + LOSS_WINDOW_MS > now);
+        self.old_losses.iter().fold((0, 0), |sum, entry| (sum.0 + entry.1, sum.1 + entry.2))
     }
 
-    /// Why nothing more is begun: the origin refuses more than it did while observed.
-    fn short(&mut self, now: u64) -> Option<String> {
-        let (refused, all) = self.origin(now);
-        let base = self.base_room.0 as f64 / self.base_room.1.max(1) as f64;
-        let short = all >= ROOM_LEAST && refused as f64 > (base + ROOM) * all as f64;
-        self.short_since = short.then(|| self.short_since.unwrap_or(now));
-        short.then(|| format!("the origin refuses {refused} of {all} fetches; going on when it has room"))
+    /// Why no further member is changed: the origin refuses more than during the baseline.
+    fn check_origin_capacity(&mut self, now: u64) -> Option<String> {
+        let (refused, all) = self.recent_origin_refusals(now);
+        let baseline = self.baseline_refusals.0 as f64 / self.baseline_refusals.1.max(1) as f64;
+        let is_full = all >= MIN_WINDOW_ORIGIN_ATTEMPTS
+            && refused as f64 > (baseline + MAX_REFUSAL_INCREASE) * all as f64;
+        self.origin_full_since = is_full.then(|| self.origin_full_since.unwrap_or(now));
+        is_full
+            .then(|| format!("the origin refuses {refused} of {all} attempts; waiting until it has capacity"))
     }
 
-    /// Refused by the origin and sent to it within the last second.
-    fn origin(&mut self, now: u64) -> (u64, u64) {
-        self.room.retain(|told| told.0 + ROOM_SEEN > now);
-        self.room.iter().fold((0, 0), |sum, told| (sum.0 + told.1, sum.1 + told.2))
+    /// Refused and all origin attempts within the refusal window.
+    fn recent_origin_refusals(&mut self, now: u64) -> (u64, u64) {
+        self.origin_refusals.retain(|entry| entry.0 + REFUSAL_WINDOW_MS > now);
+        self.origin_refusals.iter().fold((0, 0), |sum, entry| (sum.0 + entry.1, sum.1 + entry.2))
     }
 
-    /// Whether the old ones are worse than while observed, too; none where too little is heard of them.
-    fn old_worse(&mut self, now: u64) -> Option<bool> {
-        let (lost, all) = self.lately(now);
-        let base = self.base.0 as f64 / self.base.1.max(1) as f64;
-        let factor = if self.journal.stage_reverted { RECOVERED } else { 1.0 };
-        (all >= RECENT_LEAST)
-            .then(|| lost as f64 / all as f64 > base + self.config.max_common_loss_increase * factor)
+    /// Whether the old members lose more than during the baseline; none if there are too few requests to tell.
+    fn are_old_members_worse(&mut self, now: u64) -> Option<bool> {
+        let (lost, all) = self.recent_old_losses(now);
+        let baseline = self.baseline_losses.0 as f64 / self.baseline_losses.1.max(1) as f64;
+        let factor = if self.journal.stage_reverted { RECOVERY_FACTOR } else { 1.0 };
+        let limit = baseline + self.config.max_common_loss_increase * factor;
+        (all >= MIN_WINDOW_REQUESTS).then(|| lost as f64 / all as f64 > limit)
     }
 
-    fn decides(&mut self, now: u64) {
-        self.hold = None;
+    fn decide(&mut self, now: u64) {
+        self.hold_reason = None;
         match self.journal.phase {
-            Phase::Observing => self.observes(now),
-            Phase::Rolling => self.rolls(now),
+            Phase::Observing => self.observe_baseline(now),
+            Phase::Rolling => self.advance(now),
             Phase::Confirming => {
-                let done = |n: usize| {
-                    let told = self.heard[n].status.as_ref();
-                    self.has(n) && told.is_some_and(|status| !status.unconfirmed)
+                let is_confirmed = |n: usize| {
+                    let status = self.member_states[n].status.as_ref();
+                    self.has_change(n) && status.is_some_and(|status| !status.unconfirmed)
                 };
-                if (0..self.members.len()).all(done) {
+                if (0..self.members.len()).all(is_confirmed) {
                     self.journal.phase = Phase::Done;
                 } else {
-                    self.hold = self.names(now, "not heard").or(self.refusals());
+                    self.hold_reason = self.unreachable_members(now).or(self.first_refusal());
                 }
             }
             Phase::Undoing => {
-                // One not heard has gone back by itself once its time is up.
-                let back = |n: usize| match self.unheard(now, n) {
-                    true => now > self.heard[n].until.max(self.heard[n].at) + LATE && self.heard[n].until > 0,
-                    false => !self.has(n),
+                // An unreachable member has reverted by itself once its timeout has expired.
+                let is_reverted = |n: usize| {
+                    let state = &self.member_states[n];
+                    match self.is_unreachable(now, n) {
+                        true => {
+                            now > state.expires_at.max(state.last_seen) + EXPIRY_SLACK_MS
+                                && state.expires_at > 0
+                        }
+                        false => !self.has_change(n),
+                    }
                 };
-                if (0..self.members.len()).all(|n| back(n) || self.heard[n].status.is_none()) {
+                if (0..self.members.len()).all(|n| is_reverted(n) || self.member_states[n].status.is_none()) {
                     self.journal.phase = Phase::Undone;
                 } else {
-                    self.hold = self.names(now, "not heard");
+                    self.hold_reason = self.unreachable_members(now);
                 }
             }
             Phase::Done | Phase::Undone => {}
         }
     }
 
-    fn observes(&mut self, now: u64) {
-        self.hold = self.names(now, "not heard").or(self.paused());
-        if self.hold.is_some() {
-            // Nothing is known of those; the time counts anew.
-            (self.reached, self.base) = (None, (0, 0));
+    fn observe_baseline(&mut self, now: u64) {
+        self.hold_reason = self.unreachable_members(now).or(self.pause_reason());
+        if self.hold_reason.is_some() {
+            // The baseline lacks some members; it starts again.
+            (self.measuring_since, self.baseline_losses) = (None, (0, 0));
             return;
         }
-        let since = *self.reached.get_or_insert(now);
+        let since = *self.measuring_since.get_or_insert(now);
         if now >= since + self.config.observe_ms {
-            let lately = self.lately(now);
-            (self.base, self.base_room) = (lately, self.origin(now));
+            self.baseline_losses = self.recent_old_losses(now);
+            self.baseline_refusals = self.recent_origin_refusals(now);
             (self.journal.phase, self.journal.stages_begun) = (Phase::Rolling, 1);
         }
     }
 
-    fn rolls(&mut self, now: u64) {
+    /// Undoes the rollout on signs of harm; otherwise holds it or goes on to the next stage.
+    fn advance(&mut self, now: u64) {
         if let Verdict::Worse(measure, by) = self.judge.verdict() {
             return self.undo(&format!("the new are worse: {measure}, by {:.1} %", by * 100.0));
         }
-        let wanted = self.wanted();
-        let (new, old) = self.restarts;
-        if new * (self.members.len() - wanted).max(1) as u64 > old * wanted.max(1) as u64 {
+        let target = self.target_count();
+        let (new, old) = self.process_ends;
+        if new * (self.members.len() - target).max(1) as u64 > old * target.max(1) as u64 {
             return self.undo(&format!("{new} of the new ended and {old} of the old"));
         }
-        if let Some(why) = self.leaks() {
-            return self.undo(&why);
+        if let Some(reason) = self.memory_excess() {
+            return self.undo(&reason);
         }
-        if let Some(refused) = self.refusals() {
-            return self.undo(&refused);
+        if let Some(reason) = self.first_refusal() {
+            return self.undo(&reason);
         }
-        match self.old_worse(now) {
+        match self.are_old_members_worse(now) {
             Some(true) => {
                 let since = *self.worse_since.get_or_insert(now);
-                self.hold = Some("old and new are both worse than before".into());
+                self.hold_reason = Some("old and new are both worse than before".into());
                 if self.journal.stage_reverted && now >= since + 2 * self.config.trial_revert_after_ms {
-                    // They do not recover without it: it is not to blame.
+                    // No recovery without the stage, so it is not the cause.
                     (self.journal.stage_reverted, self.journal.recoveries, self.worse_since) =
                         (false, 0, None);
                 } else if !self.journal.stage_reverted
@@ -535,38 +584,40 @@
             }
             Some(false) if self.journal.stage_reverted => {
                 self.journal.recoveries += 1;
-                if self.journal.recoveries >= SHOWN {
-                    return self.undo("worse together: the old recovered each time the last stage went back");
+                if self.journal.recoveries >= RECOVERIES_TO_UNDO {
+                    return self
+                        .undo("worse together: the old recovered each time the last stage was reverted");
                 }
-                // Forward once more: only what comes again with the change is its doing.
+                // The stage is applied again: only losses that come back with it are caused by it.
                 self.journal.stage_reverted = false;
-                (self.reached, self.worse_since) = (None, None);
+                (self.measuring_since, self.worse_since) = (None, None);
                 self.judge.start_stage();
             }
             Some(false) => self.worse_since = None,
             None => {}
         }
-        let ready = (0..wanted).all(|n| self.has(n)) && self.controls().all(|n| self.again(n));
-        self.hold = self.names(now, "not heard").or(self.paused());
-        if self.hold.is_some() {
+        let is_stage_complete =
+            (0..target).all(|n| self.has_change(n)) && self.controls().all(|n| self.has_restarted(n));
+        self.hold_reason = self.unreachable_members(now).or(self.pause_reason());
+        if self.hold_reason.is_some() {
             return;
         }
-        let short = self.short(now);
-        if !ready {
-            self.hold = short;
+        let origin_full = self.check_origin_capacity(now);
+        if !is_stage_complete {
+            self.hold_reason = origin_full;
             return;
         }
-        let since = *self.reached.get_or_insert(now + self.config.settle_ms);
-        let beside = wanted < self.members.len();
+        let since = *self.measuring_since.get_or_insert(now + self.config.settle_ms);
+        let has_old_members = target < self.members.len();
         match self.judge.verdict() {
             _ if now < since + self.config.watch_ms => {}
-            Verdict::NoHarmFound(judged) if beside && judged < self.config.min_requests => {
-                self.hold =
-                    Some(format!("too few requests of the new: {judged} of {}", self.config.min_requests));
+            Verdict::NoHarmFound(judged) if has_old_members && judged < self.config.min_requests => {
+                let needed = self.config.min_requests;
+                self.hold_reason = Some(format!("too few requests of the new: {judged} of {needed}"));
             }
             _ if self.journal.stages_begun < self.stages.len() => {
-                if short.is_some() {
-                    self.hold = short;
+                if origin_full.is_some() {
+                    self.hold_reason = origin_full;
                     return;
                 }
                 (self.journal.stages_begun, self.journal.recoveries) = (self.journal.stages_begun + 1, 0);
@@ -576,90 +627,103 @@
         }
     }
 
-    fn leaks(&self) -> Option<String> {
-        let mean = |ours: bool| {
-            let told = |n: &usize| self.has(*n) == ours;
-            let of = (0..self.members.len()).filter(told).filter_map(|n| self.heard[n].figures.as_ref());
-            let (sum, count) = of.fold((0, 0), |sum, figures| (sum.0 + figures.memory_kb, sum.1 + 1));
+    /// A message if the new members use too much memory compared with the old ones.
+    fn memory_excess(&self) -> Option<String> {
+        let mean = |has_change: bool| {
+            let in_group = |n: &usize| self.has_change(*n) == has_change;
+            let group = (0..self.members.len()).filter(in_group);
+            let counters = group.filter_map(|n| self.member_states[n].counters.as_ref());
+            let (sum, count) = counters.fold((0, 0), |sum, counters| (sum.0 + counters.memory_kb, sum.1 + 1));
             (count > 0).then(|| sum / count)
         };
         let (new, old) = (mean(true)?, mean(false)?);
-        let much = new as f64 > old as f64 * self.config.max_memory_ratio && new > old + MEMORY_LEAST;
-        much.then(|| format!("the new take {new} kB of memory, the old {old} kB"))
+        let is_excessive =
+            new as f64 > old as f64 * self.config.max_memory_ratio && new > old + MIN_MEMORY_EXCESS_KB;
+        is_excessive.then(|| format!("the new use {new} kB of memory, the old {old} kB"))
     }
 
-    fn paused(&self) -> Option<String> {
+    fn pause_reason(&self) -> Option<String> {
         self.journal.paused.then(|| "paused".into())
     }
 
-    fn refusals(&self) -> Option<String> {
-        let told = self.heard.iter().zip(&self.members);
-        let mut told = told.filter_map(|(heard, member)| Some((&member.name, heard.refused.as_ref()?)));
-        told.next().map(|(name, why)| format!("{name} refuses: {why}"))
+    fn first_refusal(&self) -> Option<String> {
+        let states = self.member_states.iter().zip(&self.members);
+        let mut refusals = states.filter_map(|(state, member)| Some((&member.name, state.refusal.as_ref()?)));
+        refusals.next().map(|(name, reason)| format!("{name} refuses: {reason}"))
     }
 
-    fn names(&self, now: u64, what: &str) -> Option<String> {
-        let named = (0..self.members.len()).filter(|&n| self.unheard(now, n));
-        let names: Vec<&str> = named.map(|n| &*self.members[n].name).collect();
-        (!names.is_empty()).then(|| format!("{what}: {}", names.join(", ")))
+    /// A message that names the unreachable members.
+    fn unreachable_members(&self, now: u64) -> Option<String> {
+        let unreachable = (0..self.members.len()).filter(|&n| self.is_unreachable(now, n));
+        let names: Vec<&str> = unreachable.map(|n| &*self.members[n].name).collect();
+        (!names.is_empty()).then(|| format!("not heard: {}", names.join(", ")))
     }
 
-    /// What brings each member one step nearer to where it should be. Who is not heard gets its word too: it may be
-    /// only the way back that is cut.
-    fn words(&mut self, now: u64) -> Vec<(usize, Command)> {
-        let wanted = self.wanted();
-        let (mut words, mut applied) = (Vec::new(), 0);
-        let pace = self.members.len().div_ceil(TURNS);
+    /// The commands that bring each member one step closer to its target. Unreachable members are included: possibly only
+    /// their responses are lost.
+    fn commands(&mut self, now: u64) -> Vec<(usize, Command)> {
+        let target = self.target_count();
+        let (mut commands, mut applied) = (Vec::new(), 0);
+        let max_applied = self.members.len().div_ceil(MIN_ROUNDS_PER_FLEET);
         for n in 0..self.members.len() {
-            let Some(status) = &self.heard[n].status else { continue };
-            let (epoch, heard) = (self.journal.epoch, &self.heard[n]);
-            let word = match (self.journal.phase, self.ours(n, status)) {
+            let Some(status) = &self.member_states[n].status else { continue };
+            let (epoch, state) = (self.journal.epoch, &self.member_states[n]);
+            let command = match (self.journal.phase, self.is_target(n, status)) {
                 (Phase::Observing | Phase::Done | Phase::Undone, _) => None,
                 (Phase::Confirming, true) => status.unconfirmed.then_some(Command::Confirm),
-                (_, true) if n < wanted => Some(Command::Renew),
+                (_, true) if n < target => Some(Command::Renew),
                 (_, true) => Some(Command::Revert),
-                (_, false) if self.controls().contains(&n) && !self.again(n) => Some(Command::Restart),
-                (_, false) if n >= wanted => None,
-                // Danger: nothing new is begun while it is held, nor given again to one that may have ended of it.
-                (Phase::Rolling, false) if self.hold.is_some() || heard.refused.is_some() => None,
-                // Danger: a stage of hundreds at once would ask the origin for all their moved keys before it can refuse.
-                (Phase::Rolling, false) if status.staged == Some(epoch) && applied >= pace => None,
+                (_, false) if self.controls().contains(&n) && !self.has_restarted(n) => {
+                    Some(Command::Restart)
+                }
+                (_, false) if n >= target => None,
+                // No member is changed during a hold. A member whose process may have ended because of the change must not
+                // be given it again.
+                (Phase::Rolling, false) if self.hold_reason.is_some() || state.refusal.is_some() => None,
+                // Hundreds of members changing at once would request all their moved keys from the origin before its
+                // refusals are seen.
+                (Phase::Rolling, false) if status.staged == Some(epoch) && applied >= max_applied => None,
                 (_, false) if status.staged == Some(epoch) => Some(Command::Apply),
                 (_, false) => Some(Command::Stage),
             };
-            if let Some(word) = word {
-                applied += usize::from(word == Command::Apply);
-                if matches!(word, Command::Apply | Command::Renew) {
-                    self.heard[n].until = now + self.config.confirm_timeout_ms;
+            if let Some(command) = command {
+                applied += usize::from(command == Command::Apply);
+                if matches!(command, Command::Apply | Command::Renew) {
+                    self.member_states[n].expires_at = now + self.config.confirm_timeout_ms;
                 }
-                words.push((n, word));
+                commands.push((n, command));
             }
         }
-        words
+        commands
     }
 }
 
-/// What a member counted between two of its words.
-fn between(
+/// A member's counts between two of its reports.
+fn sample_between(
     last: &MemberCounters,
     new: &MemberCounters,
-    passed: Option<&Histogram<u64>>,
-    slow_from: Option<[u64; SLOW_QUANTILES.len()]>,
+    latencies: Option<&Histogram<u64>>,
+    slow_thresholds: Option<[u64; SLOW_QUANTILES.len()]>,
 ) -> Sample {
     let mut sample = Sample {
         attempts: new.attempts.saturating_sub(last.attempts),
         origin_attempts: new.origin_attempts.saturating_sub(last.origin_attempts),
-        slow_requests: slow_from.zip(passed).map_or([0; SLOW_QUANTILES.len()], |(from, passed)| {
-            from.map(|from| passed.len() - passed.count_between(0, from).min(passed.len()))
-        }),
+        slow_requests: slow_thresholds.zip(latencies).map_or(
+            [0; SLOW_QUANTILES.len()],
+            |(thresholds, latencies)| {
+                thresholds.map(|threshold| {
+                    latencies.len() - latencies.count_between(0, threshold).min(latencies.len())
+                })
+            },
+        ),
         ..Sample::default()
     };
-    for (case, ends) in &new.classes {
-        let before = last.classes.get(case).copied().unwrap_or_default();
-        let all = ends.total().saturating_sub(before.total());
-        let served = ends.served.saturating_sub(before.served);
+    for (class, counts) in &new.classes {
+        let before = last.classes.get(class).copied().unwrap_or_default();
+        let all = counts.total().saturating_sub(before.total());
+        let served = counts.served.saturating_sub(before.served);
         sample.requests += all;
-        sample.losses.insert(case.clone(), (all.saturating_sub(served), all));
+        sample.losses.insert(class.clone(), (all.saturating_sub(served), all));
     }
     sample
 }
