--- a/crates/flintwell-rollout/src/plan.rs
+++ b/crates/flintwell-rollout/src/plan.rs
@@ -214,9 +214,9 @@
         let (mut stages, mut last_share): (Vec<usize>, f64) = (Vec::new(), 0.0);
         for entry in entries.iter() {
             let count = match entry.get_ref() {
-                DeValue::String(word) if word == "canary" => Some(zones),
-                DeValue::String(word) => {
-                    let share = word.strip_suffix('%').and_then(|share| share.trim().parse::<f64>().ok());
+                DeValue::String(text) if text == "canary" => Some(zones),
+                DeValue::String(text) => {
+                    let share = text.strip_suffix('%').and_then(|share| share.trim().parse::<f64>().ok());
                     let share = share.filter(|share| *share > 0.0 && *share <= 100.0);
                     let is_not_larger =
                         share.is_some_and(|share| share <= std::mem::replace(&mut last_share, share));
@@ -272,8 +272,8 @@
         let (fleet, settings_file) = (reader.string(plan, "fleet", 0), reader.string(plan, "settings", 0));
         let is_program_update = match plan.get("what").map(|value| (value.get_ref(), value.span().start)) {
             None => Some(false),
-            Some((DeValue::String(word), _)) if word == "settings" => Some(false),
-            Some((DeValue::String(word), _)) if word == "programs" => Some(true),
+            Some((DeValue::String(text), _)) if text == "settings" => Some(false),
+            Some((DeValue::String(text), _)) if text == "programs" => Some(true),
             Some((_, at)) => {
                 reader.error(at, r#"what has to be "settings" or "programs""#);
                 None
