--- a/crates/flintwell-conduct/src/run.rs
+++ b/crates/flintwell-conduct/src/run.rs
@@ -5,10 +5,10 @@
 use crate::member_client::{CallError, get, post};
 use crate::state_folder;
 use crate::store::{MemberReport, Order, Report, RolloutStore};
-use flintwell_rollout::conductor::{Conductor, Journal, Phase, Place, Word};
+use flintwell_rollout::controller::{Controller, Journal, Phase, FleetMember, Command};
 use flintwell_rollout::judge::Verdict;
 use flintwell_rollout::plan::Plan;
-use flintwell_rollout::wire::{Figures, Named, PROTOCOL, Stage, Status, hash};
+use flintwell_rollout::wire::{MemberCounters, EpochRequest, PROTOCOL_VERSION, StageRequest, Status, hash};
 use flintwell_settings::node_list::NodeList;
 use flintwell_settings::{check_change, merge_settings};
 use serde_json::Value;
@@ -30,8 +30,8 @@
 /// Reads a plan and the settings file that it names.
 fn load_plan(file: &Path) -> Result<(Plan, Value), Errors> {
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{}: {e}", file.display())])?;
-    let plan = Plan::read(&file.display().to_string(), &text)?;
-    let settings_file = file.parent().unwrap_or(Path::new(".")).join(&plan.settings);
+    let plan = Plan::parse(&file.display().to_string(), &text)?;
+    let settings_file = file.parent().unwrap_or(Path::new(".")).join(&plan.settings_file);
     let with_path = |error: &dyn std::fmt::Display| vec![format!("{}: {error}", settings_file.display())];
     let changes = std::fs::read(&settings_file).map_err(|e| with_path(&e))?;
     let changes: Value = serde_json::from_slice(&changes).map_err(|e| with_path(&e))?;
@@ -44,7 +44,7 @@
 
 /// Calls all members concurrently; the results are in the order of the members.
 async fn call_all<T, F>(
-    members: &[(Place, SocketAddr)],
+    members: &[(FleetMember, SocketAddr)],
     call: impl Fn(SocketAddr) -> F,
 ) -> Vec<Result<T, CallError>>
 where
@@ -95,7 +95,7 @@
                 }
                 let changed = merge_settings(settings.clone(), changes.clone());
                 // A change of program is checked by each supervisor, since the file is on the supervisor's machine.
-                if let (false, Err(why)) = (plan.programs, check_change(&settings, &changed)) {
+                if let (false, Err(why)) = (plan.is_program_update, check_change(&settings, &changed)) {
                     errors.push(format!("{name}: {why}"));
                 }
                 new.push((name.clone(), changed));
@@ -115,12 +115,12 @@
 }
 
 /// Requests and origin fetches per second, summed over all members.
-async fn measure_traffic(members: &[(Place, SocketAddr)]) -> (f64, f64) {
-    let sample = || call_all::<Figures, _>(members, |addr| async move { get(addr, "figures").await });
-    let sum = |figures: Vec<Result<Figures, CallError>>| {
-        let counts = |figures: &Figures| {
-            let requests: u64 = figures.cases.values().map(flintwell_rollout::wire::Ends::all).sum();
-            (requests, figures.fetches)
+async fn measure_traffic(members: &[(FleetMember, SocketAddr)]) -> (f64, f64) {
+    let sample = || call_all::<MemberCounters, _>(members, |addr| async move { get(addr, "figures").await });
+    let sum = |figures: Vec<Result<MemberCounters, CallError>>| {
+        let counts = |figures: &MemberCounters| {
+            let requests: u64 = figures.classes.values().map(flintwell_rollout::wire::RequestCounts::total).sum();
+            (requests, figures.origin_attempts)
         };
         figures.iter().flatten().map(counts).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     };
@@ -143,7 +143,7 @@
         println!("stage {}: {to} members in total, added: {}", n + 1, names.join(" "));
         from = to;
     }
-    if plan.programs {
+    if plan.is_program_update {
         println!("nothing has changed; start with `flintwell rollout start {}`", file.display());
         return Ok(0);
     }
@@ -175,7 +175,7 @@
 pub async fn start(file: &Path) -> Result<u8, Errors> {
     let (plan, changes) = load_plan(file)?;
     let mut store = RolloutStore::open(&state_folder(file)).map_err(|why| vec![why])?;
-    let journal = match store.last_state.clone().filter(|journal| !journal.over()) {
+    let journal = match store.last_state.clone().filter(|journal| !journal.is_finished()) {
         Some(journal) => {
             println!("resuming epoch {}, {:?}", journal.epoch, journal.phase);
             journal
@@ -197,7 +197,7 @@
     let Some(mut journal) = store.last_state.clone().filter(|journal| journal.phase == Phase::Done) else {
         return Err(vec!["this plan has no finished rollout; use `abort` for one in progress".into()]);
     };
-    (journal.phase, journal.why) = (Phase::Undoing, "undone by the operator".into());
+    (journal.phase, journal.reason) = (Phase::Undoing, "undone by the operator".into());
     store.append(&journal).map_err(|why| vec![why])?;
     conduct(&plan, store, journal).await
 }
@@ -206,22 +206,22 @@
 async fn conduct(plan: &Plan, mut store: RolloutStore, journal: Journal) -> Result<u8, Errors> {
     let began = Instant::now();
     let now = || began.elapsed().as_millis() as u64;
-    let places: Vec<Place> = plan.members.iter().map(|member| member.0.clone()).collect();
+    let places: Vec<FleetMember> = plan.members.iter().map(|member| member.0.clone()).collect();
     let mut settings = Vec::new();
     for place in &places {
         settings.push(store.member_settings(&place.name).map_err(|why| vec![why])?);
     }
     let members = places.into_iter().zip(settings.iter().map(hash)).collect();
     let epoch = journal.epoch;
-    let mut conductor = Conductor::new(now(), plan.rules.clone(), members, plan.stages.clone(), journal);
-    store.load_evidence().into_iter().for_each(|evidence| conductor.recalls(evidence));
+    let mut conductor = Controller::new(now(), plan.config.clone(), members, plan.stages.clone(), journal);
+    store.load_evidence().into_iter().for_each(|evidence| conductor.restore_evidence(evidence));
     let mut evidence_saved_at = now();
     let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last_line = String::new();
     loop {
         ticks.tick().await;
-        let responses: Vec<Result<(Status, Figures), CallError>> =
+        let responses: Vec<Result<(Status, MemberCounters), CallError>> =
             call_all(&plan.members, |addr| async move {
                 let (status, figures) = tokio::join!(get(addr, "status"), get(addr, "figures"));
                 Ok((status?, figures?))
@@ -229,12 +229,12 @@
             .await;
         for (n, response) in responses.into_iter().enumerate() {
             if let Ok((status, figures)) = response {
-                conductor.hears(now(), n, status, Some(figures));
+                conductor.on_report(now(), n, status, Some(figures));
             }
         }
         match store.take_order() {
-            Some(Order::Pause) => conductor.pause(true),
-            Some(Order::Resume) => conductor.pause(false),
+            Some(Order::Pause) => conductor.set_paused(true),
+            Some(Order::Resume) => conductor.set_paused(false),
             Some(Order::Abort) if conductor.journal().phase != Phase::Confirming => {
                 conductor.undo("aborted by the operator")
             }
@@ -264,7 +264,7 @@
             println!("{line}");
             last_line = line;
         }
-        if conductor.journal().over() {
+        if conductor.journal().is_finished() {
             return Ok(u8::from(conductor.journal().phase != Phase::Done));
         }
         send_messages(plan, &settings, epoch, &mut conductor, messages, &now).await;
@@ -276,50 +276,50 @@
     plan: &Plan,
     settings: &[Value],
     epoch: u64,
-    conductor: &mut Conductor,
-    messages: Vec<(usize, Word)>,
+    conductor: &mut Controller,
+    messages: Vec<(usize, Command)>,
     now: &impl Fn() -> u64,
 ) {
-    let stage = conductor.journal().stages;
-    let mut calls: JoinSet<(usize, Word, Result<Status, CallError>)> = JoinSet::new();
+    let stage = conductor.journal().stages_begun;
+    let mut calls: JoinSet<(usize, Command, Result<Status, CallError>)> = JoinSet::new();
     for (n, message) in messages {
         let (addr, fleet) = (plan.members[n].1, plan.fleet.clone());
-        let (settings, hash, within_ms) = (settings[n].clone(), hash(&settings[n]), plan.rules.within);
+        let (settings, hash, within_ms) = (settings[n].clone(), hash(&settings[n]), plan.config.confirm_timeout_ms);
         let named =
-            Named { protocol: PROTOCOL, fleet: fleet.clone(), epoch, hash: hash.clone(), within_ms, stage };
+            EpochRequest { protocol: PROTOCOL_VERSION, fleet: fleet.clone(), epoch, hash: hash.clone(), confirm_timeout_ms: within_ms, stage };
         calls.spawn(async move {
             let result = match message {
-                Word::Stage => {
-                    post(addr, "stage", &Stage { protocol: PROTOCOL, fleet, epoch, hash, settings }).await
+                Command::Stage => {
+                    post(addr, "stage", &StageRequest { protocol: PROTOCOL_VERSION, fleet, epoch, hash, settings }).await
                 }
-                Word::Apply => post(addr, "apply", &named).await,
-                Word::Renew => post(addr, "renew", &named).await,
-                Word::Confirm => post(addr, "confirm", &named).await,
-                Word::Revert => post(addr, "revert", &named).await,
-                Word::Again => post(addr, "again", &named).await,
+                Command::Apply => post(addr, "apply", &named).await,
+                Command::Renew => post(addr, "renew", &named).await,
+                Command::Confirm => post(addr, "confirm", &named).await,
+                Command::Revert => post(addr, "revert", &named).await,
+                Command::Restart => post(addr, "again", &named).await,
             };
             (n, message, result)
         });
     }
     while let Some(done) = calls.join_next().await {
         match done {
-            Ok((n, _, Ok(status))) => conductor.stands(now(), n, status),
+            Ok((n, _, Ok(status))) => conductor.on_status(now(), n, status),
             // Rejected settings stay rejected. Any later message that fails is sent again according to the status that
             // the member reports.
-            Ok((n, Word::Stage, Err(CallError::Rejected(why)))) => conductor.refuses(n, why),
+            Ok((n, Command::Stage, Err(CallError::Rejected(why)))) => conductor.on_refusal(n, why),
             _ => {}
         }
     }
 }
 
-fn report(plan: &Plan, conductor: &Conductor) -> Report {
+fn report(plan: &Plan, conductor: &Controller) -> Report {
     let verdict = match conductor.verdict() {
-        Verdict::Quiet(judged) => format!("no regression found in {judged} requests to changed members"),
+        Verdict::NoHarmFound(judged) => format!("no regression found in {judged} requests to changed members"),
         Verdict::Worse(measure, by) => {
             format!("changed members perform worse: {measure}, by {:.1} %", by * 100.0)
         }
     };
-    let member_report = |(n, (place, _)): (usize, &(Place, SocketAddr))| {
+    let member_report = |(n, (place, _)): (usize, &(FleetMember, SocketAddr))| {
         let status = conductor.status(n);
         MemberReport {
             name: place.name.clone(),
@@ -328,13 +328,13 @@
             epoch: status.map(|status| status.epoch),
             unconfirmed: status.is_some_and(|status| status.unconfirmed),
             program: status.map(|status| status.program.clone()).unwrap_or_default(),
-            refused: conductor.refused(n).map(str::to_owned),
+            refused: conductor.refusal(n).map(str::to_owned),
         }
     };
     Report {
         journal: conductor.journal().clone(),
         stages: plan.stages.clone(),
-        hold: conductor.hold().map(str::to_owned),
+        hold: conductor.hold_reason().map(str::to_owned),
         verdict,
         members: plan.members.iter().enumerate().map(member_report).collect(),
     }
--- a/crates/flintwell-conduct/src/store.rs
+++ b/crates/flintwell-conduct/src/store.rs
@@ -1,7 +1,7 @@
 //! Files of a rollout: the journal, the evidence and each member's new settings in an embedded database, the current
 //! state as JSON for other processes to read, and operators' orders as JSON that the rollout reads.
 
-use flintwell_rollout::conductor::{Evidence, Journal};
+use flintwell_rollout::controller::{Evidence, Journal};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -202,7 +202,7 @@
 
 impl Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let Journal { epoch, phase, stages, why, .. } = &self.journal;
+        let Journal { epoch, phase, stages_begun: stages, reason: why, .. } = &self.journal;
         writeln!(f, "epoch {epoch}: {phase:?}, stage {stages} of {}", self.stages.len())?;
         if !why.is_empty() {
             writeln!(f, "reason: {why}")?;
--- a/crates/flintwell-conduct/src/store/tests.rs
+++ b/crates/flintwell-conduct/src/store/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use flintwell_rollout::conductor::Phase;
+use flintwell_rollout::controller::Phase;
 use serde_json::json;
 
 #[test]
@@ -10,7 +10,7 @@
     assert_eq!(store.last_state, None);
     let mut journal = Journal::new(7);
     store.begin(&journal, &[("n0".into(), json!({"a": 1}))]).expect("begin");
-    (journal.phase, journal.stages) = (Phase::Rolling, 2);
+    (journal.phase, journal.stages_begun) = (Phase::Rolling, 2);
     store.append(&journal).expect("append");
     assert!(RolloutStore::open(&folder).err().is_some_and(|why| why.contains("another process")));
     drop(store);
--- a/crates/flintwell-state/src/tests.rs
+++ b/crates/flintwell-state/src/tests.rs
@@ -8,7 +8,7 @@
     let state = folder.path().join("state");
     let store = RecordStore::open(&state).expect("open the store");
     assert_eq!(store.read(), Ok(None));
-    let record = Member::start("f", None, &json!({"a": 1.5})).record().clone();
+    let record = Member::new("f", None, &json!({"a": 1.5})).record().clone();
     store.write(&record).expect("write");
     assert_eq!(store.read(), Ok(Some(record.clone())));
     let file = state.join(RECORD_FILE);
--- a/crates/flintwell-supervise/src/http.rs
+++ b/crates/flintwell-supervise/src/http.rs
@@ -42,7 +42,7 @@
                 let handler = handler.clone();
                 async move {
                     let (head, body) = request.into_parts();
-                    let max_bytes = flintwell_rollout::wire::MESSAGE_MOST;
+                    let max_bytes = flintwell_rollout::wire::MAX_MESSAGE_BYTES;
                     let (status, text) = match Limited::new(body, max_bytes).collect().await {
                         Ok(body) => {
                             let path = head.uri.path().strip_prefix("/api/rollout/").unwrap_or("").to_owned();
--- a/crates/flintwell-supervise/src/supervisor.rs
+++ b/crates/flintwell-supervise/src/supervisor.rs
@@ -2,8 +2,8 @@
 
 use crate::Settings;
 use crate::http::{Call, get, serve};
-use flintwell_rollout::member::{Member, Refusal, Step, Version};
-use flintwell_rollout::wire::{Figures, Named, Stage, Status};
+use flintwell_rollout::member::{Member, Refusal, Transition, Version};
+use flintwell_rollout::wire::{MemberCounters, EpochRequest, StageRequest, Status};
 use flintwell_state::RecordStore;
 use hyper::{Method, StatusCode};
 use rustix::process::{Pid, Signal, kill_process};
@@ -45,7 +45,7 @@
 /// Why a process is started.
 enum StartPurpose {
     /// To take over with a change, which is in force from then on.
-    Change(Box<Step>),
+    Change(Box<Transition>),
     /// To run the version in force, since it is not running.
     Restore,
     /// To restart the version in force as a control for this epoch and stage, so that it is compared with changed
@@ -166,9 +166,9 @@
             self.current = None;
             // An exit while the change is unconfirmed reverts the change.
             if self.member.record().unconfirmed {
-                let protocol = flintwell_rollout::wire::PROTOCOL;
+                let protocol = flintwell_rollout::wire::PROTOCOL_VERSION;
                 let fleet = self.settings.fleet.clone();
-                let message = Named { protocol, fleet, epoch, hash, within_ms: 0, stage: 0 };
+                let message = EpochRequest { protocol, fleet, epoch, hash, confirm_timeout_ms: 0, stage: 0 };
                 if self.member.revert(&message).is_ok() {
                     self.write_record();
                 }
@@ -177,11 +177,11 @@
             }
         }
         if let Some(record) = self.member.tick(now) {
-            log(&format!("change not confirmed in time; reverted to epoch {}", record.in_force.epoch));
+            log(&format!("change not confirmed in time; reverted to epoch {}", record.active.epoch));
             self.write_record();
         }
         self.poll_starting(ready_id);
-        let wanted = self.member.in_force().clone();
+        let wanted = self.member.active().clone();
         let differs = self.current.as_ref().is_none_or(|process| process.version != wanted);
         if self.starting.is_none() && differs && Instant::now() >= self.restart_at {
             self.begin_start(&wanted, StartPurpose::Restore);
@@ -211,7 +211,7 @@
                         StartPurpose::Change(step),
                     );
                 }
-                self.member.take(step.from(self.now()));
+                self.member.commit(step.with_timer_from(self.now()));
             } else if let StartPurpose::Control(stage) = purpose {
                 self.control_stage = Some(stage);
             }
@@ -237,8 +237,8 @@
         if let Some(process) = &self.current {
             (status.epoch, status.hash) = (process.version.epoch, process.version.hash.clone());
         }
-        status.failed.clone_from(&self.change_error);
-        status.again = self.control_stage;
+        status.apply_error.clone_from(&self.change_error);
+        status.restarted_for = self.control_stage;
         status
     }
 
@@ -247,14 +247,14 @@
         let conflict = |refusal: Refusal| (StatusCode::CONFLICT, refusal.to_string());
         let bad_request = |error: serde_json::Error| (StatusCode::BAD_REQUEST, error.to_string());
         let now = self.now();
-        let named = || serde_json::from_slice::<Named>(&call.body).map_err(bad_request);
+        let named = || serde_json::from_slice::<EpochRequest>(&call.body).map_err(bad_request);
         match &*call.path {
             "stage" => {
-                let stage: Stage = serde_json::from_slice(&call.body).map_err(bad_request)?;
+                let stage: StageRequest = serde_json::from_slice(&call.body).map_err(bad_request)?;
                 let step = self.member.stage(&stage, check_change).map_err(conflict)?;
                 self.write_step(&step)?;
                 self.change_error = None;
-                self.member.take(step);
+                self.member.commit(step);
             }
             "apply" => {
                 let step = self.member.apply(now, &named()?).map_err(conflict)?;
@@ -264,7 +264,7 @@
                 }
                 // A repeated message has no effect.
                 if let Some(step) = step.filter(|_| self.starting.is_none() && self.change_error.is_none()) {
-                    let version = step.record.in_force.clone();
+                    let version = step.record.active.clone();
                     self.begin_start(&version, StartPurpose::Change(Box::new(step)));
                 }
             }
@@ -285,14 +285,14 @@
                 let is_idle = self.starting.is_none() && self.stopping.is_empty();
                 let stage = (named.epoch, named.stage);
                 if is_idle && self.control_stage != Some(stage) && self.current.is_some() {
-                    let version = self.member.in_force().clone();
+                    let version = self.member.active().clone();
                     self.begin_start(&version, StartPurpose::Control(stage));
                 }
             }
             "confirm" => {
                 if let Some(step) = self.member.confirm(&named()?).map_err(conflict)? {
                     self.write_step(&step)?;
-                    self.member.take(step);
+                    self.member.commit(step);
                 }
             }
             "revert" => {
@@ -312,7 +312,7 @@
         Ok(())
     }
 
-    fn write_step(&self, step: &Step) -> Result<(), (StatusCode, String)> {
+    fn write_step(&self, step: &Transition) -> Result<(), (StatusCode, String)> {
         self.store.write(&step.record).map_err(|error| {
             let why = format!("change could not be recorded; nothing has changed: {error}");
             (StatusCode::INSUFFICIENT_STORAGE, why)
@@ -358,12 +358,12 @@
     };
     match (&*call.path, current) {
         ("status", _) => json(serde_json::to_string(&supervisor.borrow().status())),
-        ("settings", _) => json(serde_json::to_string(&supervisor.borrow().member.in_force().settings)),
+        ("settings", _) => json(serde_json::to_string(&supervisor.borrow().member.active().settings)),
         ("figures", Some((addr, epoch, started_ms))) => {
             let response = get(addr, "/api/rollout/figures").await;
-            let figures = response.and_then(|text| serde_json::from_slice::<Figures>(&text).ok());
+            let figures = response.and_then(|text| serde_json::from_slice::<MemberCounters>(&text).ok());
             // The process counts epochs of its settings; the supervisor's epoch is that of the program's version.
-            let figures = Figures { epoch, started_ms, ..figures.unwrap_or_default() };
+            let figures = MemberCounters { epoch, started_ms, ..figures.unwrap_or_default() };
             json(serde_json::to_string(&figures))
         }
         ("nodes", Some((addr, ..))) => match get(addr, "/api/rollout/nodes").await {
@@ -394,7 +394,7 @@
     let configured = json!({"program": settings.program});
     check_change(&configured, &configured)?;
     let stored = store.read().map_err(|why| log(&why)).ok().flatten();
-    let member = Member::start(&settings.fleet, stored, &configured);
+    let member = Member::new(&settings.fleet, stored, &configured);
     store.write(member.record()).map_err(|error| format!("state {}: {error}", settings.state.display()))?;
     let began = Instant::now();
     let supervisor = Rc::new(RefCell::new(Supervisor {
