--- a/crates/flintwell-emulator/examples/silent.rs
+++ b/crates/flintwell-emulator/examples/silent.rs
@@ -2,8 +2,8 @@
 //! it, by size of the fleet, with words between proxies and without.
 //! `cargo run --release -p flintwell-emulator --example silent`
 
-use flintwell_emulator::plan::{Fault, Shape};
-use flintwell_emulator::run::play;
+use flintwell_emulator::scenario::{Fault, SimulationConfig};
+use flintwell_emulator::simulation::simulate;
 
 fn main() {
     println!(
@@ -13,25 +13,26 @@
         for words in [false, true] {
             for seed in 1..=3 {
                 let caches = (proxies / 6).max(2);
-                let shape = Shape {
+                let shape = SimulationConfig {
                     proxies,
-                    words,
+                    peer_messaging: words,
                     seed,
-                    caches,
-                    origin_room: proxies * 4,
-                    seconds: 24,
-                    ..Shape::default()
+                    caches_per_zone: caches,
+                    origin_capacity: proxies * 4,
+                    duration_s: 24,
+                    ..SimulationConfig::default()
                 };
                 let faults = [
-                    (8_000_000, Fault::Silent { zone: 1, on: true }),
-                    (18_000_000, Fault::Silent { zone: 1, on: false }),
+                    (8_000_000, Fault::SilentZone { zone: 1, silent: true }),
+                    (18_000_000, Fault::SilentZone { zone: 1, silent: false }),
                 ];
-                let outcome = play(&shape, &faults);
+                let outcome = simulate(&shape, &faults);
                 let share = |from, to| {
                     let sum = outcome.sum(from, to);
-                    sum.in_time as f64 / sum.requests.max(1) as f64
+                    sum.served_within_target as f64 / sum.requests.max(1) as f64
                 };
-                let (first, all) = (outcome.sum(8, 10).unheard, outcome.sum(8, 18).unheard);
+                let (first, all) =
+                    (outcome.sum(8, 10).unanswered_attempts, outcome.sum(8, 18).unanswered_attempts);
                 println!(
                     "{proxies:7} {words:5} {seed:4}  {first:7} {all:7} {:7.1}  {:7.3} {:7.3} | {:5.3} {:5.3} {:5.3} lost {} {}",
                     all as f64 / proxies as f64,
@@ -40,8 +41,8 @@
                     share(18, 19),
                     share(19, 20),
                     share(20, 21),
-                    outcome.lost,
-                    outcome.doubled
+                    outcome.lost_requests,
+                    outcome.duplicate_answers
                 );
             }
         }
--- a/crates/flintwell-emulator/src/lib.rs
+++ b/crates/flintwell-emulator/src/lib.rs
@@ -2,5 +2,5 @@
 //! cache nodes, an origin and the datagrams between proxies made up by one seed. The same seed is the same run.
 
 mod node;
-pub mod plan;
-pub mod run;
+pub mod scenario;
+pub mod simulation;
--- a/crates/flintwell-emulator/src/run.rs
+++ b/crates/flintwell-emulator/src/simulation.rs
@@ -1,7 +1,7 @@
 //! The run itself: events in the order of virtual time.
 
 use crate::node::Node;
-use crate::plan::{Fault, Outcome, Second, Shape};
+use crate::scenario::{Fault, SecondStats, SimulationConfig, SimulationResult};
 use flintwell_core::interface::{
     AttemptStatus, Class, DedupScope, Host, Idempotency, IncomingRequest, Key, ListUpdateKind, Micros,
     NodeEntry, NodeId, NodeState, RequestId, Settings, WeightMode,
@@ -107,7 +107,7 @@
 }
 
 struct World {
-    shape: Shape,
+    shape: SimulationConfig,
     faults: Vec<(Micros, Fault)>,
     rng: ChaCha8Rng,
     now: Micros,
@@ -119,7 +119,7 @@
     cut: Option<usize>,
     fresh: u64,
     names: u64,
-    outcome: Outcome,
+    outcome: SimulationResult,
 }
 
 fn addr(n: usize) -> SocketAddr {
@@ -133,7 +133,7 @@
     }
 }
 
-fn settings(shape: &Shape, index: usize) -> Settings {
+fn settings(shape: &SimulationConfig, index: usize) -> Settings {
     let case = Class {
         idempotency: Idempotency::Safe,
         dedup_scope: DedupScope::All,
@@ -169,9 +169,9 @@
 }
 
 /// Plays the faults, each at its time, on a fleet of this shape.
-pub fn play(shape: &Shape, faults: &[(Micros, Fault)]) -> Outcome {
+pub fn simulate(shape: &SimulationConfig, faults: &[(Micros, Fault)]) -> SimulationResult {
     let mut world = World::new(shape, faults);
-    let end = shape.seconds * SECOND;
+    let end = shape.duration_s * SECOND;
     // What was asked last gets its answer.
     while let Some((&(at, count), _)) = world.events.first_key_value() {
         if at > end + 2 * DEADLINE {
@@ -183,19 +183,20 @@
         }
     }
     let open = world.proxies.iter().flat_map(|proxy| proxy.requests.values());
-    world.outcome.lost = open.filter(|request| !request.over).count() as u64;
-    world.outcome.seconds.truncate(shape.seconds as usize);
+    world.outcome.lost_requests = open.filter(|request| !request.over).count() as u64;
+    world.outcome.per_second.truncate(shape.duration_s as usize);
     world.outcome
 }
 
 impl World {
-    fn new(shape: &Shape, faults: &[(Micros, Fault)]) -> Self {
+    fn new(shape: &SimulationConfig, faults: &[(Micros, Fault)]) -> Self {
         let mut nodes: Vec<(NodeId, Node)> = Vec::new();
-        for n in 0..shape.caches * shape.zones as usize {
-            let node = Node::new(shape.cache_workers, shape.cache_queue, shape.cache_time);
+        for n in 0..shape.caches_per_zone * shape.zones as usize {
+            let node =
+                Node::new(shape.cache_workers, shape.cache_queue_capacity, shape.cache_service_time_us);
             nodes.push((format!("cache-{n:03}").into(), node));
         }
-        nodes.push(("origin".into(), Node::new(shape.origin_room, 0, shape.origin_time)));
+        nodes.push(("origin".into(), Node::new(shape.origin_capacity, 0, shape.origin_service_time_us)));
         let places = nodes.iter().enumerate().map(|(n, node)| (node.0.clone(), n)).collect();
         let mut world = World {
             rng: ChaCha8Rng::seed_from_u64(shape.seed),
@@ -210,7 +211,7 @@
             cut: None,
             fresh: 1 << 32,
             names: 0,
-            outcome: Outcome::default(),
+            outcome: SimulationResult::default(),
         };
         for n in 0..shape.proxies {
             let proxy = world.begins(n, 1);
@@ -242,7 +243,7 @@
             self.nodes.iter().enumerate().map(entry).collect(),
         );
         let ms = (self.now / 1_000) as u64;
-        let speaks = self.shape.words.then(|| {
+        let speaks = self.shape.peer_messaging.then(|| {
             let settings = member::Settings {
                 cluster: "emulated".into(),
                 key: Vec::new(),
@@ -254,7 +255,7 @@
             let share = SharedLimit::new(ms, life, self.shape.proxies as u32, seed);
             (Member::new(ms, settings), share, ProbeCoordinator::new(n as u32, seed))
         });
-        if self.shape.words {
+        if self.shape.peer_messaging {
             self.at(self.now, Event::Ticks { proxy: n, life });
             let first = self.rng.random_range(0..ROUND_MS as Micros * 1_000);
             self.at(self.now + first, Event::Round { proxy: n, life });
@@ -264,7 +265,7 @@
             out,
             life,
             paused_until: 0,
-            rate: self.shape.rate,
+            rate: self.shape.requests_per_second,
             requests: HashMap::new(),
             counted: FetchCounts::default(),
             speaks,
@@ -277,12 +278,12 @@
         self.events.insert((at, self.count), event);
     }
 
-    fn second(&mut self, at: Micros) -> &mut Second {
+    fn second(&mut self, at: Micros) -> &mut SecondStats {
         let n = (at / SECOND) as usize;
-        if self.outcome.seconds.len() <= n {
-            self.outcome.seconds.resize(n + 1, Second::default());
+        if self.outcome.per_second.len() <= n {
+            self.outcome.per_second.resize(n + 1, SecondStats::default());
         }
-        &mut self.outcome.seconds[n]
+        &mut self.outcome.per_second[n]
     }
 
     fn happens(&mut self, event: Event, end: Micros) {
@@ -304,7 +305,7 @@
                 };
                 if rate > 0.0 {
                     let key = self.key();
-                    self.second(self.now).fresh += 1;
+                    self.second(self.now).new_requests += 1;
                     self.at(self.now, Event::Arrives { proxy: n, key, again: 0 });
                 }
                 self.at(self.now + (gap * 1e6) as Micros + 1, Event::Client(n));
@@ -352,11 +353,11 @@
     }
 
     fn key(&mut self) -> u64 {
-        if self.rng.random_bool(self.shape.new_keys) {
+        if self.rng.random_bool(self.shape.new_key_share) {
             self.fresh += 1;
             return self.fresh;
         }
-        match Zipf::new(self.shape.keys.max(1) as f64, SKEW) {
+        match Zipf::new(self.shape.key_count.max(1) as f64, SKEW) {
             Ok(zipf) => zipf.sample(&mut self.rng) as u64,
             Err(_) => 0,
         }
@@ -414,7 +415,7 @@
                     Action::Refuse(id, stay_away) => {
                         let Some((key, again)) = self.answered(n, &id) else { continue };
                         self.second(self.now).refused += 1;
-                        if again < self.shape.again {
+                        if again < self.shape.max_retries {
                             // Clients heed the advice, and none comes at the very moment.
                             let wait = stay_away.max(50_000) + self.rng.random_range(0..50_000);
                             self.at(self.now + wait, Event::Arrives { proxy: n, key, again: again + 1 });
@@ -433,7 +434,7 @@
     /// A final answer; its key and how often it came again.
     fn answered(&mut self, n: usize, id: &RequestId) -> Option<(u64, u32)> {
         let request = self.proxies[n].requests.get_mut(id)?;
-        self.outcome.doubled += u64::from(request.over);
+        self.outcome.duplicate_answers += u64::from(request.over);
         request.over = true;
         let told = (request.key, request.again);
         if request.out.is_none() {
@@ -448,18 +449,18 @@
         let Some(request) = self.proxies[proxy].requests.get(&id) else { return };
         let (key, missed) = (request.key, request.missed.clone());
         if self.nodes[node].1.silent {
-            self.second(now).unheard += 1;
+            self.second(now).unanswered_attempts += 1;
             return;
         }
         let (at, ending) = match self.nodes[node].1.takes(now) {
             None => {
-                self.second(now).origin_refused += u64::from(origin);
+                self.second(now).origin_refusals += u64::from(origin);
                 (now + REFUSAL, AttemptStatus::Full)
             }
             Some(done) => {
                 self.at(done, Event::Free(node));
                 if origin {
-                    self.second(now).fetched += 1;
+                    self.second(now).origin_fetches += 1;
                     missed.iter().for_each(|&cache| {
                         self.nodes[cache].1.values.insert(key);
                     });
@@ -505,7 +506,7 @@
         if ending == AttemptStatus::Served && !before {
             let second = self.second(now);
             second.served += 1;
-            second.in_time += u64::from(now <= came + TARGET);
+            second.served_within_target += u64::from(now <= came + TARGET);
         }
         let (name, wait) = (self.nodes[node].0.clone(), now - sent);
         let outcome = flintwell_core::interface::AttemptOutcome {
@@ -571,8 +572,10 @@
         let ms = (self.now / 1_000) as u64;
         let in_use = |proxy: &Proxy| proxy.speaks.as_ref().map_or(0, |(_, share, _)| share.usable_units(ms));
         let all: u32 = self.proxies.iter().map(in_use).sum();
-        self.outcome.excess =
-            self.outcome.excess.max(all.saturating_sub(UNITS_PER_MEMBER * self.proxies.len() as u32));
+        self.outcome.max_excess_units = self
+            .outcome
+            .max_excess_units
+            .max(all.saturating_sub(UNITS_PER_MEMBER * self.proxies.len() as u32));
     }
 
     /// Sends what a member says, and lets its share hear what came.
@@ -593,12 +596,13 @@
         for (to, bytes) in mail.outgoing.into_iter().chain(answers.outgoing) {
             let to = number(to);
             let second = self.second(self.now);
-            (second.datagrams, second.bytes) = (second.datagrams + 1, second.bytes + bytes.len() as u64);
+            (second.datagrams_sent, second.bytes_sent) =
+                (second.datagrams_sent + 1, second.bytes_sent + bytes.len() as u64);
             let cut = self.cut.is_some_and(|below| (n < below) != (to < below));
-            if to >= self.proxies.len() || cut || self.rng.random::<f64>() < self.shape.loss {
+            if to >= self.proxies.len() || cut || self.rng.random::<f64>() < self.shape.datagram_loss {
                 continue;
             }
-            for _ in 0..1 + usize::from(self.rng.random::<f64>() < self.shape.loss) {
+            for _ in 0..1 + usize::from(self.rng.random::<f64>() < self.shape.datagram_loss) {
                 let late = self.rng.random_range(0..SPREAD);
                 self.at(self.now + PATH + late, Event::Datagram { to, bytes: bytes.clone() });
             }
@@ -607,31 +611,31 @@
 
     fn fault(&mut self, fault: Fault) {
         match fault {
-            Fault::OriginRoom(room) => {
+            Fault::OriginCapacity(room) => {
                 if let Some((_, origin)) = self.nodes.last_mut() {
                     origin.workers = room;
                 }
             }
-            Fault::Pause { proxy, time } => self.proxies[proxy].paused_until = self.now + time,
+            Fault::Pause { proxy, duration_us: time } => self.proxies[proxy].paused_until = self.now + time,
             Fault::Restart { proxy } => {
                 let life = self.proxies[proxy].life + 1;
                 let rate = self.proxies[proxy].rate;
                 self.proxies[proxy] = Proxy { rate, ..self.begins(proxy, life) };
                 self.drains(proxy);
             }
-            Fault::Cut { below } => self.cut = Some(below),
-            Fault::Heal => self.cut = None,
-            Fault::Silent { zone, on } => {
+            Fault::Partition { split_at: below } => self.cut = Some(below),
+            Fault::HealPartition => self.cut = None,
+            Fault::SilentZone { zone, silent: on } => {
                 let (zones, caches) = (self.shape.zones as usize, self.nodes.len() - 1);
                 let within = |place: &usize| place % zones == zone as usize;
                 (0..caches).filter(within).for_each(|place| self.nodes[place].1.silent = on);
             }
-            Fault::Load { rate, below } => {
+            Fault::RequestRate { requests_per_second: rate, loaded_proxies: below } => {
                 for (n, proxy) in self.proxies.iter_mut().enumerate() {
                     proxy.rate = if n < below { rate } else { 0.0 };
                 }
             }
-            Fault::Liar { proxy } => self.proxies[proxy].lies = true,
+            Fault::FalseReports { proxy } => self.proxies[proxy].lies = true,
         }
     }
 }
