--- a/crates/flintwell-emulator/src/lib.rs
+++ b/crates/flintwell-emulator/src/lib.rs
@@ -1,5 +1,7 @@
-//! A fleet in virtual time: for each proxy the real `Policy`, its membership and its share of the budget, with clients,
-//! cache nodes, an origin and the datagrams between proxies made up by one seed. The same seed is the same run.
+//! Deterministic simulation of a proxy fleet in virtual time.
+//!
+//! Each proxy runs the real `Policy`, membership, shared origin limit and probe coordination. Clients, cache nodes, the
+//! origin and the datagrams between proxies are simulated. The same configuration, faults and seed give the same run.
 
 mod node;
 pub mod scenario;
--- a/crates/flintwell-emulator/src/node.rs
+++ b/crates/flintwell-emulator/src/node.rs
@@ -1,42 +1,43 @@
-//! A cache node or the origin: so many workers, a queue, and the values it holds.
+//! A simulated cache node or origin: a fixed number of workers, a bounded queue and the cached values.
 
 use std::collections::HashSet;
 
 pub(crate) struct Node {
     pub workers: usize,
-    queue: usize,
-    time: i64,
-    /// When each worker is free.
-    free: Vec<i64>,
-    pub waiting: usize,
-    /// Takes all and says nothing.
+    queue_capacity: usize,
+    service_time_us: i64,
+    /// The time at which each worker becomes free.
+    worker_free_at: Vec<i64>,
+    /// Requests in service or queued.
+    pub in_flight: usize,
+    /// Accepts requests but never answers.
     pub silent: bool,
-    pub values: HashSet<u64>,
+    pub cached_keys: HashSet<u64>,
 }
 
 impl Node {
-    pub fn new(workers: usize, queue: usize, time: i64) -> Self {
+    pub fn new(workers: usize, queue_capacity: usize, service_time_us: i64) -> Self {
         Node {
             workers,
-            queue,
-            time,
-            free: vec![0; workers],
-            waiting: 0,
+            queue_capacity,
+            service_time_us,
+            worker_free_at: vec![0; workers],
+            in_flight: 0,
             silent: false,
-            values: HashSet::new(),
+            cached_keys: HashSet::new(),
         }
     }
 
-    /// When it will be done with one that comes now; none where it is full.
-    pub fn takes(&mut self, now: i64) -> Option<i64> {
-        if self.waiting >= self.workers + self.queue {
+    /// Admits a request that arrives now. Returns its completion time, or `None` if the node is full.
+    pub fn accept(&mut self, now: i64) -> Option<i64> {
+        if self.in_flight >= self.workers + self.queue_capacity {
             return None;
         }
-        self.free.resize(self.workers.max(self.free.len()), now);
-        let most = self.workers.min(self.free.len());
-        let next = self.free[..most].iter_mut().min()?;
-        *next = (*next).max(now) + self.time;
-        self.waiting += 1;
-        Some(*next)
+        self.worker_free_at.resize(self.workers.max(self.worker_free_at.len()), now);
+        let active = self.workers.min(self.worker_free_at.len());
+        let completion = self.worker_free_at[..active].iter_mut().min()?;
+        *completion = (*completion).max(now) + self.service_time_us;
+        self.in_flight += 1;
+        Some(*completion)
     }
 }
--- a/crates/flintwell-emulator/src/scenario.rs
+++ b/crates/flintwell-emulator/src/scenario.rs
@@ -1,29 +1,31 @@
-//! What a fleet is made of, what goes wrong when, and what came of it.
+//! Configuration, faults and results of a simulation.
 
-/// Times in us unless they say otherwise.
+/// Configuration of one simulation run.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
     pub proxies: usize,
     pub zones: u32,
-    /// In each zone.
     pub caches_per_zone: usize,
     pub cache_workers: usize,
+    /// Requests that a cache queues while all its workers are busy.
     pub cache_queue_capacity: usize,
     pub cache_service_time_us: i64,
-    /// Fetches at once; what comes beyond is refused.
+    /// Concurrent fetches; the origin refuses further ones.
     pub origin_capacity: usize,
     pub origin_service_time_us: i64,
-    /// Requests a second at each proxy.
+    /// Mean arrival rate of new requests at each proxy.
     pub requests_per_second: f64,
+    /// Number of keys that the other requests draw from, by a Zipf distribution.
     pub key_count: u64,
-    /// The share of reads for a key that nobody asked for before.
+    /// Share of new requests for a key that has not been requested before.
     pub new_key_share: f64,
-    /// How often one that is refused comes again.
+    /// How often a client retries a refused request.
     pub max_retries: u32,
-    /// Proxies may speak to one another.
+    /// Whether proxies exchange membership, limit and probe messages.
     pub peer_messaging: bool,
-    /// Share of datagrams lost; as many come twice.
+    /// Share of datagrams lost; the same share of the others is duplicated.
     pub datagram_loss: f64,
+    /// Simulated time during which clients send requests.
     pub duration_s: i64,
     pub seed: u64,
 }
@@ -51,84 +53,82 @@
     }
 }
 
+/// A fault, a change of load, or the end of a fault.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
+    /// The origin serves this many fetches at once from now on.
     OriginCapacity(usize),
-    /// Stands still for so long; what comes waits.
-    Pause {
-        proxy: usize,
-        duration_us: i64,
-    },
-    /// Ends, with all it has in hand, and begins anew at once with empty beliefs.
-    Restart {
-        proxy: usize,
-    },
-    /// No datagram passes between proxies under this number and the others.
-    Partition {
-        split_at: usize,
-    },
+    /// The process is suspended; its events are delayed until the end of the pause.
+    Pause { proxy: usize, duration_us: i64 },
+    /// The process ends, loses its requests in flight and restarts at once without any learned state.
+    Restart { proxy: usize },
+    /// Datagrams between proxies numbered below `split_at` and the others are dropped.
+    Partition { split_at: usize },
+    /// Ends the partition.
     HealPartition,
-    /// Cache nodes of this zone take requests and say nothing, or answer again.
-    SilentZone {
-        zone: u32,
-        silent: bool,
-    },
-    /// Requests a second at each proxy from now on; 0 at those at or above the number.
-    RequestRate {
-        requests_per_second: f64,
-        loaded_proxies: usize,
-    },
-    /// Tells others that hardly anything is taken and nearly all refused.
-    FalseReports {
-        proxy: usize,
-    },
+    /// The cache nodes of this zone accept requests without answering (`silent`), or answer again.
+    SilentZone { zone: u32, silent: bool },
+    /// The arrival rate at the first `loaded_proxies` proxies from now on; the others get no new requests.
+    RequestRate { requests_per_second: f64, loaded_proxies: usize },
+    /// The proxy reports to its peers that the origin accepts almost nothing and refuses nearly everything.
+    FalseReports { proxy: usize },
 }
 
+/// Counts for one second of virtual time.
 #[derive(Clone, Debug, Default)]
 pub struct SecondStats {
-    /// First asked for, without those that come again.
+    /// Requests without retries.
     pub new_requests: u64,
+    /// Requests including retries.
     pub requests: u64,
+    /// Requests answered with a value.
     pub served: u64,
+    /// Served within the latency target.
     pub served_within_target: u64,
+    /// Requests answered with a refusal, including those that are retried.
     pub refused: u64,
+    /// Requests answered with a failure.
     pub failed: u64,
-    /// By the origin.
+    /// Fetches that the origin accepted.
     pub origin_fetches: u64,
+    /// Fetches that the origin refused because it was full.
     pub origin_refusals: u64,
-    /// Attempts to nodes that say nothing.
+    /// Attempts that arrived at a silent node.
     pub unanswered_attempts: u64,
+    /// Datagrams sent between proxies, including those that are lost.
     pub datagrams_sent: u64,
     pub bytes_sent: u64,
 }
 
+/// Result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationResult {
     pub per_second: Vec<SecondStats>,
-    /// The most by which units in use were above those there are; 0 where the loans hold.
+    /// The largest number of units in use beyond those that exist; 0 while the loan protocol holds.
     pub max_excess_units: u32,
-    /// Requests with no final answer, or a second one, but for those that a restart took.
+    /// Requests without a final answer, except those lost in a restart.
     pub lost_requests: u64,
+    /// Final answers beyond the first of a request, except for requests lost in a restart.
     pub duplicate_answers: u64,
 }
 
 impl SimulationResult {
-    /// Sums from one second to another.
+    /// Sums the counts from second `from` up to, but not including, second `to`.
     pub fn sum(&self, from: usize, to: usize) -> SecondStats {
-        let mut sum = SecondStats::default();
-        for one in self.per_second.iter().take(to).skip(from) {
-            sum.new_requests += one.new_requests;
-            sum.requests += one.requests;
-            sum.served += one.served;
-            sum.served_within_target += one.served_within_target;
-            sum.refused += one.refused;
-            sum.failed += one.failed;
-            sum.origin_fetches += one.origin_fetches;
-            sum.origin_refusals += one.origin_refusals;
-            sum.unanswered_attempts += one.unanswered_attempts;
-            sum.datagrams_sent += one.datagrams_sent;
-            sum.bytes_sent += one.bytes_sent;
+        let mut total = SecondStats::default();
+        for second in self.per_second.iter().take(to).skip(from) {
+            total.new_requests += second.new_requests;
+            total.requests += second.requests;
+            total.served += second.served;
+            total.served_within_target += second.served_within_target;
+            total.refused += second.refused;
+            total.failed += second.failed;
+            total.origin_fetches += second.origin_fetches;
+            total.origin_refusals += second.origin_refusals;
+            total.unanswered_attempts += second.unanswered_attempts;
+            total.datagrams_sent += second.datagrams_sent;
+            total.bytes_sent += second.bytes_sent;
         }
-        sum
+        total
     }
 }
--- a/crates/flintwell-emulator/src/simulation.rs
+++ b/crates/flintwell-emulator/src/simulation.rs
@@ -312,7 +312,7 @@
             }
             Event::Arrives { proxy, key, again } => self.arrives(proxy, key, again),
             Event::AtNode { proxy, id, node, number, sent } => self.at_node(proxy, id, node, number, sent),
-            Event::Free(node) => self.nodes[node].1.waiting -= 1,
+            Event::Free(node) => self.nodes[node].1.in_flight -= 1,
             Event::Ends { proxy, id, node, number, sent, ending } => {
                 self.ends(proxy, &id, node, number, sent, ending);
             }
@@ -452,7 +452,7 @@
             self.second(now).unanswered_attempts += 1;
             return;
         }
-        let (at, ending) = match self.nodes[node].1.takes(now) {
+        let (at, ending) = match self.nodes[node].1.accept(now) {
             None => {
                 self.second(now).origin_refusals += u64::from(origin);
                 (now + REFUSAL, AttemptStatus::Full)
@@ -462,10 +462,10 @@
                 if origin {
                     self.second(now).origin_fetches += 1;
                     missed.iter().for_each(|&cache| {
-                        self.nodes[cache].1.values.insert(key);
+                        self.nodes[cache].1.cached_keys.insert(key);
                     });
                     (done, AttemptStatus::Served)
-                } else if self.nodes[node].1.values.contains(&key) {
+                } else if self.nodes[node].1.cached_keys.contains(&key) {
                     (done, AttemptStatus::Served)
                 } else {
                     (done, AttemptStatus::Miss)
