--- a/crates/flintwell-emulator/examples/goodput.rs
+++ b/crates/flintwell-emulator/examples/goodput.rs
@@ -1,38 +1,40 @@
-//! Goodput against offered load, up to ten times what the origin can do: 24 proxies, half of the reads for new keys,
-//! clients that come again up to three times. `cargo run --release -p flintwell-emulator --example goodput`
+//! Goodput against offered load, up to ten times the origin's capacity: 24 proxies, half of the requests for new keys,
+//! clients that retry up to three times. `cargo run --release -p flintwell-emulator --example goodput`
 
 use flintwell_emulator::scenario::SimulationConfig;
 use flintwell_emulator::simulation::simulate;
 
-const ROOM: usize = 24; // fetches at once of 0.12 s: two hundred a second
+const ORIGIN_CAPACITY: usize = 24; // concurrent fetches of 0.12 s each: 200 fetches per second
 
 fn main() {
-    println!("offered/what the origin does  words seed  in time a second  fetched  refused  refused");
-    for times in [0.5, 1.0, 2.0, 5.0, 10.0] {
-        for words in [false, true] {
+    println!(
+        "offered load/origin capacity  messaging seed  within target/s  fetches/s  origin refusals/s  refused/s"
+    );
+    for load_factor in [0.5, 1.0, 2.0, 5.0, 10.0] {
+        for peer_messaging in [false, true] {
             for seed in 1..=3 {
-                let rate = times * ROOM as f64 / 0.12 / 24.0 * 2.0;
-                let shape = SimulationConfig {
+                let requests_per_second = load_factor * ORIGIN_CAPACITY as f64 / 0.12 / 24.0 * 2.0;
+                let config = SimulationConfig {
                     proxies: 24,
                     caches_per_zone: 8,
                     cache_workers: 16,
-                    origin_capacity: ROOM,
+                    origin_capacity: ORIGIN_CAPACITY,
                     new_key_share: 0.5,
-                    requests_per_second: rate,
+                    requests_per_second,
                     max_retries: 3,
-                    peer_messaging: words,
+                    peer_messaging,
                     seed,
                     duration_s: 16,
                     ..SimulationConfig::default()
                 };
-                let sum = simulate(&shape, &[]).sum(6, 16);
-                let each = |part: u64| part as f64 / 10.0;
+                let total = simulate(&config, &[]).sum(6, 16);
+                let per_second = |count: u64| count as f64 / 10.0;
                 println!(
-                    "{times:28.1}  {words:5} {seed:4}  {:16.0} {:8.0} {:8.0} {:12.0}",
-                    each(sum.served_within_target),
-                    each(sum.origin_fetches),
-                    each(sum.origin_refusals),
-                    each(sum.refused)
+                    "{load_factor:28.1}  {peer_messaging:9} {seed:4}  {:15.0}  {:9.0}  {:17.0}  {:9.0}",
+                    per_second(total.served_within_target),
+                    per_second(total.origin_fetches),
+                    per_second(total.origin_refusals),
+                    per_second(total.refused)
                 );
             }
         }
