--- a/crates/flintwell-emulator/tests/overload.rs
+++ b/crates/flintwell-emulator/tests/overload.rs
@@ -1,14 +1,14 @@
-//! Fleets whose origin can't take what all ask for, with words between proxies and without.
+//! Fleets under overload or with silent cache nodes, with and without peer messaging.
 
 use flintwell_emulator::scenario::{Fault, SimulationConfig, SimulationResult};
 use flintwell_emulator::simulation::simulate;
 
 const SECOND: i64 = 1_000_000;
 
-/// Room for 20 fetches, from the sixth second for 5.
-fn shape(words: bool, seed: u64) -> SimulationConfig {
+/// A fleet whose origin serves 20 concurrent fetches; [`capacity_drop`] leaves 5.
+fn overload_config(peer_messaging: bool, seed: u64) -> SimulationConfig {
     SimulationConfig {
-        peer_messaging: words,
+        peer_messaging,
         seed,
         origin_capacity: 20,
         duration_s: 14,
@@ -16,111 +16,146 @@
     }
 }
 
-fn weak() -> (i64, Fault) {
+fn capacity_drop() -> (i64, Fault) {
     (5 * SECOND, Fault::OriginCapacity(5))
 }
 
-/// Refused for one fetched, and the share served, once the fleet has learned.
-fn later(outcome: &SimulationResult) -> (f64, f64) {
-    let sum = outcome.sum(8, outcome.per_second.len());
+/// Origin refusals per fetch and the share of requests served, once the fleet has adapted.
+fn refusals_and_served_share(result: &SimulationResult) -> (f64, f64) {
+    let sum = result.sum(8, result.per_second.len());
     (
         sum.origin_refusals as f64 / sum.origin_fetches.max(1) as f64,
         sum.served as f64 / sum.requests.max(1) as f64,
     )
 }
 
-fn whole(outcome: &SimulationResult) {
-    assert_eq!((outcome.max_excess_units, outcome.lost_requests, outcome.duplicate_answers), (0, 0, 0));
+/// No unit is lent twice, and every request has exactly one final answer.
+fn assert_consistent(result: &SimulationResult) {
+    assert_eq!((result.max_excess_units, result.lost_requests, result.duplicate_answers), (0, 0, 0));
 }
 
 #[test]
-fn the_same_seed_is_the_same_run() {
-    let (one, other) = (simulate(&shape(true, 1), &[weak()]), simulate(&shape(true, 1), &[weak()]));
-    whole(&one);
-    assert_eq!(format!("{one:?}"), format!("{other:?}"));
+fn same_seed_gives_identical_results() {
+    let (first, second) = (
+        simulate(&overload_config(true, 1), &[capacity_drop()]),
+        simulate(&overload_config(true, 1), &[capacity_drop()]),
+    );
+    assert_consistent(&first);
+    assert_eq!(format!("{first:?}"), format!("{second:?}"));
 }
 
-/// What each finds out for itself, many have to pay for.
+/// Without peer messaging each proxy learns the reduced capacity from refusals of its own, so a large fleet burdens the
+/// overloaded origin with many refused fetches.
 #[test]
-fn words_spare_an_origin_that_many_ask() {
-    let fleet = |words| SimulationConfig {
+fn peer_messaging_reduces_refusals_at_an_overloaded_origin() {
+    let fleet = |peer_messaging| SimulationConfig {
         proxies: 96,
         caches_per_zone: 16,
         origin_capacity: 160,
         duration_s: 14,
-        peer_messaging: words,
+        peer_messaging,
         ..SimulationConfig::default()
     };
-    let weak = (5 * SECOND, Fault::OriginCapacity(6));
-    let (silent, speaks) = (simulate(&fleet(false), &[weak]), simulate(&fleet(true), &[weak]));
-    whole(&silent);
-    whole(&speaks);
-    let ((refused, served), (refused_words, served_words)) = (later(&silent), later(&speaks));
-    assert!(refused_words < 0.7 * refused, "{refused} and {refused_words} refused for one fetched");
-    assert!(served_words > served - 0.03, "{served} and {served_words} served");
-    let bytes = speaks.sum(4, 14).bytes_sent as f64 / 10.0 / 96.0;
-    assert!(bytes < 3_000.0, "{bytes} bytes a proxy and second");
+    let capacity_drop = (5 * SECOND, Fault::OriginCapacity(6));
+    let (isolated, messaging) =
+        (simulate(&fleet(false), &[capacity_drop]), simulate(&fleet(true), &[capacity_drop]));
+    assert_consistent(&isolated);
+    assert_consistent(&messaging);
+    let ((refused, served), (messaging_refused, messaging_served)) =
+        (refusals_and_served_share(&isolated), refusals_and_served_share(&messaging));
+    assert!(
+        messaging_refused < 0.7 * refused,
+        "refusals per fetch: {refused} without peer messaging, {messaging_refused} with it"
+    );
+    assert!(
+        messaging_served > served - 0.03,
+        "served share: {served} without peer messaging, {messaging_served} with it"
+    );
+    let bytes = messaging.sum(4, 14).bytes_sent as f64 / 10.0 / 96.0;
+    assert!(bytes < 3_000.0, "{bytes} bytes per proxy and second");
 }
 
-/// A silent zone is tried by a few, and used again by all when it is back.
+/// Without peer messaging every proxy probes a zone that has stopped responding with requests of its own.
+/// With peer messaging a few proxies probe it, and all use it again once it has recovered.
 #[test]
-fn a_silent_zone_is_tried_by_a_few() {
-    let fleet = |words| SimulationConfig {
+fn few_proxies_probe_a_silent_zone_and_all_return_to_it() {
+    let fleet = |peer_messaging| SimulationConfig {
         proxies: 24,
-        peer_messaging: words,
+        peer_messaging,
         duration_s: 16,
         origin_capacity: 80,
         ..SimulationConfig::default()
     };
-    let silent = |on| Fault::SilentZone { zone: 1, silent: on };
-    let faults = [(5 * SECOND, silent(true)), (13 * SECOND, silent(false))];
-    let (alone, speaks) = (simulate(&fleet(false), &faults), simulate(&fleet(true), &faults));
-    whole(&alone);
-    whole(&speaks);
-    // Once each has found out: the first seconds are the same for all.
-    let (tries, tries_words) = (alone.sum(7, 13).unanswered_attempts, speaks.sum(7, 13).unanswered_attempts);
-    assert!(tries_words * 2 < tries, "{tries} and {tries_words} attempts into it");
-    let back = speaks.sum(14, 16);
-    assert!(back.served as f64 > 0.97 * back.requests as f64, "{} of {}", back.served, back.requests);
+    let silence = |silent| Fault::SilentZone { zone: 1, silent };
+    let faults = [(5 * SECOND, silence(true)), (13 * SECOND, silence(false))];
+    let (isolated, messaging) = (simulate(&fleet(false), &faults), simulate(&fleet(true), &faults));
+    assert_consistent(&isolated);
+    assert_consistent(&messaging);
+    // Skips the first seconds: until each proxy has detected the silence, both fleets behave the same.
+    let (attempts, messaging_attempts) =
+        (isolated.sum(7, 13).unanswered_attempts, messaging.sum(7, 13).unanswered_attempts);
+    assert!(
+        messaging_attempts * 2 < attempts,
+        "attempts into the zone: {attempts} without peer messaging, {messaging_attempts} with it"
+    );
+    let recovered = messaging.sum(14, 16);
+    assert!(
+        recovered.served as f64 > 0.97 * recovered.requests as f64,
+        "{} of {}",
+        recovered.served,
+        recovered.requests
+    );
 }
 
+/// A partition, paused or restarted proxies, a load shift and false reports, each with datagram loss, can leave proxies
+/// with wrong figures of one another. No unit may then be lent twice, and the fleet must neither flood the origin nor
+/// refuse much more than without the fault.
 #[test]
-fn a_cut_pauses_restarts_lost_words_and_a_liar_bring_no_more_into_use_and_take_little() {
-    let calm = later(&simulate(&shape(true, 2), &[weak()]));
+fn faults_between_proxies_cause_no_excess_units_and_little_loss_of_service() {
+    let baseline = refusals_and_served_share(&simulate(&overload_config(true, 2), &[capacity_drop()]));
     let faults: [(&str, Vec<(i64, Fault)>); 5] = [
-        ("cut", vec![(6 * SECOND, Fault::Partition { split_at: 6 }), (10 * SECOND, Fault::HealPartition)]),
+        (
+            "partition",
+            vec![(6 * SECOND, Fault::Partition { split_at: 6 }), (10 * SECOND, Fault::HealPartition)],
+        ),
         (
             "pauses",
             (0..2).map(|n| (7 * SECOND, Fault::Pause { proxy: n, duration_us: 3 * SECOND })).collect(),
         ),
         ("restarts", (0..6).map(|n| (7 * SECOND, Fault::Restart { proxy: n })).collect()),
-        ("moved", vec![(7 * SECOND, Fault::RequestRate { requests_per_second: 150.0, loaded_proxies: 4 })]),
-        ("liar", vec![(6 * SECOND, Fault::FalseReports { proxy: 3 })]),
+        (
+            "load shift",
+            vec![(7 * SECOND, Fault::RequestRate { requests_per_second: 150.0, loaded_proxies: 4 })],
+        ),
+        ("false reports", vec![(6 * SECOND, Fault::FalseReports { proxy: 3 })]),
     ];
     for (name, mut faults) in faults {
-        faults.push(weak());
-        let outcome = simulate(&SimulationConfig { datagram_loss: 0.05, ..shape(true, 2) }, &faults);
-        whole(&outcome);
-        let (refused, served) = later(&outcome);
-        assert!(refused < 1.3, "{name}: {refused} refused for one fetched");
-        assert!(served > calm.1 - 0.1, "{name}: {served} served, {} without", calm.1);
+        faults.push(capacity_drop());
+        let result = simulate(&SimulationConfig { datagram_loss: 0.05, ..overload_config(true, 2) }, &faults);
+        assert_consistent(&result);
+        let (refused, served) = refusals_and_served_share(&result);
+        assert!(refused < 1.3, "{name}: {refused} refusals per fetch");
+        assert!(served > baseline.1 - 0.1, "{name}: served share {served}, {} without the fault", baseline.1);
     }
 }
 
-/// Clients that come again feed a storm; it is over soon after its cause.
+/// Retries of refused requests add to the overload. Once the origin has its capacity back, the retry storm must end and
+/// the fleet must serve as many requests as before.
 #[test]
-fn a_storm_of_those_that_come_again_ends_with_its_cause() {
-    for words in [false, true] {
-        let shape = SimulationConfig { max_retries: 3, duration_s: 16, ..shape(words, 3) };
-        let outcome = simulate(&shape, &[weak(), (10 * SECOND, Fault::OriginCapacity(20))]);
-        whole(&outcome);
-        let (before, after) = (outcome.sum(2, 5), outcome.sum(13, 16));
-        let share = |sum: &flintwell_emulator::scenario::SecondStats| sum.served as f64 / sum.requests as f64;
+fn retry_storm_ends_when_the_origin_recovers() {
+    for peer_messaging in [false, true] {
+        let config =
+            SimulationConfig { max_retries: 3, duration_s: 16, ..overload_config(peer_messaging, 3) };
+        let result = simulate(&config, &[capacity_drop(), (10 * SECOND, Fault::OriginCapacity(20))]);
+        assert_consistent(&result);
+        let (before, after) = (result.sum(2, 5), result.sum(13, 16));
+        let served_share =
+            |sum: &flintwell_emulator::scenario::SecondStats| sum.served as f64 / sum.requests as f64;
         assert!(
-            share(&after) > share(&before) - 0.02,
-            "words {words}: {} before, {} after",
-            share(&before),
-            share(&after)
+            served_share(&after) > served_share(&before) - 0.02,
+            "peer messaging {peer_messaging}: served share {} before, {} after",
+            served_share(&before),
+            served_share(&after)
         );
     }
 }
