--- a/crates/flintwell-rig/src/datagrams.rs
+++ b/crates/flintwell-rig/src/datagrams.rs
@@ -16,30 +16,34 @@
 /// What becomes of datagrams from one proxy to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Post {
+pub enum DatagramMode {
     #[default]
-    Passes,
+    #[serde(rename = "passes")]
+    Pass,
     Cut,
     /// This share is lost.
-    Loses(f64),
+    #[serde(rename = "loses")]
+    Drop(f64),
     /// This share comes twice.
-    Doubles(f64),
+    #[serde(rename = "doubles")]
+    Duplicate(f64),
     /// Each comes up to so many ms later, so that they overtake one another.
-    Delays(f64),
+    #[serde(rename = "delays")]
+    Delay(f64),
 }
 
 /// In front of one proxy's address for words.
-pub struct Box {
+pub struct DatagramRelay {
     pub addr: SocketAddr,
-    ways: Arc<Mutex<HashMap<SocketAddr, Post>>>,
+    ways: Arc<Mutex<HashMap<SocketAddr, DatagramMode>>>,
 }
 
-impl Box {
+impl DatagramRelay {
     /// From an address of its own to `to`, until the runtime ends; what it loses and doubles is drawn by `seed`.
     pub async fn start(to: SocketAddr, seed: u64) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let addr = socket.local_addr()?;
-        let ways: Arc<Mutex<HashMap<SocketAddr, Post>>> = Arc::default();
+        let ways: Arc<Mutex<HashMap<SocketAddr, DatagramMode>>> = Arc::default();
         let told = ways.clone();
         tokio::spawn(async move {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -49,11 +53,11 @@
                 let Ok((bytes, from)) = socket.recv_from(&mut buffer).await else { continue };
                 let way = told.lock().unwrap_or_else(PoisonError::into_inner).get(&from).copied();
                 let (copies, late) = match way.unwrap_or_default() {
-                    Post::Passes => (1, 0.0),
-                    Post::Cut => (0, 0.0),
-                    Post::Loses(share) => (usize::from(rng.random::<f64>() >= share), 0.0),
-                    Post::Doubles(share) => (1 + usize::from(rng.random::<f64>() < share), 0.0),
-                    Post::Delays(most) => (1, rng.random::<f64>() * most.max(0.0)),
+                    DatagramMode::Pass => (1, 0.0),
+                    DatagramMode::Cut => (0, 0.0),
+                    DatagramMode::Drop(share) => (usize::from(rng.random::<f64>() >= share), 0.0),
+                    DatagramMode::Duplicate(share) => (1 + usize::from(rng.random::<f64>() < share), 0.0),
+                    DatagramMode::Delay(most) => (1, rng.random::<f64>() * most.max(0.0)),
                 };
                 for _ in 0..copies {
                     if late > 0.0 {
@@ -68,10 +72,10 @@
                 }
             }
         });
-        Ok(Box { addr, ways })
+        Ok(DatagramRelay { addr, ways })
     }
 
-    pub fn set(&self, from: SocketAddr, way: Post) {
+    pub fn set_mode(&self, from: SocketAddr, way: DatagramMode) {
         self.ways.lock().unwrap_or_else(PoisonError::into_inner).insert(from, way);
     }
 }
--- a/crates/flintwell-rig/src/fleet.rs
+++ b/crates/flintwell-rig/src/fleet.rs
@@ -1,14 +1,14 @@
 //! Proxies, nodes, discovery and clients put together, with a relay on every path from a proxy and to its staff.
 
-use crate::check::{Breach, Evidence, Repeats, judge};
-use crate::datagrams::{Box as PostBox, Post};
+use crate::check::{Breach, Observations, RepeatRules, check_rules};
+use crate::datagrams::{DatagramMode, DatagramRelay as PostBox};
 use crate::process::Process;
-use crate::relay::{Relay, Way};
+use crate::relay::{LinkMode, Relay};
 use flintwell_settings::laid_over;
-use flintwell_standins::clients::{Book, Case, Clients, Load};
-use flintwell_standins::discovery::View;
+use flintwell_standins::backends::{Backends, NodeSpec};
+use flintwell_standins::clients::{ClassLoad, Clients, Load, RequestLog};
+use flintwell_standins::discovery::NodeAddresses;
 use flintwell_standins::nodes::ORIGIN;
-use flintwell_standins::world::{Made, World};
 use rustix::io::fcntl_dupfd_cloexec;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use serde::{Deserialize, Serialize};
@@ -61,21 +61,22 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Origin {
     /// Fetches at once; what comes beyond is refused.
-    pub room: usize,
+    #[serde(rename = "room")]
+    pub max_concurrent_fetches: usize,
     pub time_ms: f64,
     pub connections: usize,
 }
 
 impl Default for Origin {
     fn default() -> Self {
-        Origin { room: 40, time_ms: 60.0, connections: 2_048 }
+        Origin { max_concurrent_fetches: 40, time_ms: 60.0, connections: 2_048 }
     }
 }
 
 /// What a fleet is made of.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Shape {
+pub struct FleetSpec {
     pub proxies: usize,
     pub zones: Vec<String>,
     pub caches: Caches,
@@ -83,25 +84,30 @@
     pub load: Load,
     /// Laid over the proxies' settings.
     pub settings: Value,
-    pub fleet: String,
+    #[serde(rename = "fleet")]
+    pub fleet_name: String,
     /// Proxies may speak to one another.
-    pub words: bool,
+    #[serde(rename = "words")]
+    pub peer_messaging: bool,
     /// How long discovery takes for a call, ms; it works through calls in turn.
-    pub call_ms: f64,
+    #[serde(rename = "call_ms")]
+    pub discovery_call_ms: f64,
     /// How many proxies the settings tell; as many as there are, if 0.
-    pub told_proxies: usize,
+    #[serde(rename = "told_proxies")]
+    pub configured_fleet_size: usize,
     /// The longest that clients wait for an answer, s.
-    pub outer_limit_s: f64,
+    #[serde(rename = "outer_limit_s")]
+    pub max_deadline_s: f64,
     /// Descriptors that each proxy may hold.
     pub sockets: usize,
     /// Each proxy runs under a supervisor, which the staff speaks to in its place.
     pub supervised: bool,
 }
 
-impl Default for Shape {
+impl Default for FleetSpec {
     fn default() -> Self {
-        let case = |name: &str, share, write| Case { name: name.into(), share, write, limit_s: 1.0 };
-        Shape {
+        let case = |name: &str, share, write| ClassLoad { name: name.into(), share, write, limit_s: 1.0 };
+        FleetSpec {
             proxies: 3,
             zones: vec!["a".into()],
             caches: Caches::default(),
@@ -109,17 +115,17 @@
             load: Load {
                 rate: 20.0,
                 keys: 200,
-                skew: 0.8,
-                new_keys: 0.05,
-                again: 0,
-                cases: vec![case("read", 0.9, false), case("write", 0.08, true), case("once", 0.02, true)],
+                zipf_exponent: 0.8,
+                new_key_share: 0.05,
+                max_retries: 0,
+                classes: vec![case("read", 0.9, false), case("write", 0.08, true), case("once", 0.02, true)],
             },
             settings: json!({}),
-            fleet: "rig".into(),
-            words: false,
-            call_ms: 0.0,
-            told_proxies: 0,
-            outer_limit_s: 1.0,
+            fleet_name: "rig".into(),
+            peer_messaging: false,
+            discovery_call_ms: 0.0,
+            configured_fleet_size: 0,
+            max_deadline_s: 1.0,
             sockets: 1_024,
             supervised: false,
         }
@@ -131,17 +137,17 @@
     pub zone: String,
     pub listen: SocketAddr,
     /// Where the staff reaches it: a path of its own.
-    pub staff: SocketAddr,
-    pub state: PathBuf,
+    pub management: SocketAddr,
+    pub state_dir: PathBuf,
     /// Where it speaks to other proxies.
     words: SocketAddr,
 }
 
 pub struct Fleet {
-    pub world: World,
-    pub book: Book,
+    pub backends: Backends,
+    pub request_log: RequestLog,
     pub proxies: Vec<Proxy>,
-    shape: Shape,
+    shape: FleetSpec,
     paths: BTreeMap<(usize, String), Relay>,
     /// Before each proxy's address for words.
     boxes: Vec<PostBox>,
@@ -174,12 +180,12 @@
     let _ = fcntl_dupfd_cloexec(std::io::stderr(), most as i32 - 1);
 }
 
-fn settings(shape: &Shape, n: usize) -> Value {
+fn settings(shape: &FleetSpec, n: usize) -> Value {
     let case = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "all", "key_ttl": 3.0, "goal_time": 0.5,
-            "overdue_earnings": 0.0, "outer_limit": shape.outer_limit_s})
+            "overdue_earnings": 0.0, "outer_limit": shape.max_deadline_s})
     };
-    let told = shape.told_proxies.max(shape.proxies);
+    let told = shape.configured_fleet_size.max(shape.proxies);
     let own = json!({"index": n * (told / shape.proxies), "fleet_size": told, "locality": n % shape.zones.len(),
         "discovery": "on_request", "weights": "off", "zones": shape.zones, "flavors": ["cache", ORIGIN],
         "realms": [], "specifics": {"mode": "aside", "origin_kind": 1},
@@ -193,7 +199,7 @@
 
 impl Fleet {
     /// Everything but the clients. `program` runs at each proxy; `folder` takes their files.
-    pub async fn start(shape: Shape, program: &Path, folder: &Path) -> Result<Self, String> {
+    pub async fn start(shape: FleetSpec, program: &Path, folder: &Path) -> Result<Self, String> {
         if !program.is_file() {
             return Err(format!("{}: no such program; build it first", program.display()));
         }
@@ -201,8 +207,8 @@
             return Err(format!("a fleet has 1 to {PROXIES_MOST} proxies and at least one zone"));
         }
         makes_room();
-        let world = World::new();
-        world.takes_calls(Duration::from_secs_f64(shape.call_ms.max(0.0) / 1e3));
+        let world = Backends::new();
+        world.set_call_time(Duration::from_secs_f64(shape.discovery_call_ms.max(0.0) / 1e3));
         let failed = |error: std::io::Error| format!("a stand-in: {error}");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut made = Vec::new();
@@ -211,7 +217,7 @@
                 let Caches { workers, queue, time_ms, connections, cold_share, ramp_s, .. } = shape.caches;
                 let (id, kind) = (format!("cache-{zone}{n}"), "cache".into());
                 let (zone, cell) = (zone.clone(), z as u32);
-                made.push(Made {
+                made.push(NodeSpec {
                     id,
                     zone,
                     kind,
@@ -225,8 +231,8 @@
                 });
             }
         }
-        let Origin { room, time_ms, connections } = shape.origin;
-        made.push(Made {
+        let Origin { max_concurrent_fetches: room, time_ms, connections } = shape.origin;
+        made.push(NodeSpec {
             id: ORIGIN.into(),
             zone: shape.zones[0].clone(),
             kind: ORIGIN.into(),
@@ -241,7 +247,7 @@
         let mut nodes = Vec::new();
         for (n, made) in made.into_iter().enumerate() {
             let id = made.id.clone();
-            nodes.push((id, world.serves(made, any, n as u64).await.map_err(failed)?));
+            nodes.push((id, world.serve_node(made, any, n as u64).await.map_err(failed)?));
         }
         let (mut paths, mut proxies) = (BTreeMap::new(), Vec::new());
         let (mut boxes, mut words) = (Vec::new(), Vec::new());
@@ -254,14 +260,14 @@
         std::fs::create_dir_all(folder).map_err(failed)?;
         std::fs::write(&key, "a key of the rig's own").map_err(failed)?;
         for n in 0..shape.proxies {
-            let (name, mut view) = (format!("n{n}"), View::new());
+            let (name, mut view) = (format!("n{n}"), NodeAddresses::new());
             for (id, addr) in &nodes {
                 let relay = Relay::start(*addr).await.map_err(failed)?;
                 view.insert(id.clone(), relay.addr);
                 paths.insert((n, id.clone()), relay);
             }
             let known = world.list(&view);
-            let told = world.discovers(any, view, &name).await.map_err(failed)?;
+            let told = world.serve_discovery(any, view, &name).await.map_err(failed)?;
             let discovery = Relay::start(told).await.map_err(failed)?;
             let (listen, management) = (own(8_000), own(9_600));
             let home = folder.join(&name);
@@ -269,9 +275,9 @@
             let mut config = json!({"name": name, "listen": listen, "mgmt": management, "discovery": discovery.addr,
                 "seed": format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(n as u64 + 1)),
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": shape.sockets}, "known": known,
-                "rollout": {"fleet": shape.fleet, "state": state}, "settings": settings(&shape, n)});
-            if shape.words {
-                config["words"] = json!({"cluster": shape.fleet, "listen": words[n], "advertise": boxes[n].addr,
+                "rollout": {"fleet": shape.fleet_name, "state": state}, "settings": settings(&shape, n)});
+            if shape.peer_messaging {
+                config["words"] = json!({"cluster": shape.fleet_name, "listen": words[n], "advertise": boxes[n].addr,
                     "peers": peers, "key_file": key});
             }
             paths.insert((n, DISCOVERY.into()), discovery);
@@ -287,7 +293,7 @@
                 let text = format!(
                     "name = {name:?}\nfleet = {:?}\nstate = {:?}\nlisten = \"{listen}\"\ncontrol = \"{control}\"\n\
                      management = [\"{management}\", \"{other}\"]\nprogram = {program:?}\nconfig = {told:?}\n",
-                    shape.fleet,
+                    shape.fleet_name,
                     home.join("supervised"),
                 );
                 let file = write("supervise.toml", text)?;
@@ -297,12 +303,19 @@
             };
             let staff = Relay::start(staff).await.map_err(failed)?;
             let zone = shape.zones[n % shape.zones.len()].clone();
-            proxies.push(Proxy { process, zone, listen, staff: staff.addr, state, words: words[n] });
+            proxies.push(Proxy {
+                process,
+                zone,
+                listen,
+                management: staff.addr,
+                state_dir: state,
+                words: words[n],
+            });
             paths.insert((n, STAFF.into()), staff);
         }
         Ok(Fleet {
-            world,
-            book: Book::default(),
+            backends: world,
+            request_log: RequestLog::default(),
             proxies,
             shape,
             paths,
@@ -316,91 +329,96 @@
     }
 
     /// Clients come to each proxy for so long.
-    pub fn comes(&mut self, seed: u64, time: Duration) {
+    pub fn start_clients(&mut self, seed: u64, time: Duration) {
         let (until, load) = (Instant::now() + time, Arc::new(self.shape.load.clone()));
         for (n, proxy) in self.proxies.iter().enumerate() {
-            let (name, began) = (&proxy.process.name, self.world.began());
-            let clients = Clients::new(name, proxy.listen, began, load.clone(), self.book.clone());
+            let (name, began) = (&proxy.process.name, self.backends.started_at());
+            let clients = Clients::new(name, proxy.listen, began, load.clone(), self.request_log.clone());
             self.coming
                 .push(tokio::spawn(clients.run(seed.wrapping_mul(1_000_003).wrapping_add(n as u64), until)));
         }
     }
 
     /// Waits until all clients have gone.
-    pub async fn gone(&mut self) {
+    pub async fn join_clients(&mut self) {
         for clients in std::mem::take(&mut self.coming) {
             let _ = clients.await;
         }
     }
 
     /// The numbers of the proxies that this names: `*`, a name, or `zone:NAME`.
-    pub fn named(&self, who: &str) -> Vec<usize> {
+    pub fn matching_proxies(&self, who: &str) -> Vec<usize> {
         let zone = who.strip_prefix("zone:");
         let fits = |proxy: &Proxy| who == "*" || proxy.process.name == who || zone == Some(&*proxy.zone);
         (0..self.proxies.len()).filter(|&n| fits(&self.proxies[n])).collect()
     }
 
     /// The nodes that this names: `caches`, an id, or `zone:NAME`.
-    pub fn nodes_named(&self, who: &str) -> Vec<String> {
+    pub fn matching_nodes(&self, who: &str) -> Vec<String> {
         let zone = who.strip_prefix("zone:");
-        let fits = |made: &Made| {
+        let fits = |made: &NodeSpec| {
             let cache = made.kind != ORIGIN;
             made.id == who || cache && (who == "caches" || zone == Some(&*made.zone))
         };
-        self.world.made().iter().filter(|made| fits(made)).map(|made| made.id.clone()).collect()
+        self.backends.node_specs().iter().filter(|made| fits(made)).map(|made| made.id.clone()).collect()
     }
 
     /// Sets the paths from these proxies to these ends; how many those are.
-    pub fn way(&self, from: &str, to: &str, way: Way) -> usize {
+    pub fn set_link_mode(&self, from: &str, to: &str, way: LinkMode) -> usize {
         let ends = match to {
             DISCOVERY | STAFF => vec![to.to_owned()],
-            "*" => self.world.made().into_iter().map(|made| made.id).chain([DISCOVERY.into()]).collect(),
-            nodes => self.nodes_named(nodes),
+            "*" => {
+                self.backends.node_specs().into_iter().map(|made| made.id).chain([DISCOVERY.into()]).collect()
+            }
+            nodes => self.matching_nodes(nodes),
         };
-        let chosen = self.named(from).into_iter().flat_map(|n| ends.iter().map(move |end| (n, end.clone())));
-        chosen.filter_map(|path| self.paths.get(&path)).map(|relay| relay.set(way)).count()
+        let chosen = self
+            .matching_proxies(from)
+            .into_iter()
+            .flat_map(|n| ends.iter().map(move |end| (n, end.clone())));
+        chosen.filter_map(|path| self.paths.get(&path)).map(|relay| relay.set_mode(way)).count()
     }
 
     /// Sets what becomes of datagrams from these proxies to those; how many pairs those are.
-    pub fn words(&self, from: &str, to: &str, way: Post) -> usize {
-        let (from, to) = (self.named(from), self.named(to));
+    pub fn set_datagram_mode(&self, from: &str, to: &str, way: DatagramMode) -> usize {
+        let (from, to) = (self.matching_proxies(from), self.matching_proxies(to));
         let pairs = from.iter().flat_map(|&from| to.iter().map(move |&to| (from, to)));
-        pairs.map(|(from, to)| self.boxes[to].set(self.proxies[from].words, way)).count()
+        pairs.map(|(from, to)| self.boxes[to].set_mode(self.proxies[from].words, way)).count()
     }
 
     /// What these proxies have open to discovery says nothing more; new connections do.
-    pub fn hushes(&mut self, who: &str) -> usize {
-        let (now, proxies) = (self.world.now_ms(), self.named(who));
+    pub fn silence_watches(&mut self, who: &str) -> usize {
+        let (now, proxies) = (self.backends.now_ms(), self.matching_proxies(who));
         for &n in &proxies {
             let Some(path) = self.paths.get(&(n, DISCOVERY.into())) else { continue };
-            path.hushes();
+            path.silence_open();
             self.hushed.push((self.proxies[n].process.name.clone(), now, now + path.delay_ms()));
         }
         proxies.len()
     }
 
     /// Requests at this proxy between these times may be lost: we did that.
-    pub fn excuses(&mut self, n: usize, from_ms: f64, to_ms: f64) {
+    pub fn excuse(&mut self, n: usize, from_ms: f64, to_ms: f64) {
         self.excused.push((self.proxies[n].process.name.clone(), from_ms, to_ms));
     }
 
     /// This proxy is told to end: new connections are not owed to anybody from some time on, until it is started again.
-    pub fn goes_down(&mut self, n: usize) {
-        let (name, now) = (self.proxies[n].process.name.clone(), self.world.now_ms());
+    pub fn mark_down(&mut self, n: usize) {
+        let (name, now) = (self.proxies[n].process.name.clone(), self.backends.now_ms());
         if !self.down.iter().any(|(proxy, _, to)| *proxy == name && *to == f64::MAX) {
             self.down.push((name, now, f64::MAX));
         }
     }
 
     /// It takes clients again.
-    pub fn comes_up(&mut self, n: usize) {
-        let (name, now) = (&self.proxies[n].process.name, self.world.now_ms());
+    pub fn mark_up(&mut self, n: usize) {
+        let (name, now) = (&self.proxies[n].process.name, self.backends.now_ms());
         let open = self.down.iter_mut().filter(|(proxy, _, to)| proxy == name && *to == f64::MAX);
         open.for_each(|down| down.2 = now);
     }
 
     /// So many clients connect to this proxy, say nothing and stay; how many came in.
-    pub async fn crowds(&mut self, n: usize, connections: usize) -> usize {
+    pub async fn open_idle_connections(&mut self, n: usize, connections: usize) -> usize {
         let before = self.crowd.len();
         for _ in 0..connections {
             self.crowd.extend(TcpStream::connect(self.proxies[n].listen).await);
@@ -409,22 +427,22 @@
     }
 
     /// What was excused at this proxy without an end ends then.
-    pub fn excused_until(&mut self, n: usize, until_ms: f64) {
+    pub fn end_excuse(&mut self, n: usize, until_ms: f64) {
         let name = &self.proxies[n].process.name;
         let open = self.excused.iter_mut().filter(|(proxy, _, to)| proxy == name && *to == f64::MAX);
         open.for_each(|excused| excused.2 = until_ms);
     }
 
     /// Every process lives and goes on from now on; requests that meet its return are excused for so many ms.
-    pub fn revives_all(&mut self, excused_ms: f64) -> Result<(), String> {
+    pub fn restore_all(&mut self, excused_ms: f64) -> Result<(), String> {
         for n in 0..self.proxies.len() {
             let process = &mut self.proxies[n].process;
-            process.goes_on();
-            if !process.lives() {
-                process.starts()?;
+            process.resume();
+            if !process.is_running() {
+                process.spawn()?;
             }
-            self.comes_up(n);
-            self.excused_until(n, self.world.now_ms() + excused_ms);
+            self.mark_up(n);
+            self.end_excuse(n, self.backends.now_ms() + excused_ms);
         }
         Ok(())
     }
@@ -432,28 +450,28 @@
     /// Every breach of the rules so far.
     pub fn breaches(&self) -> Vec<Breach> {
         let repeats = [
-            ("read", Repeats { replayable: true, memory_ms: None }),
-            ("write", Repeats { replayable: false, memory_ms: Some(3_000.0) }),
-            ("once", Repeats { replayable: false, memory_ms: None }),
+            ("read", RepeatRules { replayable: true, dedup_window_ms: None }),
+            ("write", RepeatRules { replayable: false, dedup_window_ms: Some(3_000.0) }),
+            ("once", RepeatRules { replayable: false, dedup_window_ms: None }),
         ];
         // As the proxies have them.
         let settings = settings(&self.shape, 0);
-        judge(&Evidence {
-            seen: &self.book.all(),
-            took: &self.world.took(),
-            changes: &self.world.changes(),
-            calls: &self.world.calls(),
-            hushed: &self.hushed,
-            pushed: settings["discovery"] == "pushed",
-            made: &self.world.made(),
-            repeats: &repeats.map(|(name, repeats)| (name.to_owned(), repeats)).into(),
-            grace_ms: settings["guarantees"]["stop_sending_within"]
+        check_rules(&Observations {
+            client_requests: &self.request_log.entries(),
+            node_requests: &self.backends.node_requests(),
+            list_changes: &self.backends.list_changes(),
+            discovery_calls: &self.backends.discovery_calls(),
+            silenced_watches: &self.hushed,
+            push_discovery: settings["discovery"] == "pushed",
+            node_specs: &self.backends.node_specs(),
+            repeat_rules: &repeats.map(|(name, repeats)| (name.to_owned(), repeats)).into(),
+            drain_grace_ms: settings["guarantees"]["stop_sending_within"]
                 .as_f64()
                 .map_or(GRACE, |grace| grace * 1e3),
-            fall_s: FALL,
+            cold_overload_window_s: FALL,
             excused: &self.excused,
-            down: &self.down,
-            crowded: !self.crowd.is_empty(),
+            shutdowns: &self.down,
+            sockets_exhausted: !self.crowd.is_empty(),
         })
     }
 }
--- a/crates/flintwell-rig/src/main.rs
+++ b/crates/flintwell-rig/src/main.rs
@@ -1,7 +1,7 @@
 //! flintwell-rig: plays a plan of faults on several real processes and judges the rules over all of them.
 
 use clap::{Parser, Subcommand};
-use flintwell_rig::fleet::{Fleet, Shape};
+use flintwell_rig::fleet::{Fleet, FleetSpec};
 use flintwell_rig::plan::{Outcome, Plan};
 use flintwell_rig::{days, record, rollouts, soak};
 use std::path::{Path, PathBuf};
@@ -136,7 +136,7 @@
             plan.seed = seed.unwrap_or(plan.seed);
             let outcome = plan.run(&arguments.program, folder.path()).await?;
             if let Some(out) = out {
-                record::leave(out, &plan, &outcome)?;
+                record::write_run(out, &plan, &outcome)?;
             }
             if *json {
                 println!("{}", serde_json::to_string(&outcome).map_err(|e| e.to_string())?);
@@ -146,10 +146,11 @@
             Ok(outcome.breaches.is_empty())
         }
         Command::Replay { folder: left } => {
-            let (plan, before) = record::left(left)?;
+            let (plan, before) = record::read_run(left)?;
             let outcome = plan.run(&arguments.program, folder.path()).await?;
             println!("{:12} {:>9} {:>9}", "seed", before.seed, outcome.seed);
-            for ((what, then), (_, now)) in record::sums(&before).into_iter().zip(record::sums(&outcome)) {
+            for ((what, then), (_, now)) in record::totals(&before).into_iter().zip(record::totals(&outcome))
+            {
                 println!("{what:12} {then:9} {now:9}");
             }
             println!("{:12} {:9} {:9}", "breaches", before.breaches.len(), outcome.breaches.len());
@@ -157,7 +158,7 @@
             Ok(outcome.breaches.is_empty())
         }
         Command::Rollouts { proxies, count, from, out } => {
-            let mut shape = Shape { proxies: *proxies, ..Shape::default() };
+            let mut shape = FleetSpec { proxies: *proxies, ..FleetSpec::default() };
             shape.zones = ["a", "b", "c"].map(str::to_owned).into();
             shape.load.rate = 30.0;
             let mut lines = String::new();
@@ -165,14 +166,14 @@
             for seed in *from..from + count {
                 let below = folder.path().join(seed.to_string());
                 std::fs::create_dir_all(&below).map_err(|e| e.to_string())?;
-                let rolled = rollouts::roll(seed, &shape, &arguments.program, &below).await?;
+                let rolled = rollouts::run_rollout(seed, &shape, &arguments.program, &below).await?;
                 println!(
                     "{:3} {:4} {:34} {:12} {} {:2} of {} in {:5.1} s, harmed {:5.1} s {:5.3}, lost {} {}",
                     seed,
                     if rolled.good { "good" } else { "bad" },
                     rolled.change,
-                    format!("{:?}", rolled.beside),
-                    if rolled.right() { "right" } else { "WRONG" },
+                    format!("{:?}", rolled.concurrent_fault),
+                    if rolled.is_correct() { "right" } else { "WRONG" },
                     rolled.reached,
                     rolled.members,
                     rolled.took_s,
@@ -186,7 +187,7 @@
                     .iter()
                     .take(3)
                     .for_each(|one| println!("    rule {}: {}", one.rule, one.what));
-                (right, lost) = (right + u64::from(rolled.right()), lost + rolled.lost);
+                (right, lost) = (right + u64::from(rolled.is_correct()), lost + rolled.lost);
                 lines += &(serde_json::to_string(&rolled).map_err(|e| e.to_string())? + "\n");
             }
             println!("{right} of {count} right, {lost} requests lost");
@@ -197,19 +198,19 @@
         }
         Command::Days { proxies, count, from, out } => {
             let zones = ["a", "b", "c"].map(str::to_owned).into();
-            let shape = Shape { proxies: *proxies, zones, words: true, ..Shape::default() };
+            let shape = FleetSpec { proxies: *proxies, zones, peer_messaging: true, ..FleetSpec::default() };
             let (mut kept, mut lines) = (0, String::new());
             for seed in *from..from + count {
                 let below = folder.path().join(seed.to_string());
-                let day = days::play(seed, &shape, &arguments.program, &below).await?;
-                let whole = day.whole_s.map_or("never".into(), |whole| format!("{whole:.1} s"));
+                let day = days::run_day(seed, &shape, &arguments.program, &below).await?;
+                let whole = day.converged_after_s.map_or("never".into(), |whole| format!("{whole:.1} s"));
                 let (all, well) = (day.requests, day.served);
                 println!(
                     "{seed:4}: {all} requests, {well} served, {} breaches, whole {whole}",
                     day.breaches.len()
                 );
                 day.breaches.iter().take(3).for_each(|one| println!("    rule {}: {}", one.rule, one.what));
-                kept += u64::from(day.breaches.is_empty() && day.whole_s.is_some());
+                kept += u64::from(day.breaches.is_empty() && day.converged_after_s.is_some());
                 lines += &(serde_json::to_string(&day).map_err(|e| e.to_string())? + "\n");
             }
             println!("{kept} of {count} with all rules kept and the fleet whole afterwards");
@@ -222,27 +223,27 @@
             let mut kept = 0;
             for seed in *from..from + count {
                 let below = folder.path().join(format!("soak-{seed}"));
-                let day = soak::play(seed, *proxies, &arguments.program, &below).await?;
+                let day = soak::run_day(seed, *proxies, &arguments.program, &below).await?;
                 println!(
                     "{seed:4}: {} requests, {} served, {} lapses, lists {:.1} s old, ready in {:.1} s",
-                    day.requests, day.served, day.lapses, day.oldest_list_s, day.ready_s
+                    day.requests, day.served, day.lease_lapses, day.oldest_list_s, day.ready_s
                 );
-                day.broken.iter().take(5).for_each(|one| println!("    {one}"));
-                if !day.broken.is_empty() {
+                day.violations.iter().take(5).for_each(|one| println!("    {one}"));
+                if !day.violations.is_empty() {
                     println!("    {}", serde_json::to_string(&day.events).map_err(|e| e.to_string())?);
                 }
-                kept += u64::from(day.broken.is_empty());
+                kept += u64::from(day.violations.is_empty());
             }
             println!("{kept} of {count} with all rules kept");
             Ok(kept == *count)
         }
         Command::Kills { proxies, count } => {
-            let mut shape = Shape { proxies: *proxies, ..Shape::default() };
+            let mut shape = FleetSpec { proxies: *proxies, ..FleetSpec::default() };
             shape.zones = ["a", "b"].map(str::to_owned).into();
             shape.load.rate = 60.0;
-            let killed = rollouts::kills(*count, &shape, &arguments.program, folder.path()).await?;
+            let killed = rollouts::run_kills(*count, &shape, &arguments.program, folder.path()).await?;
             println!("{}", serde_json::to_string(&killed).map_err(|e| e.to_string())?);
-            Ok(killed.torn == 0 && killed.lost == 0)
+            Ok(killed.inconsistent == 0 && killed.lost == 0)
         }
         Command::Sweep { plan, seeds } => {
             let first = Plan::read(plan)?;
@@ -300,17 +301,17 @@
 
 /// A fleet to try a rollout on: its members as a plan, and what to type.
 async fn try_out(proxies: usize, program: &Path, folder: &Path) -> Result<(), String> {
-    let mut shape = Shape { proxies, zones: vec!["a".into(), "b".into()], ..Shape::default() };
+    let mut shape = FleetSpec { proxies, zones: vec!["a".into(), "b".into()], ..FleetSpec::default() };
     shape.load.rate = 40.0;
-    let fleet_name = shape.fleet.clone();
+    let fleet_name = shape.fleet_name.clone();
     let mut fleet = Fleet::start(shape, program, folder).await?;
     let day = Duration::from_secs(86_400);
-    fleet.comes(1, day);
+    fleet.start_clients(1, day);
     let mut plan =
         format!("fleet = \"{fleet_name}\"\nsettings = \"new-settings.json\"\n\n[times]\nwatch_s = 10\n\n");
     plan += "[limits]\naccesses = 1000\n";
     for proxy in &fleet.proxies {
-        let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.staff);
+        let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.management);
         plan += &format!("\n[[members]]\nname = \"{name}\"\nzone = \"{zone}\"\nat = \"{at}\"\n");
     }
     let file = folder.join("rollout.toml");
@@ -319,9 +320,12 @@
         |file: &Path, text: &str| std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()));
     write(&file, &plan)?;
     write(&new, r#"{"limits": {"max_hand_offs": 3}}"#)?;
-    println!("{proxies} proxies, {} nodes, light traffic; Ctrl-C ends all", fleet.world.made().len());
+    println!(
+        "{proxies} proxies, {} nodes, light traffic; Ctrl-C ends all",
+        fleet.backends.node_specs().len()
+    );
     for proxy in &fleet.proxies {
-        println!("  {}: clients at {}, staff at {}", proxy.process.name, proxy.listen, proxy.staff);
+        println!("  {}: clients at {}, staff at {}", proxy.process.name, proxy.listen, proxy.management);
     }
     println!("try:  {} rollout plan {}", program.display(), file.display());
     println!("      {} rollout start {}", program.display(), file.display());
--- a/crates/flintwell-rig/src/plan.rs
+++ b/crates/flintwell-rig/src/plan.rs
@@ -1,11 +1,11 @@
 //! A run as a TOML file: the fleet, the seed, and what goes wrong when.
 
 use crate::check::Breach;
-use crate::datagrams::Post;
-use crate::fleet::{Fleet, Shape};
-use crate::record::{Line, timeline};
-use crate::relay::Way;
-use flintwell_standins::world::{Did, Fault, State};
+use crate::datagrams::DatagramMode;
+use crate::fleet::{Fleet, FleetSpec};
+use crate::record::{TimelineEntry, merge_timeline};
+use crate::relay::LinkMode;
+use flintwell_standins::backends::{Disposition, Fault, NodeState};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
     /// How long clients come, s.
     pub time_s: f64,
     #[serde(default)]
-    pub fleet: Shape,
+    pub fleet: FleetSpec,
     #[serde(default)]
     pub events: Vec<Event>,
 }
@@ -30,25 +30,29 @@
 pub struct Event {
     pub at_s: f64,
     #[serde(flatten)]
-    pub what: What,
+    pub action: Action,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum Action {
     Path {
         from: String,
         to: String,
-        way: Way,
+        #[serde(rename = "way")]
+        mode: LinkMode,
     },
     /// Of datagrams from one proxy to another.
-    Words {
+    #[serde(rename = "words")]
+    Datagrams {
         from: String,
         to: String,
-        way: Post,
+        #[serde(rename = "way")]
+        mode: DatagramMode,
     },
     /// Its open watches fall silent for good; new connections to discovery are well.
-    HushWatch {
+    #[serde(rename = "hush_watch")]
+    SilenceWatches {
         who: String,
     },
     Node {
@@ -57,9 +61,10 @@
     },
     List {
         who: String,
-        state: State,
+        state: NodeState,
     },
-    Cold {
+    #[serde(rename = "cold")]
+    RestartCold {
         who: String,
     },
     Kill {
@@ -80,25 +85,28 @@
         who: String,
     },
     /// The configuration is read anew.
-    HangUp {
+    #[serde(rename = "hang_up")]
+    Reload {
         who: String,
     },
     /// So many clients connect to each, say nothing and stay.
-    Crowd {
+    #[serde(rename = "crowd")]
+    OpenIdleConnections {
         who: String,
         connections: usize,
     },
     Pause {
         who: String,
     },
-    GoOn {
+    #[serde(rename = "go_on")]
+    Resume {
         who: String,
     },
 }
 
 /// Requests within one second of the run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Second {
+pub struct SecondCounts {
     #[serde(rename = "accesses")]
     pub requests: usize,
     #[serde(rename = "honoured")]
@@ -118,11 +126,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Outcome {
     pub seed: u64,
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondCounts>,
     pub breaches: Vec<Breach>,
     /// Kept in a file of its own.
     #[serde(skip)]
-    pub timeline: Vec<Line>,
+    pub timeline: Vec<TimelineEntry>,
 }
 
 impl Plan {
@@ -138,16 +146,16 @@
     pub async fn run(&self, program: &Path, folder: &Path) -> Result<Outcome, String> {
         let mut fleet = Fleet::start(self.fleet.clone(), program, folder).await?;
         let began = Instant::now();
-        let offset = fleet.world.now_ms();
-        fleet.comes(self.seed, Duration::from_secs_f64(self.time_s));
+        let offset = fleet.backends.now_ms();
+        fleet.start_clients(self.seed, Duration::from_secs_f64(self.time_s));
         let mut events = self.events.clone();
         events.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         for event in &events {
             sleep_until((began + Duration::from_secs_f64(event.at_s.max(0.0))).into()).await;
-            happens(&mut fleet, &event.what).await.map_err(|why| format!("at {} s: {why}", event.at_s))?;
+            apply(&mut fleet, &event.action).await.map_err(|why| format!("at {} s: {why}", event.at_s))?;
         }
-        fleet.gone().await;
-        let timeline = timeline(&fleet, &events, offset);
+        fleet.join_clients().await;
+        let timeline = merge_timeline(&fleet, &events, offset);
         Ok(Outcome {
             seed: self.seed,
             seconds: seconds(&fleet, offset),
@@ -157,109 +165,109 @@
     }
 }
 
-pub async fn happens(fleet: &mut Fleet, what: &What) -> Result<(), String> {
-    let now = fleet.world.now_ms();
+pub async fn apply(fleet: &mut Fleet, what: &Action) -> Result<(), String> {
+    let now = fleet.backends.now_ms();
     let nobody = |who: &str| format!("nobody is named {who:?}");
-    let proxies = |fleet: &Fleet, who: &str| match fleet.named(who) {
+    let proxies = |fleet: &Fleet, who: &str| match fleet.matching_proxies(who) {
         none if none.is_empty() => Err(nobody(who)),
         some => Ok(some),
     };
-    let nodes = |fleet: &Fleet, who: &str| match fleet.nodes_named(who) {
+    let nodes = |fleet: &Fleet, who: &str| match fleet.matching_nodes(who) {
         none if none.is_empty() => Err(nobody(who)),
         some => Ok(some),
     };
     match what {
-        What::Path { from, to, way } => {
-            if fleet.way(from, to, *way) == 0 {
+        Action::Path { from, to, mode } => {
+            if fleet.set_link_mode(from, to, *mode) == 0 {
                 return Err(format!("no path from {from:?} to {to:?}"));
             }
         }
-        What::Words { from, to, way } => {
-            if fleet.words(from, to, *way) == 0 {
+        Action::Datagrams { from, to, mode } => {
+            if fleet.set_datagram_mode(from, to, *mode) == 0 {
                 return Err(format!("no words from {from:?} to {to:?}"));
             }
         }
-        What::HushWatch { who } => {
-            if fleet.hushes(who) == 0 {
+        Action::SilenceWatches { who } => {
+            if fleet.silence_watches(who) == 0 {
                 return Err(nobody(who));
             }
         }
-        What::Node { who, fault } => nodes(fleet, who)?.iter().for_each(|id| {
-            fleet.world.fault(id, *fault);
+        Action::Node { who, fault } => nodes(fleet, who)?.iter().for_each(|id| {
+            fleet.backends.set_fault(id, *fault);
         }),
-        What::List { who, state } => nodes(fleet, who)?.iter().for_each(|id| {
-            fleet.world.lists(id, *state);
+        Action::List { who, state } => nodes(fleet, who)?.iter().for_each(|id| {
+            fleet.backends.set_list_state(id, *state);
         }),
-        What::Cold { who } => nodes(fleet, who)?.iter().for_each(|id| {
-            fleet.world.restarts(id);
+        Action::RestartCold { who } => nodes(fleet, who)?.iter().for_each(|id| {
+            fleet.backends.restart_node(id);
         }),
-        What::Kill { who } => {
+        Action::Kill { who } => {
             for n in proxies(fleet, who)? {
-                fleet.proxies[n].process.kills();
-                fleet.excuses(n, now - 1_500.0, f64::MAX);
+                fleet.proxies[n].process.kill();
+                fleet.excuse(n, now - 1_500.0, f64::MAX);
             }
         }
-        What::Terminate { who } => {
+        Action::Terminate { who } => {
             for n in proxies(fleet, who)? {
-                fleet.proxies[n].process.terminates();
-                fleet.goes_down(n);
+                fleet.proxies[n].process.terminate();
+                fleet.mark_down(n);
             }
         }
-        What::End { who } => {
+        Action::End { who } => {
             for n in proxies(fleet, who)? {
-                fleet.proxies[n].process.kills();
+                fleet.proxies[n].process.kill();
             }
         }
-        What::HangUp { who } => {
-            proxies(fleet, who)?.into_iter().for_each(|n| fleet.proxies[n].process.hangs_up());
+        Action::Reload { who } => {
+            proxies(fleet, who)?.into_iter().for_each(|n| fleet.proxies[n].process.reload());
         }
-        What::Crowd { who, connections } => {
+        Action::OpenIdleConnections { who, connections } => {
             for n in proxies(fleet, who)? {
-                fleet.crowds(n, *connections).await;
+                fleet.open_idle_connections(n, *connections).await;
             }
         }
-        What::Start { who, afresh } => {
+        Action::Start { who, afresh } => {
             for n in proxies(fleet, who)? {
                 // Of two who were to start it the first has.
-                if !fleet.proxies[n].process.lives() {
+                if !fleet.proxies[n].process.is_running() {
                     if *afresh {
-                        fleet.proxies[n].process.forgets();
+                        fleet.proxies[n].process.delete_state();
                     }
-                    fleet.proxies[n].process.starts()?;
+                    fleet.proxies[n].process.spawn()?;
                 }
-                fleet.comes_up(n);
-                let until = fleet.world.now_ms() + STANDS * 1e3;
-                fleet.excused_until(n, until);
+                fleet.mark_up(n);
+                let until = fleet.backends.now_ms() + STANDS * 1e3;
+                fleet.end_excuse(n, until);
             }
         }
-        What::Pause { who } => {
+        Action::Pause { who } => {
             for n in proxies(fleet, who)? {
-                fleet.proxies[n].process.pauses();
-                fleet.excuses(n, now - 1_500.0, f64::MAX);
+                fleet.proxies[n].process.pause();
+                fleet.excuse(n, now - 1_500.0, f64::MAX);
             }
         }
-        What::GoOn { who } => {
+        Action::Resume { who } => {
             for n in proxies(fleet, who)? {
-                fleet.proxies[n].process.goes_on();
-                let until = fleet.world.now_ms() + STANDS * 1e3;
-                fleet.excused_until(n, until);
+                fleet.proxies[n].process.resume();
+                let until = fleet.backends.now_ms() + STANDS * 1e3;
+                fleet.end_excuse(n, until);
             }
         }
     }
     Ok(())
 }
 
-fn seconds(fleet: &Fleet, offset: f64) -> Vec<Second> {
-    let mut seconds: Vec<Second> = Vec::new();
+fn seconds(fleet: &Fleet, offset: f64) -> Vec<SecondCounts> {
+    let mut seconds: Vec<SecondCounts> = Vec::new();
     let place = |at: f64| ((at - offset).max(0.0) / 1e3) as usize;
-    let mut second = |at: f64, change: &dyn Fn(&mut Second)| {
+    let mut second = |at: f64, change: &dyn Fn(&mut SecondCounts)| {
         let n = place(at);
         if seconds.len() <= n {
-            seconds.resize(n + 1, Second::default());
+            seconds.resize(n + 1, SecondCounts::default());
         }
         change(&mut seconds[n]);
     };
-    for seen in fleet.book.all() {
+    for seen in fleet.request_log.entries() {
         second(seen.at_ms, &|second| {
             second.requests += 1;
             match seen.status {
@@ -270,11 +278,11 @@
             }
         });
     }
-    for took in fleet.world.took() {
+    for took in fleet.backends.node_requests() {
         second(took.at_ms, &|second| {
             second.attempts += 1;
-            second.fetches += usize::from(took.node == "origin" && took.did == Did::Served);
-            second.origin_refused += usize::from(took.did == Did::TurnedAway);
+            second.fetches += usize::from(took.node == "origin" && took.disposition == Disposition::Served);
+            second.origin_refused += usize::from(took.disposition == Disposition::TurnedAway);
         });
     }
     seconds
--- a/crates/flintwell-rig/src/process.rs
+++ b/crates/flintwell-rig/src/process.rs
@@ -33,11 +33,11 @@
             child: None,
             log: Arc::default(),
         };
-        process.starts()?;
+        process.spawn()?;
         Ok(process)
     }
 
-    pub fn starts(&mut self) -> Result<(), String> {
+    pub fn spawn(&mut self) -> Result<(), String> {
         let temporary = self.folder.join("tmp");
         let made = std::fs::create_dir_all(&temporary);
         made.map_err(|e| format!("{}: {e}", temporary.display()))?;
@@ -83,26 +83,26 @@
     }
 
     /// Stands still, as a machine that is overbooked.
-    pub fn pauses(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
-    pub fn goes_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
-    pub fn hangs_up(&self) {
+    pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
     /// Told to end; it goes on until it has, or is killed.
-    pub fn terminates(&self) {
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
     /// Its next start finds none of the files that it has kept.
-    pub fn forgets(&self) {
+    pub fn delete_state(&self) {
         // Without any there is nothing to forget.
         let _ = std::fs::remove_dir_all(self.folder.join("tmp"));
     }
 
-    pub fn kills(&mut self) {
+    pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
@@ -110,7 +110,7 @@
     }
 
     /// A planned stop; killed if that takes too long. Whether it ended by itself, and well.
-    pub fn stops(&mut self) -> bool {
+    pub fn shut_down(&mut self) -> bool {
         self.signal(Signal::TERM);
         let began = Instant::now();
         while began.elapsed() < ENDS {
@@ -123,20 +123,20 @@
                 _ => break,
             }
         }
-        self.kills();
+        self.kill();
         false
     }
 
     /// Whether it lives.
-    pub fn lives(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.as_mut().map(Child::try_wait), Some(Ok(None)))
     }
 
     pub fn log(&self) -> Vec<String> {
-        self.log_at().into_iter().map(|line| line.1).collect()
+        self.timestamped_log().into_iter().map(|line| line.1).collect()
     }
     /// Each line with when it came.
-    pub fn log_at(&self) -> Vec<(Instant, String)> {
+    pub fn timestamped_log(&self) -> Vec<(Instant, String)> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
@@ -144,7 +144,7 @@
 impl Drop for Process {
     /// Ended by its id however the run ends, also while a test panics.
     fn drop(&mut self) {
-        self.goes_on();
-        self.kills();
+        self.resume();
+        self.kill();
     }
 }
--- a/crates/flintwell-rig/src/record.rs
+++ b/crates/flintwell-rig/src/record.rs
@@ -2,7 +2,7 @@
 //! same plan beside them.
 
 use crate::fleet::Fleet;
-use crate::plan::{Event, Outcome, Plan, Second};
+use crate::plan::{Event, Outcome, Plan, SecondCounts};
 use serde::Serialize;
 use std::fmt::Write;
 use std::path::Path;
@@ -13,37 +13,42 @@
 
 /// One line of the timeline; times in ms since the clients came.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct TimelineEntry {
     pub at_ms: f64,
     /// What tells it: `fault`, `list`, `client`, `node` or `log`.
-    pub by: &'static str,
-    pub who: String,
-    pub what: String,
+    #[serde(rename = "by")]
+    pub source: &'static str,
+    #[serde(rename = "who")]
+    pub subject: String,
+    #[serde(rename = "what")]
+    pub text: String,
 }
 
 /// All that was seen anywhere, in the order of time.
-pub fn timeline(fleet: &Fleet, events: &[Event], offset: f64) -> Vec<Line> {
+pub fn merge_timeline(fleet: &Fleet, events: &[Event], offset: f64) -> Vec<TimelineEntry> {
     let mut lines = Vec::new();
-    let mut line = |at_ms: f64, by, who: &str, what| lines.push(Line { at_ms, by, who: who.into(), what });
+    let mut line = |at_ms: f64, by, who: &str, what| {
+        lines.push(TimelineEntry { at_ms, source: by, subject: who.into(), text: what })
+    };
     for event in events {
-        let what = serde_json::to_string(&event.what).unwrap_or_default();
+        let what = serde_json::to_string(&event.action).unwrap_or_default();
         line(event.at_s * 1e3, "fault", "rig", what);
     }
-    for change in fleet.world.changes() {
-        line(change.at_ms - offset, "list", &change.node, change.state.word().into());
+    for change in fleet.backends.list_changes() {
+        line(change.at_ms - offset, "list", &change.node, change.state.as_str().into());
     }
-    for seen in fleet.book.all() {
+    for seen in fleet.request_log.entries() {
         let status = seen.status.map_or("no answer".into(), |status| status.to_string());
-        let what = format!("{} {}: {status} after {:.1} ms", seen.case, seen.id, seen.took_ms);
+        let what = format!("{} {}: {status} after {:.1} ms", seen.class, seen.id, seen.took_ms);
         line(seen.at_ms - offset, "client", &seen.proxy, what);
     }
-    for took in fleet.world.took() {
-        let what = format!("{} {}: {:?}, warmth {:.2}", took.id, took.key, took.did, took.warmth);
+    for took in fleet.backends.node_requests() {
+        let what = format!("{} {}: {:?}, warmth {:.2}", took.id, took.key, took.disposition, took.warmth);
         line(took.at_ms - offset, "node", &took.node, what);
     }
     for proxy in &fleet.proxies {
-        for (at, text) in proxy.process.log_at() {
-            line(fleet.world.ms(at) - offset, "log", &proxy.process.name, text);
+        for (at, text) in proxy.process.timestamped_log() {
+            line(fleet.backends.to_ms(at) - offset, "log", &proxy.process.name, text);
         }
     }
     lines.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
@@ -51,7 +56,7 @@
 }
 
 /// Leaves all of it in `folder`, which is made.
-pub fn leave(folder: &Path, plan: &Plan, outcome: &Outcome) -> Result<(), String> {
+pub fn write_run(folder: &Path, plan: &Plan, outcome: &Outcome) -> Result<(), String> {
     let told = |error: &dyn std::fmt::Display| format!("{}: {error}", folder.display());
     std::fs::create_dir_all(folder).map_err(|e| told(&e))?;
     let mut lines = String::new();
@@ -69,7 +74,7 @@
 }
 
 /// The plan that a folder holds, with what came of it.
-pub fn left(folder: &Path) -> Result<(Plan, Outcome), String> {
+pub fn read_run(folder: &Path) -> Result<(Plan, Outcome), String> {
     let plan = Plan::read(&folder.join(PLAN))?;
     let file = folder.join(OUTCOME);
     let told = |error: &dyn std::fmt::Display| format!("{}: {error}", file.display());
@@ -78,8 +83,8 @@
 }
 
 /// Sums over a run, for two plays side by side.
-pub fn sums(outcome: &Outcome) -> [(&'static str, usize); 8] {
-    let of = |part: fn(&Second) -> usize| outcome.seconds.iter().map(part).sum();
+pub fn totals(outcome: &Outcome) -> [(&'static str, usize); 8] {
+    let of = |part: fn(&SecondCounts) -> usize| outcome.seconds.iter().map(part).sum();
     [
         ("accesses", of(|second| second.requests)),
         ("honoured", of(|second| second.served)),
--- a/crates/flintwell-rig/src/relay.rs
+++ b/crates/flintwell-rig/src/relay.rs
@@ -16,24 +16,29 @@
 /// What a path does with what comes over it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum LinkMode {
     #[default]
-    Passes,
+    #[serde(rename = "passes")]
+    Pass,
     /// Nothing goes either way; open connections stay open and silent, new ones come up and say nothing.
     Cut,
     /// What is asked arrives, what is answered does not.
-    Deaf,
+    #[serde(rename = "deaf")]
+    DropResponses,
     /// Open connections are reset, new ones too.
-    Resets,
+    #[serde(rename = "resets")]
+    Reset,
     /// Each piece comes so many ms later.
-    Delays(f64),
+    #[serde(rename = "delays")]
+    Delay(f64),
     /// So many bytes a second.
-    Trickles(f64),
+    #[serde(rename = "trickles")]
+    Throttle(f64),
 }
 
 pub struct Relay {
     pub addr: SocketAddr,
-    way: Arc<watch::Sender<Way>>,
+    way: Arc<watch::Sender<LinkMode>>,
     /// Raised when what is open falls silent for good.
     hushed: Arc<watch::Sender<u64>>,
 }
@@ -43,7 +48,7 @@
     pub async fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
-        let way = Arc::new(watch::channel(Way::Passes).0);
+        let way = Arc::new(watch::channel(LinkMode::Pass).0);
         let hushed = Arc::new(watch::channel(0).0);
         let (told, silenced) = (way.clone(), hushed.clone());
         tokio::spawn(async move {
@@ -60,20 +65,20 @@
         Ok(Relay { addr, way, hushed })
     }
 
-    pub fn set(&self, way: Way) {
+    pub fn set_mode(&self, way: LinkMode) {
         self.way.send_replace(way);
     }
 
     /// How long what was sent is still on its way, ms.
     pub fn delay_ms(&self) -> f64 {
         match *self.way.borrow() {
-            Way::Delays(ms) => ms.max(0.0),
+            LinkMode::Delay(ms) => ms.max(0.0),
             _ => 0.0,
         }
     }
 
     /// Connections open now stay open and say nothing more, either way; new ones pass.
-    pub fn hushes(&self) {
+    pub fn silence_open(&self) {
         self.hushed.send_modify(|times| *times += 1);
     }
 }
@@ -81,27 +86,28 @@
 async fn joined(
     from: TcpStream,
     to: SocketAddr,
-    mut way: watch::Receiver<Way>,
+    mut way: watch::Receiver<LinkMode>,
     hushed: watch::Receiver<u64>,
 ) {
     let (mut resets, mut opens) = (way.clone(), way.clone());
     let both = async {
         // Over a path that is cut a new connection reaches nobody.
-        let open = opens.wait_for(|way| *way != Way::Cut).await.map(|way| *way);
+        let open = opens.wait_for(|way| *way != LinkMode::Cut).await.map(|way| *way);
         if open.is_err() {
             return;
         }
         let Ok(there) = TcpStream::connect(to).await else { return };
         let _ = (from.set_nodelay(true), there.set_nodelay(true));
         let ((from_read, from_write), (there_read, there_write)) = (from.into_split(), there.into_split());
-        let asked = passes(from_read, there_write, way.clone(), hushed.clone(), |way| way != Way::Cut);
-        let answered =
-            passes(there_read, from_write, way.clone(), hushed, |way| !matches!(way, Way::Cut | Way::Deaf));
+        let asked = passes(from_read, there_write, way.clone(), hushed.clone(), |way| way != LinkMode::Cut);
+        let answered = passes(there_read, from_write, way.clone(), hushed, |way| {
+            !matches!(way, LinkMode::Cut | LinkMode::DropResponses)
+        });
         tokio::join!(asked, answered);
     };
     tokio::select! {
         () = both => {}
-        _ = resets.wait_for(|way| *way == Way::Resets) => {}
+        _ = resets.wait_for(|way| *way == LinkMode::Reset) => {}
     }
     // Dropped with bytes unread, a connection is reset.
     way.mark_unchanged();
@@ -110,14 +116,14 @@
 async fn passes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut way: watch::Receiver<Way>,
+    mut way: watch::Receiver<LinkMode>,
     hushed: watch::Receiver<u64>,
-    open: fn(Way) -> bool,
+    open: fn(LinkMode) -> bool,
 ) {
     let mut piece = vec![0; PIECE];
     loop {
         let most = match *way.borrow() {
-            Way::Trickles(rate) => ((rate / 20.0) as usize).clamp(1, PIECE),
+            LinkMode::Throttle(rate) => ((rate / 20.0) as usize).clamp(1, PIECE),
             _ => PIECE,
         };
         let Ok(read) = from.read(&mut piece[..most]).await else { return };
@@ -130,8 +136,8 @@
             Err(_) => return,
         };
         match now {
-            Way::Delays(ms) => sleep(Duration::from_secs_f64(ms.max(0.0) / 1e3)).await,
-            Way::Trickles(_) => sleep(Duration::from_millis(50)).await,
+            LinkMode::Delay(ms) => sleep(Duration::from_secs_f64(ms.max(0.0) / 1e3)).await,
+            LinkMode::Throttle(_) => sleep(Duration::from_millis(50)).await,
             _ => {}
         }
         if read == 0 {
--- a/crates/flintwell-rig/src/rollouts.rs
+++ b/crates/flintwell-rig/src/rollouts.rs
@@ -2,9 +2,9 @@
 //! each came, what it cost, and how often the verdict was wrong.
 
 use crate::check::Breach;
-use crate::fleet::{Fleet, Shape};
-use crate::relay::Way;
-use flintwell_standins::world::Fault;
+use crate::fleet::{Fleet, FleetSpec};
+use crate::relay::LinkMode;
+use flintwell_standins::backends::Fault;
 use hyper::Method;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -98,7 +98,7 @@
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub enum Beside {
+pub enum ConcurrentFault {
     Nothing,
     OriginFull,
     ZoneSilent,
@@ -107,11 +107,12 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct Rolled {
+pub struct RolloutResult {
     pub seed: u64,
     pub change: String,
     pub good: bool,
-    pub beside: Beside,
+    #[serde(rename = "beside")]
+    pub concurrent_fault: ConcurrentFault,
     /// The exit code of the one who rolled out; none past the longest time.
     pub code: Option<i32>,
     pub why: String,
@@ -131,9 +132,9 @@
     pub breaches: Vec<Breach>,
 }
 
-impl Rolled {
+impl RolloutResult {
     /// A good one has to end with all, a bad one with none.
-    pub fn right(&self) -> bool {
+    pub fn is_correct(&self) -> bool {
         self.code == Some(i32::from(!self.good))
     }
 }
@@ -143,24 +144,35 @@
 }
 
 /// One rollout, drawn by its seed: every other one good, every third with a fault beside.
-pub async fn roll(seed: u64, shape: &Shape, program: &Path, folder: &Path) -> Result<Rolled, String> {
+pub async fn run_rollout(
+    seed: u64,
+    shape: &FleetSpec,
+    program: &Path,
+    folder: &Path,
+) -> Result<RolloutResult, String> {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let wanted: Vec<&Change> =
         CHANGES.iter().filter(|change| change.good == seed.is_multiple_of(2)).collect();
     let change = wanted[(seed / 2) as usize % wanted.len()];
-    let faults = [Beside::OriginFull, Beside::ZoneSilent, Beside::SlowNode, Beside::ProxyPaused];
-    let beside = if seed % 3 == 2 { faults[chance.random_range(0..faults.len())] } else { Beside::Nothing };
+    let faults = [
+        ConcurrentFault::OriginFull,
+        ConcurrentFault::ZoneSilent,
+        ConcurrentFault::SlowNode,
+        ConcurrentFault::ProxyPaused,
+    ];
+    let beside =
+        if seed % 3 == 2 { faults[chance.random_range(0..faults.len())] } else { ConcurrentFault::Nothing };
     let programs = matches!(change.what, What::Program(_));
-    let shape = Shape { supervised: programs, ..shape.clone() };
+    let shape = FleetSpec { supervised: programs, ..shape.clone() };
     let members = shape.proxies;
     let program = std::path::absolute(program).map_err(io)?;
     let mut fleet = Fleet::start(shape, &program, folder).await?;
-    fleet.comes(seed, LONGEST);
+    fleet.start_clients(seed, LONGEST);
     sleep(Duration::from_secs(2)).await;
     let plan = plan(&fleet, change, &program, folder)?;
     let mut command = Command::new(&program);
     command.args(["rollout", "start"]).arg(&plan).stdout(Stdio::null()).stderr(Stdio::piped());
-    let (began, began_ms) = (Instant::now(), fleet.world.now_ms());
+    let (began, began_ms) = (Instant::now(), fleet.backends.now_ms());
     let mut rolls = command.kill_on_drop(true).spawn().map_err(io)?;
     let state = plan.with_file_name("plan.toml.state").join("status.json");
     let (mut reached, mut span, mut why, mut done) = (0, None::<(f64, f64)>, String::new(), 0);
@@ -176,7 +188,7 @@
             reached = reached.max(having);
             why = told;
             if having > 0 {
-                let now = fleet.world.now_ms();
+                let now = fleet.backends.now_ms();
                 span = Some((span.map_or(now, |span| span.0), now));
             }
         }
@@ -198,21 +210,21 @@
     }
     // What was asked last has its answer, or is lost for good.
     sleep(Duration::from_millis(1_600)).await;
-    let end_ms = fleet.world.now_ms() - 1_600.0;
+    let end_ms = fleet.backends.now_ms() - 1_600.0;
     if change.name == "ends after 5 s" {
         // What it has in hand when it is killed is lost with it, as with any crash; the canaries are the first.
-        (0..fleet.proxies.len()).for_each(|n| fleet.excuses(n, began_ms, f64::MAX));
+        (0..fleet.proxies.len()).for_each(|n| fleet.excuse(n, began_ms, f64::MAX));
     }
-    let seen: Vec<_> = fleet.book.all().into_iter().filter(|seen| seen.at_ms < end_ms).collect();
+    let seen: Vec<_> = fleet.request_log.entries().into_iter().filter(|seen| seen.at_ms < end_ms).collect();
     let within = |at: f64| span.is_some_and(|(from, to)| (from..to).contains(&at));
     let during: Vec<_> = seen.iter().filter(|seen| within(seen.at_ms)).collect();
     let not = during.iter().filter(|seen| seen.status != Some(200)).count();
     let breaches: Vec<Breach> = fleet.breaches().into_iter().filter(|one| one.at_ms < end_ms).collect();
-    Ok(Rolled {
+    Ok(RolloutResult {
         seed,
         change: change.name.into(),
         good: change.good,
-        beside,
+        concurrent_fault: beside,
         code,
         why,
         reached,
@@ -228,24 +240,30 @@
 
 /// What came of kills at random points.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Killed {
+pub struct KillSummary {
     pub rollouts: usize,
     /// Of the one who rolls out, and of members.
     pub kills: usize,
     pub members: usize,
     /// Rollouts after which members had different settings in force, or unconfirmed ones.
-    pub torn: usize,
+    #[serde(rename = "torn")]
+    pub inconsistent: usize,
     pub lost: usize,
 }
 
 /// Rolls good changes out on one fleet, one after the other, and kills the one who does so at random points until it
 /// was killed `count` times; at every second of its kills a member as well. After each rollout the fleet is looked at.
-pub async fn kills(count: usize, shape: &Shape, program: &Path, folder: &Path) -> Result<Killed, String> {
+pub async fn run_kills(
+    count: usize,
+    shape: &FleetSpec,
+    program: &Path,
+    folder: &Path,
+) -> Result<KillSummary, String> {
     let mut chance = ChaCha8Rng::seed_from_u64(1);
     let program = std::path::absolute(program).map_err(io)?;
     let mut fleet = Fleet::start(shape.clone(), &program, folder).await?;
-    fleet.comes(1, LONGEST * 20);
-    let mut killed = Killed::default();
+    fleet.start_clients(1, LONGEST * 20);
+    let mut killed = KillSummary::default();
     while killed.kills < count {
         killed.rollouts += 1;
         let below = folder.join(format!("rollout-{}", killed.rollouts));
@@ -273,10 +291,10 @@
                     killed.kills += 1;
                     if killed.kills.is_multiple_of(2) {
                         let n = chance.random_range(0..fleet.proxies.len());
-                        fleet.excuses(n, fleet.world.now_ms() - 1_500.0, f64::MAX);
-                        fleet.proxies[n].process.kills();
-                        fleet.proxies[n].process.starts()?;
-                        fleet.excused_until(n, fleet.world.now_ms() + 500.0);
+                        fleet.excuse(n, fleet.backends.now_ms() - 1_500.0, f64::MAX);
+                        fleet.proxies[n].process.kill();
+                        fleet.proxies[n].process.spawn()?;
+                        fleet.end_excuse(n, fleet.backends.now_ms() + 500.0);
                         killed.members += 1;
                     }
                     sleep(Duration::from_millis(chance.random_range(0..KILLED_WITHIN / 4))).await;
@@ -285,11 +303,11 @@
         }
         let mut stands = Vec::new();
         for proxy in &fleet.proxies {
-            let told = status(proxy.staff).await.ok_or("a member does not say where it stands")?;
+            let told = status(proxy.management).await.ok_or("a member does not say where it stands")?;
             stands.push((told["epoch"].clone(), told["unconfirmed"] == json!(true)));
         }
         let whole = stands.iter().all(|one| one.0 == stands[0].0 && !one.1);
-        killed.torn += usize::from(!whole);
+        killed.inconsistent += usize::from(!whole);
     }
     killed.lost = fleet.breaches().len();
     Ok(killed)
@@ -331,7 +349,7 @@
         "fleet = \"rig\"\nwhat = \"{what}\"\nsettings = \"new.json\"\nstages = [\"canary\", \"30%\", \"100%\"]\n{limits}"
     );
     for proxy in &fleet.proxies {
-        let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.staff);
+        let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.management);
         text += &format!("[[members]]\nname = \"{name}\"\nzone = \"{zone}\"\nat = \"{at}\"\n");
     }
     let file = folder.join("plan.toml");
@@ -339,25 +357,29 @@
     Ok(file)
 }
 
-fn sets(fleet: &mut Fleet, beside: Beside, on: bool) {
+fn sets(fleet: &mut Fleet, beside: ConcurrentFault, on: bool) {
     let fault = |fault: Fault| if on { fault } else { Fault::None };
     match beside {
-        Beside::Nothing => {}
-        Beside::OriginFull => drop(fleet.world.fault("origin", fault(Fault::Full)).then_some(())),
-        Beside::SlowNode => drop(fleet.world.fault("cache-a0", fault(Fault::Slow(20.0))).then_some(())),
-        Beside::ZoneSilent => {
-            let way = if on { Way::Cut } else { Way::Passes };
-            fleet.way("*", "zone:b", way);
+        ConcurrentFault::Nothing => {}
+        ConcurrentFault::OriginFull => {
+            fleet.backends.set_fault("origin", fault(Fault::Full));
         }
-        Beside::ProxyPaused => {
+        ConcurrentFault::SlowNode => {
+            fleet.backends.set_fault("cache-a0", fault(Fault::Slow(20.0)));
+        }
+        ConcurrentFault::ZoneSilent => {
+            let way = if on { LinkMode::Cut } else { LinkMode::Pass };
+            fleet.set_link_mode("*", "zone:b", way);
+        }
+        ConcurrentFault::ProxyPaused => {
             let Some(last) = fleet.proxies.len().checked_sub(1) else { return };
-            let now = fleet.world.now_ms();
+            let now = fleet.backends.now_ms();
             if on {
-                fleet.proxies[last].process.pauses();
-                fleet.excuses(last, now - 1_500.0, f64::MAX);
+                fleet.proxies[last].process.pause();
+                fleet.excuse(last, now - 1_500.0, f64::MAX);
             } else {
-                fleet.proxies[last].process.goes_on();
-                fleet.excused_until(last, now + 500.0);
+                fleet.proxies[last].process.resume();
+                fleet.end_excuse(last, now + 500.0);
             }
         }
     }
--- a/crates/flintwell-rig/src/soak.rs
+++ b/crates/flintwell-rig/src/soak.rs
@@ -4,10 +4,10 @@
 //! a larger fleet than there is. Judged by the checker, by the terms on drains, which hold for each proxy whatever became of its
 //! calls, and by what the proxies count themselves.
 
-use crate::fleet::{Fleet, Shape};
-use crate::plan::{Event, What, happens};
-use crate::relay::Way;
-use flintwell_standins::world::{Change, Fault, State};
+use crate::fleet::{Fleet, FleetSpec};
+use crate::plan::{Action, Event, apply};
+use crate::relay::LinkMode;
+use flintwell_standins::backends::{Fault, ListChange, NodeState};
 use hyper::Method;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -41,18 +41,18 @@
 
 /// What became of a day.
 #[derive(Debug)]
-pub struct Day {
+pub struct DayResult {
     pub events: Vec<Event>,
     pub requests: usize,
     pub served: usize,
     /// How often a proxy's list grew too old to act on.
-    pub lapses: u64,
+    pub lease_lapses: u64,
     /// How old the oldest list of a proxy is at the day's end, s.
     pub oldest_list_s: f64,
     /// The longest that a restarted process took to be ready, s.
     pub ready_s: f64,
     /// Each breach of a rule, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// What a proxy tells at `/api/violations`.
@@ -70,7 +70,7 @@
 
 /// What a day is like, beside what goes wrong on it.
 struct Setting {
-    shape: Shape,
+    shape: FleetSpec,
     crowded: bool,
 }
 
@@ -79,10 +79,10 @@
         // Another stream than the events' own.
         let mut chance = ChaCha8Rng::seed_from_u64(!seed);
         let zones = ["a", "b"].map(str::to_owned).into();
-        let mut shape = Shape { proxies, zones, ..Shape::default() };
-        shape.told_proxies = [proxies, 300, 900][chance.random_range(0..3)];
-        shape.outer_limit_s = LIMITS[chance.random_range(0..LIMITS.len())];
-        shape.load.cases.iter_mut().for_each(|case| case.limit_s = shape.outer_limit_s);
+        let mut shape = FleetSpec { proxies, zones, ..FleetSpec::default() };
+        shape.configured_fleet_size = [proxies, 300, 900][chance.random_range(0..3)];
+        shape.max_deadline_s = LIMITS[chance.random_range(0..LIMITS.len())];
+        shape.load.classes.iter_mut().for_each(|case| case.limit_s = shape.max_deadline_s);
         let crowded = chance.random_bool(0.25);
         if crowded {
             shape.sockets = CROWDED_SOCKETS;
@@ -103,8 +103,8 @@
 }
 
 impl Events {
-    fn add(&mut self, at_s: f64, what: What) {
-        self.all.push(Event { at_s, what });
+    fn add(&mut self, at_s: f64, what: Action) {
+        self.all.push(Event { at_s, action: what });
     }
 
     /// One proxy, or most of them.
@@ -139,9 +139,9 @@
         let who = caches[self.chance.random_range(0..caches.len())].clone();
         let at = self.chance.random_range(FROM..LAST);
         let back = at + self.chance.random_range(2.0..15.0);
-        let state = if self.chance.random() { State::Draining } else { State::Gone };
-        self.add(at, What::List { who: who.clone(), state });
-        self.add(back, What::Cold { who });
+        let state = if self.chance.random() { NodeState::Draining } else { NodeState::Gone };
+        self.add(at, Action::List { who: who.clone(), state });
+        self.add(back, Action::RestartCold { who });
     }
 
     fn killed(&mut self, at: f64) {
@@ -150,8 +150,8 @@
             if !self.takes(&who, at, at + gone + STARTING) {
                 continue;
             }
-            self.add(at, What::Kill { who: who.clone() });
-            self.add(at + gone, What::Start { who, afresh });
+            self.add(at, Action::Kill { who: who.clone() });
+            self.add(at + gone, Action::Start { who, afresh });
         }
     }
 
@@ -165,15 +165,15 @@
             if !self.takes(&who, at, ends + gone + STARTING) {
                 continue;
             }
-            self.add(at, What::Terminate { who: who.clone() });
+            self.add(at, Action::Terminate { who: who.clone() });
             for _ in 0..self.chance.random_range(0..4) {
                 let again = self.chance.random_range(at..ends);
                 let hangs_up = self.chance.random();
                 let who = who.clone();
-                self.add(again, if hangs_up { What::HangUp { who } } else { What::Terminate { who } });
+                self.add(again, if hangs_up { Action::Reload { who } } else { Action::Terminate { who } });
             }
-            self.add(ends, What::End { who: who.clone() });
-            self.add(ends + gone, What::Start { who, afresh });
+            self.add(ends, Action::End { who: who.clone() });
+            self.add(ends + gone, Action::Start { who, afresh });
         }
     }
 
@@ -182,16 +182,16 @@
         let ends = at + self.chance.random_range(0.2..3.0);
         let who = format!("n{}", self.chance.random_range(0..self.proxies));
         let all = || "*".to_owned();
-        let discovery = |way| What::Path { from: all(), to: "discovery".into(), way };
-        let origin = |fault| What::Node { who: "origin".into(), fault };
+        let discovery = |way| Action::Path { from: all(), to: "discovery".into(), mode: way };
+        let origin = |fault| Action::Node { who: "origin".into(), fault };
         let (begins, over) = match self.chance.random_range(0..9) {
-            0 => (What::HushWatch { who: all() }, None),
-            1 => (discovery(Way::Resets), Some(discovery(Way::Passes))),
+            0 => (Action::SilenceWatches { who: all() }, None),
+            1 => (discovery(LinkMode::Reset), Some(discovery(LinkMode::Pass))),
             2 | 3 => return self.killed(at),
             4 | 5 => return self.stopped(at),
-            6 => (What::Pause { who: who.clone() }, Some(What::GoOn { who })),
+            6 => (Action::Pause { who: who.clone() }, Some(Action::Resume { who })),
             7 => (origin(Fault::Full), Some(origin(Fault::None))),
-            _ => (discovery(Way::Delays(150.0)), Some(discovery(Way::Passes))),
+            _ => (discovery(LinkMode::Delay(150.0)), Some(discovery(LinkMode::Pass))),
         };
         self.add(at, begins);
         over.into_iter().for_each(|what| self.add(ends, what));
@@ -200,7 +200,7 @@
 
 /// What goes wrong on this day, by time.
 fn drawn(seed: u64, setting: &Setting, caches: &[String]) -> Vec<Event> {
-    let Shape { proxies, outer_limit_s, .. } = setting.shape;
+    let FleetSpec { proxies, max_deadline_s: outer_limit_s, .. } = setting.shape;
     let chance = ChaCha8Rng::seed_from_u64(seed);
     let mut events = Events { chance, proxies, limit: outer_limit_s, gone: Vec::new(), all: Vec::new() };
     for _ in 0..events.chance.random_range(1..4) {
@@ -211,33 +211,33 @@
     }
     if setting.crowded {
         let who = format!("n{}", events.chance.random_range(0..proxies));
-        events.add(FROM, What::Crowd { who, connections: 2 * CROWDED_SOCKETS });
+        events.add(FROM, Action::OpenIdleConnections { who, connections: 2 * CROWDED_SOCKETS });
     }
     events.all.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     events.all
 }
 
 /// Plays one day with so many proxies.
-pub async fn play(seed: u64, proxies: usize, program: &Path, folder: &Path) -> Result<Day, String> {
+pub async fn run_day(seed: u64, proxies: usize, program: &Path, folder: &Path) -> Result<DayResult, String> {
     let setting = Setting::drawn(seed, proxies);
     let mut fleet = Fleet::start(setting.shape.clone(), program, folder).await?;
-    fleet.world.overloads(ROUND / u32::try_from(proxies).unwrap_or(u32::MAX), QUEUE);
+    fleet.backends.limit_call_queue(ROUND / u32::try_from(proxies).unwrap_or(u32::MAX), QUEUE);
     let began = Instant::now();
-    let events = drawn(seed, &setting, &fleet.nodes_named("caches"));
+    let events = drawn(seed, &setting, &fleet.matching_nodes("caches"));
     let last = events.last().map_or(LAST, |event| event.at_s.max(LAST));
-    fleet.comes(seed, Duration::from_secs_f64(last + ENDS));
+    fleet.start_clients(seed, Duration::from_secs_f64(last + ENDS));
     let mut starts = Vec::new();
     for event in &events {
         sleep_until((began + Duration::from_secs_f64(event.at_s)).into()).await;
-        happens(&mut fleet, &event.what).await?;
-        if let What::Start { who, .. } = &event.what {
+        apply(&mut fleet, &event.action).await?;
+        if let Action::Start { who, .. } = &event.action {
             let struck = began + Duration::from_secs_f64(struck_next(&events, who, event.at_s));
-            let listens = fleet.named(who).into_iter().map(|n| fleet.proxies[n].listen);
+            let listens = fleet.matching_proxies(who).into_iter().map(|n| fleet.proxies[n].listen);
             starts.extend(listens.map(|listen| tokio::spawn(ready_after(listen, struck))));
         }
     }
-    fleet.revives_all(PAUSE_SLACK)?;
-    fleet.gone().await;
+    fleet.restore_all(PAUSE_SLACK)?;
+    fleet.join_clients().await;
     let mut broken: Vec<String> =
         fleet.breaches().iter().map(|breach| format!("rule {}: {}", breach.rule, breach.what)).collect();
     broken.extend(late(&fleet));
@@ -252,7 +252,8 @@
     let (mut lapses, mut list_ages) = (0, Vec::new());
     for proxy in &fleet.proxies {
         let name = &proxy.process.name;
-        let (counts, list) = (asked(proxy.staff, "/api/violations"), asked(proxy.staff, "/api/list"));
+        let (counts, list) =
+            (asked(proxy.management, "/api/violations"), asked(proxy.management, "/api/list"));
         let (Some(counts), Some(list)): (Option<Counts>, Option<List>) = (counts.await, list.await) else {
             broken.push(format!("{name} does not tell its counts"));
             continue;
@@ -262,28 +263,37 @@
         broken.extend(counted.map(|(rule, count)| format!("{name} counts {count} {rule}")));
         list_ages.extend(list.age_s);
     }
-    let seen = fleet.book.all();
+    let seen = fleet.request_log.entries();
     let served = seen.iter().filter(|seen| seen.status == Some(200)).count();
     let oldest_list_s = list_ages.into_iter().fold(0.0, f64::max);
     let ready_s = ready.into_iter().fold(0.0, f64::max);
-    Ok(Day { events, requests: seen.len(), served, lapses, oldest_list_s, ready_s, broken })
+    Ok(DayResult {
+        events,
+        requests: seen.len(),
+        served,
+        lease_lapses: lapses,
+        oldest_list_s,
+        ready_s,
+        violations: broken,
+    })
 }
 
 /// What a proxy tells at this path; none if that can't be had.
 async fn asked<T: for<'de> Deserialize<'de>>(staff: SocketAddr, path: &str) -> Option<T> {
-    let (_, text) = flintwell_call::send_request(staff, Method::GET, path, Default::default(), ANSWERS).await.ok()?;
+    let (_, text) =
+        flintwell_call::send_request(staff, Method::GET, path, Default::default(), ANSWERS).await.ok()?;
     serde_json::from_slice(&text).ok()
 }
 
 /// When this proxy is killed, told to end or paused next after `from_s`; far beyond the day's end if it is not.
 fn struck_next(events: &[Event], who: &str, from_s: f64) -> f64 {
-    let strikes = |what: &What| match what {
-        What::Kill { who: struck } | What::Terminate { who: struck } | What::Pause { who: struck } => {
+    let strikes = |what: &Action| match what {
+        Action::Kill { who: struck } | Action::Terminate { who: struck } | Action::Pause { who: struck } => {
             struck == who
         }
         _ => false,
     };
-    let next = events.iter().find(|event| event.at_s > from_s && strikes(&event.what));
+    let next = events.iter().find(|event| event.at_s > from_s && strikes(&event.action));
     next.map_or(from_s + 10.0 * RESTART_MOST, |event| event.at_s)
 }
 
@@ -292,7 +302,8 @@
     let began = Instant::now();
     while Instant::now() < struck && began.elapsed().as_secs_f64() <= READY * 2.0 {
         let called =
-            flintwell_call::send_request(listen, Method::GET, "/health/ready", Default::default(), ANSWERS).await;
+            flintwell_call::send_request(listen, Method::GET, "/health/ready", Default::default(), ANSWERS)
+                .await;
         if called.is_ok_and(|(status, _)| status == 200) {
             return Some(began.elapsed().as_secs_f64());
         }
@@ -305,26 +316,26 @@
 /// has left all the same for a process that was told neither.
 fn late(fleet: &Fleet) -> Vec<String> {
     let proxies: HashMap<String, String> =
-        fleet.book.all().into_iter().map(|seen| (seen.id, seen.proxy)).collect();
-    let (changes, calls) = (fleet.world.changes(), fleet.world.calls());
+        fleet.request_log.entries().into_iter().map(|seen| (seen.id, seen.proxy)).collect();
+    let (changes, calls) = (fleet.backends.list_changes(), fleet.backends.discovery_calls());
     let mut answers: HashMap<&str, Vec<(f64, u64)>> = HashMap::new();
     for call in &calls {
         answers.entry(&call.proxy).or_default().extend(call.answered);
     }
     let mut late = Vec::new();
-    for took in fleet.world.took() {
+    for took in fleet.backends.node_requests() {
         let proxy = proxies.get(&took.id).map_or("?", |proxy| proxy);
-        let told = |change: &Change| {
+        let told = |change: &ListChange| {
             let answered = answers.get(proxy).into_iter().flatten();
             change.at_ms + TOLD <= took.at_ms
                 || answered.into_iter().any(|(at, version)| *at <= took.at_ms && *version >= change.version)
         };
         let mine = || changes.iter().filter(|change| change.node == took.node && change.at_ms < took.at_ms);
-        let back = mine().rfind(|change| change.state == State::Ready && told(change));
+        let back = mine().rfind(|change| change.state == NodeState::Ready && told(change));
         // The last that counts of it so long ago that its grace is over.
         let allowed = TOLD + GRACE + SLACK;
         let leaves =
-            mine().rfind(|change| change.state != State::Ready && took.at_ms - change.at_ms > allowed);
+            mine().rfind(|change| change.state != NodeState::Ready && took.at_ms - change.at_ms > allowed);
         let Some(left) = leaves.filter(|left| back.is_none_or(|back| back.at_ms < left.at_ms)) else {
             continue;
         };
--- a/crates/flintwell-standins/src/world.rs
+++ b/crates/flintwell-standins/src/backends.rs
@@ -11,7 +11,7 @@
 /// What a node is made of; times in ms.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Made {
+pub struct NodeSpec {
     pub id: String,
     #[serde(default)]
     pub zone: String,
@@ -49,18 +49,18 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum NodeState {
     Ready,
     Draining,
     Gone,
 }
 
-impl State {
-    pub fn word(self) -> &'static str {
+impl NodeState {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Gone => "gone",
+            NodeState::Ready => "ready",
+            NodeState::Draining => "draining",
+            NodeState::Gone => "gone",
         }
     }
 }
@@ -68,7 +68,7 @@
 /// What a node did with a request that reached it whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Did {
+pub enum Disposition {
     #[serde(rename = "honoured")]
     Served,
     Missed,
@@ -79,32 +79,34 @@
 
 /// One request at one node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Took {
+pub struct NodeRequest {
     /// Since the world's start, when its last byte had come.
     pub at_ms: f64,
     pub node: String,
     pub id: String,
     pub key: String,
-    pub mark: String,
+    #[serde(rename = "mark")]
+    pub idempotency_key: String,
     pub write: bool,
-    pub did: Did,
+    #[serde(rename = "did")]
+    pub disposition: Disposition,
     /// The share of its workers that the node had then.
     pub warmth: f64,
 }
 
 /// What discovery told of a node, and since when.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct ListChange {
     pub at_ms: f64,
     /// Of the list that tells it.
     pub version: u64,
     pub node: String,
-    pub state: State,
+    pub state: NodeState,
 }
 
 /// A call of a proxy at discovery.
 #[derive(Clone, Debug)]
-pub struct Called {
+pub struct DiscoveryCall {
     pub proxy: String,
     pub at_ms: f64,
     pub wait_ms: f64,
@@ -113,10 +115,10 @@
 }
 
 pub(crate) struct Node {
-    pub made: Made,
+    pub made: NodeSpec,
     pub addr: SocketAddr,
     pub fault: Fault,
-    pub state: State,
+    pub state: NodeState,
     pub started: Option<Instant>,
     pub started_ms: u64,
     pub values: HashMap<String, Bytes>,
@@ -137,9 +139,9 @@
 #[derive(Default)]
 pub(crate) struct Inner {
     pub nodes: Vec<Node>,
-    pub took: Vec<Took>,
-    pub changes: Vec<Change>,
-    pub calls: Vec<Called>,
+    pub took: Vec<NodeRequest>,
+    pub changes: Vec<ListChange>,
+    pub calls: Vec<DiscoveryCall>,
     /// How long discovery takes for a call, one after another.
     pub call_time: Duration,
     /// Where discovery has too many callers: only new connections cost it, and a call that would wait for longer is refused.
@@ -152,7 +154,7 @@
 
 /// Everything the stand-ins know; a handle to it.
 #[derive(Clone)]
-pub struct World {
+pub struct Backends {
     pub(crate) began: Instant,
     pub(crate) inner: Arc<Mutex<Inner>>,
     /// The list's version.
@@ -161,15 +163,15 @@
     pub(crate) turn: Arc<tokio::sync::Mutex<()>>,
 }
 
-impl Default for World {
+impl Default for Backends {
     fn default() -> Self {
-        World::new()
+        Backends::new()
     }
 }
 
-impl World {
+impl Backends {
     pub fn new() -> Self {
-        World {
+        Backends {
             began: Instant::now(),
             inner: Arc::default(),
             version: Arc::new(watch::channel(1).0),
@@ -187,12 +189,12 @@
     }
 
     /// When that was, by the same count.
-    pub fn ms(&self, at: Instant) -> f64 {
+    pub fn to_ms(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.began).as_secs_f64() * 1e3
     }
 
     /// The instant from which all times of the world count.
-    pub fn began(&self) -> Instant {
+    pub fn started_at(&self) -> Instant {
         self.began
     }
 
@@ -202,22 +204,22 @@
     }
 
     /// Whether there is such a node.
-    pub fn fault(&self, id: &str, fault: Fault) -> bool {
+    pub fn set_fault(&self, id: &str, fault: Fault) -> bool {
         self.node(id, |node| node.fault = fault)
     }
 
     /// Discovery tells this of it from now on.
-    pub fn lists(&self, id: &str, state: State) -> bool {
+    pub fn set_list_state(&self, id: &str, state: NodeState) -> bool {
         let known = self.node(id, |node| node.state = state);
         let version = *self.version.borrow() + 1;
-        let change = Change { at_ms: self.now_ms(), version, node: id.into(), state };
+        let change = ListChange { at_ms: self.now_ms(), version, node: id.into(), state };
         self.lock().changes.push(change);
         self.version.send_replace(version);
         known
     }
 
     /// It ends and is there again, empty and cold; the list tells its start.
-    pub fn restarts(&self, id: &str) -> bool {
+    pub fn restart_node(&self, id: &str) -> bool {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let known = self.node(id, |node| {
             node.values.clear();
@@ -225,36 +227,36 @@
             node.busy = 0;
             node.life.send_modify(|life| *life += 1);
         });
-        self.lists(id, State::Ready) && known
+        self.set_list_state(id, NodeState::Ready) && known
     }
 
-    pub fn took(&self) -> Vec<Took> {
+    pub fn node_requests(&self) -> Vec<NodeRequest> {
         self.lock().took.clone()
     }
 
-    pub fn changes(&self) -> Vec<Change> {
+    pub fn list_changes(&self) -> Vec<ListChange> {
         self.lock().changes.clone()
     }
 
     /// Calls at discovery, of all proxies.
-    pub fn calls(&self) -> Vec<Called> {
+    pub fn discovery_calls(&self) -> Vec<DiscoveryCall> {
         self.lock().calls.clone()
     }
 
     /// Discovery takes so long for a call from now on, and works through calls in turn.
-    pub fn takes_calls(&self, each: Duration) {
+    pub fn set_call_time(&self, each: Duration) {
         self.lock().call_time = each;
     }
 
     /// Discovery takes so long for each new connection's first call from now on, and refuses at once what would wait for
     /// longer than `longest`; calls that go on with a watch cost it nothing.
-    pub fn overloads(&self, each: Duration, longest: Duration) {
+    pub fn limit_call_queue(&self, each: Duration, longest: Duration) {
         let mut inner = self.lock();
         (inner.call_time, inner.queue_most) = (each, Some(longest));
     }
 
     /// How long a call made now waits for its turn where the queue is bounded; none if it is refused.
-    pub(crate) fn queues(&self, fresh: bool) -> Option<Duration> {
+    pub(crate) fn reserve_call_slot(&self, fresh: bool) -> Option<Duration> {
         let mut inner = self.lock();
         let Some(longest) = inner.queue_most.filter(|_| fresh) else { return Some(Duration::ZERO) };
         let now = Instant::now();
@@ -268,7 +270,7 @@
     }
 
     /// Ids, zones and kinds, as they were made.
-    pub fn made(&self) -> Vec<Made> {
+    pub fn node_specs(&self) -> Vec<NodeSpec> {
         self.lock().nodes.iter().map(|node| node.made.clone()).collect()
     }
 
--- a/crates/flintwell-standins/src/clients.rs
+++ b/crates/flintwell-standins/src/clients.rs
@@ -22,7 +22,7 @@
 /// A class as clients ask for it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Case {
+pub struct ClassLoad {
     pub name: String,
     /// Of all requests, beside the other cases' shares.
     pub share: f64,
@@ -37,18 +37,22 @@
     pub rate: f64,
     pub keys: u64,
     /// How uneven keys are: the exponent of their Zipf law; 0 for even.
-    pub skew: f64,
+    #[serde(rename = "skew")]
+    pub zipf_exponent: f64,
     /// The share of reads that ask for a key nobody asked for before.
-    pub new_keys: f64,
+    #[serde(rename = "new_keys")]
+    pub new_key_share: f64,
     /// How often one that is refused comes again.
-    pub again: u32,
-    pub cases: Vec<Case>,
+    #[serde(rename = "again")]
+    pub max_retries: u32,
+    #[serde(rename = "cases")]
+    pub classes: Vec<ClassLoad>,
 }
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Missing {
+pub enum ResponseFailure {
     /// No connection to the proxy came up.
     NotConnected,
     /// A new connection was reset under the request.
@@ -59,10 +63,11 @@
 
 /// One request as its client saw it; times in ms since the world began.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ClientRequest {
     pub id: String,
     pub proxy: String,
-    pub case: String,
+    #[serde(rename = "case")]
+    pub class: String,
     pub write: bool,
     pub at_ms: f64,
     pub limit_ms: f64,
@@ -70,20 +75,22 @@
     /// None: no whole answer came in time.
     pub status: Option<u16>,
     /// Why not.
-    pub missing: Option<Missing>,
+    #[serde(rename = "missing")]
+    pub failure: Option<ResponseFailure>,
     /// What the client was advised to wait.
-    pub stay_away_ms: f64,
+    #[serde(rename = "stay_away_ms")]
+    pub retry_after_ms: f64,
 }
 
 /// What all clients saw.
 #[derive(Clone, Default)]
-pub struct Book(Arc<Mutex<Vec<Seen>>>);
+pub struct RequestLog(Arc<Mutex<Vec<ClientRequest>>>);
 
-impl Book {
-    pub fn all(&self) -> Vec<Seen> {
+impl RequestLog {
+    pub fn entries(&self) -> Vec<ClientRequest> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
-    fn note(&self, seen: Seen) {
+    fn record(&self, seen: ClientRequest) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(seen);
     }
 }
@@ -97,12 +104,12 @@
     addr: SocketAddr,
     began: Instant,
     load: Arc<Load>,
-    book: Book,
+    book: RequestLog,
     idle: Arc<Mutex<Vec<Sender>>>,
 }
 
 impl Clients {
-    pub fn new(proxy: &str, addr: SocketAddr, began: Instant, load: Arc<Load>, book: Book) -> Self {
+    pub fn new(proxy: &str, addr: SocketAddr, began: Instant, load: Arc<Load>, book: RequestLog) -> Self {
         Clients { proxy: proxy.into(), addr, began, load, book, idle: Arc::default() }
     }
 
@@ -110,22 +117,23 @@
     pub async fn run(self, seed: u64, until: Instant) {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let load = self.load.clone();
-        let (Ok(gaps), Ok(keys)) = (Exp::new(load.rate), Zipf::new(load.keys.max(1) as f64, load.skew))
+        let (Ok(gaps), Ok(keys)) =
+            (Exp::new(load.rate), Zipf::new(load.keys.max(1) as f64, load.zipf_exponent))
         else {
             return;
         };
-        let shares: f64 = load.cases.iter().map(|case| case.share).sum();
+        let shares: f64 = load.classes.iter().map(|case| case.share).sum();
         let (mut at, mut number, mut out) = (Instant::now(), 0u64, Vec::new());
         loop {
             at += Duration::from_secs_f64(gaps.sample(&mut chance));
             let mut lot = chance.random::<f64>() * shares;
-            let picked = load.cases.iter().find(|case| {
+            let picked = load.classes.iter().find(|case| {
                 lot -= case.share;
                 lot < 0.0
             });
-            let Some(case) = picked.or(load.cases.last()).filter(|_| at < until) else { break };
+            let Some(case) = picked.or(load.classes.last()).filter(|_| at < until) else { break };
             let known = keys.sample(&mut chance) as u64;
-            let new = !case.write && chance.random::<f64>() < load.new_keys;
+            let new = !case.write && chance.random::<f64>() < load.new_key_share;
             number += 1;
             let id = format!("{}-{seed:x}-{number}", self.proxy);
             let key = if new { format!("new-{id}") } else { format!("k{known}") };
@@ -139,46 +147,46 @@
     }
 
     /// One request, and its further ones if it is refused.
-    async fn comes(self, id: String, key: String, case: Case) {
-        for again in 0..=self.load.again {
+    async fn comes(self, id: String, key: String, case: ClassLoad) {
+        for again in 0..=self.load.max_retries {
             let id = if again == 0 { id.clone() } else { format!("{id}-again{again}") };
             let seen = self.asks(&id, &key, &case).await;
-            let back = matches!(seen.status, Some(429 | 503)).then_some(seen.stay_away_ms);
-            self.book.note(seen);
+            let back = matches!(seen.status, Some(429 | 503)).then_some(seen.retry_after_ms);
+            self.book.record(seen);
             let Some(stay_away) = back else { return };
             sleep(Duration::from_secs_f64(stay_away.max(10.0) / 1e3)).await;
         }
     }
 
-    async fn asks(&self, id: &str, key: &str, case: &Case) -> Seen {
+    async fn asks(&self, id: &str, key: &str, case: &ClassLoad) -> ClientRequest {
         let began = Instant::now();
         let limit = Duration::from_secs_f64(case.limit_s);
-        let mut seen = Seen {
+        let mut seen = ClientRequest {
             id: id.into(),
             proxy: self.proxy.clone(),
-            case: case.name.clone(),
+            class: case.name.clone(),
             write: case.write,
             at_ms: began.duration_since(self.began).as_secs_f64() * 1e3,
             limit_ms: case.limit_s * 1e3,
             took_ms: 0.0,
             status: None,
-            missing: None,
-            stay_away_ms: 0.0,
+            failure: None,
+            retry_after_ms: 0.0,
         };
         let answered = timeout(limit + SLACK, self.exchange(id, key, case)).await;
         seen.took_ms = began.elapsed().as_secs_f64() * 1e3;
         match answered {
             Ok(Ok((status, stay_away_ms))) => {
-                (seen.status, seen.stay_away_ms) = (Some(status), stay_away_ms);
+                (seen.status, seen.retry_after_ms) = (Some(status), stay_away_ms);
             }
-            Ok(Err(missing)) => seen.missing = Some(missing),
-            Err(_) => seen.missing = Some(Missing::Unanswered),
+            Ok(Err(missing)) => seen.failure = Some(missing),
+            Err(_) => seen.failure = Some(ResponseFailure::Unanswered),
         }
         seen
     }
 
     /// On an idle connection, and once more on a new one if the proxy closed that between two requests.
-    async fn exchange(&self, id: &str, key: &str, case: &Case) -> Result<(u16, f64), Missing> {
+    async fn exchange(&self, id: &str, key: &str, case: &ClassLoad) -> Result<(u16, f64), ResponseFailure> {
         let mut idle = loop {
             let kept = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
             match kept {
@@ -189,7 +197,7 @@
         loop {
             let (mut sender, fresh) = match idle.take() {
                 Some(sender) => (sender, false),
-                None => (self.dial().await.ok_or(Missing::NotConnected)?, true),
+                None => (self.dial().await.ok_or(ResponseFailure::NotConnected)?, true),
             };
             let body = if case.write { Bytes::from_static(b"value") } else { Bytes::new() };
             let request = Request::builder()
@@ -201,11 +209,11 @@
                 .header("x-deadline", format!("{:.3}", case.limit_s))
                 .header("idempotency-key", format!("m-{id}"))
                 .body(Full::new(body))
-                .map_err(|_| Missing::Unanswered)?;
+                .map_err(|_| ResponseFailure::Unanswered)?;
             match sender.send_request(request).await {
                 Ok(response) => {
                     let (status, headers) = (response.status().as_u16(), response.headers().clone());
-                    response.into_body().collect().await.map_err(|_| Missing::Unanswered)?;
+                    response.into_body().collect().await.map_err(|_| ResponseFailure::Unanswered)?;
                     let advice = headers.get("retry-after").and_then(|value| value.to_str().ok());
                     let wait = advice.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0) * 1e3;
                     let closes = headers.get("connection").is_some_and(|value| value == "close");
@@ -216,8 +224,8 @@
                 }
                 Err(_) if !fresh => {}
                 // Its end was there to be read; a reset shows that something of ours was not read.
-                Err(error) if error.is_incomplete_message() => return Err(Missing::Unanswered),
-                Err(_) => return Err(Missing::Reset),
+                Err(error) if error.is_incomplete_message() => return Err(ResponseFailure::Unanswered),
+                Err(_) => return Err(ResponseFailure::Reset),
             }
         }
     }
--- a/crates/flintwell-standins/src/discovery.rs
+++ b/crates/flintwell-standins/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the whole list, and watches. Each proxy may see the nodes under addresses of its own.
 
-use crate::world::{Called, State, World};
+use crate::backends::{Backends, DiscoveryCall, NodeState};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -22,11 +22,16 @@
 const WAIT_MOST: u64 = 60_000; // ms; the longest watch
 
 /// Where a proxy reaches each node, by its id; its own address where none is given.
-pub type View = HashMap<String, SocketAddr>;
+pub type NodeAddresses = HashMap<String, SocketAddr>;
 
-impl World {
+impl Backends {
     /// Serves discovery at `addr` until the runtime ends, to the proxy of this name.
-    pub async fn discovers(&self, addr: SocketAddr, view: View, proxy: &str) -> io::Result<SocketAddr> {
+    pub async fn serve_discovery(
+        &self,
+        addr: SocketAddr,
+        view: NodeAddresses,
+        proxy: &str,
+    ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
         let (world, view) = (self.clone(), Arc::new((view, proxy.to_owned())));
@@ -43,7 +48,7 @@
                     let fresh = !answered.swap(true, Ordering::Relaxed);
                     async move {
                         let query = request.uri().query().unwrap_or("");
-                        let Some(text) = world.answers(query, &view.0, &view.1, fresh).await else {
+                        let Some(text) = world.answer_call(query, &view.0, &view.1, fresh).await else {
                             let mut refused = Response::new(Full::default());
                             *refused.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
                             refused.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -63,7 +68,13 @@
 
     /// The whole list, always: a change is told by it as well, and a gone node by not being there.
     /// None where the call is refused. `fresh`: the first on its connection.
-    async fn answers(&self, query: &str, view: &View, proxy: &str, fresh: bool) -> Option<String> {
+    async fn answer_call(
+        &self,
+        query: &str,
+        view: &NodeAddresses,
+        proxy: &str,
+        fresh: bool,
+    ) -> Option<String> {
         let value =
             |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
         let since = value("since=");
@@ -72,12 +83,12 @@
             let at_ms = self.now_ms();
             let wait_ms = if since.is_some() { wait.as_secs_f64() * 1e3 } else { 0.0 };
             let mut inner = self.lock();
-            inner.calls.push(Called { proxy: proxy.into(), at_ms, wait_ms, answered: None });
+            inner.calls.push(DiscoveryCall { proxy: proxy.into(), at_ms, wait_ms, answered: None });
             let each = if inner.queue_most.is_some() { Duration::ZERO } else { inner.call_time };
             (inner.calls.len() - 1, each)
         };
         // It is noted before it waits: a watch that is silenced in the queue is told nothing by what is written to it then.
-        let Some(turn) = self.queues(fresh) else {
+        let Some(turn) = self.reserve_call_slot(fresh) else {
             // Over, and nothing was told.
             let now = self.now_ms();
             self.lock().calls[number].answered = Some((now, 0));
@@ -103,15 +114,15 @@
     }
 
     /// The list as a proxy of this view sees it now.
-    pub fn list(&self, view: &View) -> serde_json::Value {
+    pub fn list(&self, view: &NodeAddresses) -> serde_json::Value {
         let version = *self.version.borrow();
         let inner = self.lock();
-        let listed = inner.nodes.iter().filter(|node| node.state != State::Gone);
+        let listed = inner.nodes.iter().filter(|node| node.state != NodeState::Gone);
         let servers: Vec<_> = listed
             .map(|node| {
                 let addr = view.get(&node.made.id).copied().unwrap_or(node.addr);
                 json!({"id": node.made.id, "addr": addr, "zone": node.made.zone, "kind": node.made.kind,
-                    "cell": node.made.cell, "state": node.state.word(), "weight": 1.0,
+                    "cell": node.made.cell, "state": node.state.as_str(), "weight": 1.0,
                     "started_ms": node.started_ms})
             })
             .collect();
--- a/crates/flintwell-standins/src/nodes.rs
+++ b/crates/flintwell-standins/src/nodes.rs
@@ -1,6 +1,6 @@
 //! Cache nodes and the origin: one server, told apart by the kind of the node.
 
-use crate::world::{Did, Fault, Made, Node, State, Took, World};
+use crate::backends::{Backends, Disposition, Fault, Node, NodeRequest, NodeSpec, NodeState};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -23,9 +23,9 @@
 const QUEUE_STEP: Duration = Duration::from_millis(1); // between looks of one that waits for a worker
 const SILENCE: Duration = Duration::from_secs(600); // longer than any run
 
-impl World {
+impl Backends {
     /// Serves a node at `addr` until the runtime ends, and lists it.
-    pub async fn serves(&self, made: Made, addr: SocketAddr, seed: u64) -> io::Result<SocketAddr> {
+    pub async fn serve_node(&self, made: NodeSpec, addr: SocketAddr, seed: u64) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
         let place = {
@@ -34,7 +34,7 @@
                 made,
                 addr,
                 fault: Fault::None,
-                state: State::Ready,
+                state: NodeState::Ready,
                 started: None,
                 started_ms: 0,
                 values: Default::default(),
@@ -69,7 +69,7 @@
 }
 
 async fn connection(
-    world: World,
+    world: Backends,
     place: usize,
     stream: TcpStream,
     mut life: watch::Receiver<u64>,
@@ -91,7 +91,7 @@
 }
 
 /// A worker's place at a node, given back however the request ends.
-struct Busy(World, usize);
+struct Busy(Backends, usize);
 
 impl Drop for Busy {
     fn drop(&mut self) {
@@ -101,7 +101,7 @@
 }
 
 async fn answer(
-    world: World,
+    world: Backends,
     place: usize,
     request: Request<Incoming>,
     chance: Arc<Mutex<ChaCha8Rng>>,
@@ -126,27 +126,36 @@
         };
         ((!full).then_some(node.busy), node.fault, time, workers, node.made.kind == ORIGIN)
     };
-    let note = |did: Did| {
+    let note = |did: Disposition| {
         let at_ms = world.now_ms();
         let mut inner = world.lock();
         let (node, warmth) = (inner.nodes[place].made.id.clone(), inner.nodes[place].warmth());
         let (id, key, mark) = (id.clone(), key.clone(), mark.clone());
-        inner.took.push(Took { at_ms, node, id, key, mark, write, did, warmth });
+        inner.took.push(NodeRequest {
+            at_ms,
+            node,
+            id,
+            key,
+            idempotency_key: mark,
+            write,
+            disposition: did,
+            warmth,
+        });
     };
     let Some(turn) = turn else {
-        note(Did::TurnedAway);
+        note(Disposition::TurnedAway);
         return Ok(turned_away());
     };
     let _busy = Busy(world.clone(), place);
     if fault == Fault::Silent {
-        note(Did::Nothing);
+        note(Disposition::Nothing);
         sleep(SILENCE).await;
     }
     // Whoever came before it goes first: their number over the workers, in times of one request.
     let waits = ((turn as f64 / workers).ceil() - 1.0).max(0.0);
     sleep(Duration::from_secs_f64(time * (1.0 + waits) / 1e3)).await;
     if matches!(fault, Fault::Errors(share) if lot < share) {
-        note(Did::Error);
+        note(Disposition::Error);
         return Ok(status(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()));
     }
     let value = {
@@ -157,12 +166,12 @@
             read(&mut inner, place, &id, &key)
         }
     };
-    note(if value.is_some() { Did::Served } else { Did::Missed });
+    note(if value.is_some() { Disposition::Served } else { Disposition::Missed });
     let (code, body) = value.map_or((StatusCode::NOT_FOUND, Bytes::new()), |value| (StatusCode::OK, value));
     Ok(status(code, body))
 }
 
-fn read(inner: &mut crate::world::Inner, place: usize, id: &str, key: &str) -> Option<Bytes> {
+fn read(inner: &mut crate::backends::Inner, place: usize, id: &str, key: &str) -> Option<Bytes> {
     let kept = inner.nodes[place].values.get(key).cloned();
     if kept.is_none() {
         inner.missed.entry(id.to_owned()).or_default().push(place);
@@ -172,7 +181,7 @@
 
 /// The origin's value; what caches missed for this request is stored there, and a write drops all copies.
 fn fetch(
-    inner: &mut crate::world::Inner,
+    inner: &mut crate::backends::Inner,
     place: usize,
     id: &str,
     key: &str,
--- a/crates/flintwell/tests/process/overload.rs
+++ b/crates/flintwell/tests/process/overload.rs
@@ -253,9 +253,9 @@
     let runtime = runtime.expect("a runtime");
     for seed in 0..2 {
         let folder = tempfile::tempdir().expect("a folder");
-        let day = runtime.block_on(soak::play(seed, 24, Path::new(PROGRAM), folder.path()));
+        let day = runtime.block_on(soak::run_day(seed, 24, Path::new(PROGRAM), folder.path()));
         let day = day.expect("it was played");
-        assert!(day.broken.is_empty(), "seed {seed}: {:#?}", day.broken);
+        assert!(day.violations.is_empty(), "seed {seed}: {:#?}", day.violations);
         assert!(day.served * 10 > day.requests * 7, "seed {seed}: {} of {}", day.served, day.requests);
     }
 }
--- a/crates/flintwell/tests/process/rollout.rs
+++ b/crates/flintwell/tests/process/rollout.rs
@@ -1,9 +1,9 @@
 //! Changes of settings on several real processes under traffic, with faults on the paths between them.
 
 use crate::support::{get, says, soon};
-use flintwell_rig::fleet::{Fleet, Shape};
-use flintwell_rig::relay::Way;
-use flintwell_standins::world::Fault;
+use flintwell_rig::fleet::{Fleet, FleetSpec};
+use flintwell_rig::relay::LinkMode;
+use flintwell_standins::backends::Fault;
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -23,13 +23,13 @@
 }
 
 impl Stand {
-    pub fn new(shape: Shape) -> Self {
+    pub fn new(shape: FleetSpec) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.expect("a runtime");
         let fleet = runtime.block_on(async {
             let mut fleet = Fleet::start(shape, Path::new(PROGRAM), folder.path()).await.expect("a fleet");
-            fleet.comes(1, DAY);
+            fleet.start_clients(1, DAY);
             fleet
         });
         Stand { fleet: Some(fleet), runtime: Some(runtime), folder }
@@ -51,7 +51,7 @@
              [limits]\naccesses = 1000\n"
         );
         for proxy in &self.fleet().proxies {
-            let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.staff);
+            let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.management);
             text += &format!("[[members]]\nname = \"{name}\"\nzone = \"{zone}\"\nat = \"{at}\"\n");
         }
         std::fs::write(&file, text).expect("a plan");
@@ -59,7 +59,7 @@
     }
 
     pub fn epochs(&mut self) -> Vec<u64> {
-        let staff: Vec<_> = self.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
+        let staff: Vec<_> = self.fleet().proxies.iter().map(|proxy| proxy.management).collect();
         staff.into_iter().map(|at| status(at)["epoch"].as_u64().expect("an epoch")).collect()
     }
 
@@ -74,8 +74,8 @@
 
     /// Every request so far had its answer, and no rule is broken.
     pub fn nothing_lost(&mut self) {
-        let book = self.fleet().book.clone();
-        soon("there is traffic", || book.all().len() > 100);
+        let book = self.fleet().request_log.clone();
+        soon("there is traffic", || book.entries().len() > 100);
         let breaches = self.fleet().breaches();
         assert!(breaches.is_empty(), "{breaches:#?}");
     }
@@ -92,8 +92,8 @@
     serde_json::from_str(&get(at, "/api/rollout/status").1).expect("a status")
 }
 
-fn shape() -> Shape {
-    let mut shape = Shape { proxies: 6, zones: vec!["a".into(), "b".into()], ..Shape::default() };
+fn shape() -> FleetSpec {
+    let mut shape = FleetSpec { proxies: 6, zones: vec!["a".into(), "b".into()], ..FleetSpec::default() };
     shape.load.rate = 40.0;
     shape
 }
@@ -153,19 +153,19 @@
     let (code, said) = Rolls::start("start", &plan).ends();
     assert_eq!((code, stand.epochs()), (0, vec![1; 6]), "{said}");
     let proxy = &mut stand.fleet().proxies[3];
-    let told = status(proxy.staff);
+    let told = status(proxy.management);
     assert_eq!((&told["unconfirmed"], &told["former"]), (&json!(false), &json!(0)));
     let settings: Value =
-        serde_json::from_str(&get(proxy.staff, "/api/rollout/settings").1).expect("settings");
+        serde_json::from_str(&get(proxy.management, "/api/rollout/settings").1).expect("settings");
     assert_eq!(settings["limits"]["max_hand_offs"], 5);
     stand.nothing_lost();
     // Killed and started anew it has what was confirmed.
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(3, now - 1_500.0, f64::MAX);
-    stand.fleet().proxies[3].process.kills();
-    stand.fleet().proxies[3].process.starts().expect("started");
-    let until = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(3, until);
+    let now = stand.fleet().backends.now_ms();
+    stand.fleet().excuse(3, now - 1_500.0, f64::MAX);
+    stand.fleet().proxies[3].process.kill();
+    stand.fleet().proxies[3].process.spawn().expect("started");
+    let until = stand.fleet().backends.now_ms() + 500.0;
+    stand.fleet().end_excuse(3, until);
     assert_eq!(stand.epochs(), [1; 6]);
     let (code, said) = Rolls::start("undo", &plan).ends();
     assert!(code == 1 && said.contains("undone by the staff"), "{said}");
@@ -211,14 +211,14 @@
     let rolls = Rolls::start("start", &plan);
     stand.until("the canaries have it", |epochs| epochs[..2] == [1, 1]);
     // What it answers is lost; what it is told arrives. Then nothing.
-    assert_eq!(stand.fleet().way("n0", "staff", Way::Deaf), 1);
+    assert_eq!(stand.fleet().set_link_mode("n0", "staff", LinkMode::DropResponses), 1);
     thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(stand.fleet().way("n0", "staff", Way::Cut), 1);
+    assert_eq!(stand.fleet().set_link_mode("n0", "staff", LinkMode::Cut), 1);
     let report = || -> String { Rolls::start("status", &plan).ends().1 };
     soon("it is held", || report().contains("not heard: n0"));
     thread::sleep(Duration::from_secs(3));
     assert!(report().contains("stage 1 of 3"), "{}", report());
-    stand.fleet().way("n0", "staff", Way::Passes);
+    stand.fleet().set_link_mode("n0", "staff", LinkMode::Pass);
     let (code, said) = rolls.ends();
     assert_eq!((code, stand.epochs()), (0, vec![1; 6]), "{said}");
     stand.nothing_lost();
@@ -231,11 +231,11 @@
     let rolls = Rolls::start("start", &plan);
     stand.until("the canaries have it", |epochs| epochs.contains(&1));
     // The origin takes nothing: what is new or written is lost everywhere.
-    assert!(stand.fleet().world.fault("origin", Fault::Full));
+    assert!(stand.fleet().backends.set_fault("origin", Fault::Full));
     let report = || -> String { Rolls::start("status", &plan).ends().1 };
     soon("it is held", || report().contains("both worse"));
     thread::sleep(Duration::from_secs(1));
-    assert!(stand.fleet().world.fault("origin", Fault::None));
+    assert!(stand.fleet().backends.set_fault("origin", Fault::None));
     let (code, said) = rolls.ends();
     assert_eq!((code, stand.epochs()), (0, vec![1; 6]), "{said}");
     stand.nothing_lost();
@@ -255,8 +255,8 @@
 
 #[test]
 fn what_is_foreign_cut_oversized_or_cannot_be_recorded_changes_nothing() {
-    let mut stand = Stand::new(Shape { proxies: 1, ..shape() });
-    let (at, state) = (stand.fleet().proxies[0].staff, stand.fleet().proxies[0].state.clone());
+    let mut stand = Stand::new(FleetSpec { proxies: 1, ..shape() });
+    let (at, state) = (stand.fleet().proxies[0].management, stand.fleet().proxies[0].state_dir.clone());
     let before = status(at);
     let settings = get(at, "/api/rollout/settings").1;
     let hash = flintwell_rollout::wire::hash(&serde_json::from_str(&settings).expect("JSON"));
@@ -294,7 +294,7 @@
 
 #[test]
 fn a_plan_that_is_wrong_is_told_whole_and_touches_nothing() {
-    let mut stand = Stand::new(Shape { proxies: 2, ..shape() });
+    let mut stand = Stand::new(FleetSpec { proxies: 2, ..shape() });
     let plan = stand.plan("wrong", &json!({"specifics": {"mode": "through"}}));
     let (code, said) = Rolls::start("start", &plan).ends();
     assert!(code == 2 && said.matches("specifics can't change without a restart").count() == 2, "{said}");
--- a/crates/flintwell/tests/process/supervise.rs
+++ b/crates/flintwell/tests/process/supervise.rs
@@ -2,7 +2,7 @@
 
 use crate::rollout::{PROGRAM, Rolls, Stand, status};
 use crate::support::soon;
-use flintwell_rig::fleet::Shape;
+use flintwell_rig::fleet::FleetSpec;
 use serde_json::json;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 fn stand(proxies: usize) -> Stand {
-    let mut shape = Shape { proxies, zones: vec!["a".into()], supervised: true, ..Shape::default() };
+    let mut shape = FleetSpec { proxies, zones: vec!["a".into()], supervised: true, ..FleetSpec::default() };
     shape.load.rate = 120.0;
     let mut stand = Stand::new(shape);
     // Clients are let in some turns before the supervisor has seen that.
@@ -36,7 +36,7 @@
 }
 
 fn started(stand: &mut Stand) -> Vec<u64> {
-    let staff: Vec<_> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
+    let staff: Vec<_> = stand.fleet().proxies.iter().map(|proxy| proxy.management).collect();
     staff.into_iter().map(|at| status(at)["started_ms"].as_u64().expect("a time")).collect()
 }
 
@@ -65,7 +65,7 @@
     // A control may have begun anew meanwhile, with what it had.
     assert_eq!(started(&mut stand)[0], before[0], "the canary's old one runs as ever");
     let programs: Vec<_> =
-        stand.fleet().proxies.iter().map(|proxy| status(proxy.staff)["program"].clone()).collect();
+        stand.fleet().proxies.iter().map(|proxy| status(proxy.management)["program"].clone()).collect();
     assert_eq!(programs, [PROGRAM; 3]);
     let plan = stand.plan("missing", &json!({"program": "/nowhere/flintwell"}));
     let (code, said) = Rolls::start("start", &plan).ends();
@@ -77,14 +77,14 @@
 fn a_version_that_ends_after_some_seconds_is_put_back_at_its_canary() {
     let mut stand = stand(3);
     let does = "sh -c 'LISTEN_PID=$$ exec \"$0\" \"$@\"' $REAL \"$@\" &\nsleep 2\nkill -9 $!\nexit 9";
-    let now = stand.fleet().world.now_ms();
+    let now = stand.fleet().backends.now_ms();
     // What the canary has in hand when it is killed is lost with it.
-    stand.fleet().excuses(0, now, f64::MAX);
+    stand.fleet().excuse(0, now, f64::MAX);
     let (code, said) = rolled(&mut stand, "crashes", does);
     assert!(code == 1 && said.contains("1 of the new ended"), "{said}");
     assert_eq!(stand.epochs(), [0; 3]);
-    let until = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(0, until);
+    let until = stand.fleet().backends.now_ms() + 500.0;
+    stand.fleet().end_excuse(0, until);
     thread::sleep(Duration::from_secs(1));
     stand.nothing_lost();
 }
@@ -103,10 +103,10 @@
 #[test]
 fn one_that_is_killed_is_started_again_and_clients_find_it_at_the_same_door() {
     let mut stand = stand(1);
-    let (staff, supervisor) = (stand.fleet().proxies[0].staff, stand.fleet().proxies[0].process.id());
+    let (staff, supervisor) = (stand.fleet().proxies[0].management, stand.fleet().proxies[0].process.id());
     let before = status(staff)["started_ms"].clone();
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(0, now - 1_500.0, now + 2_500.0);
+    let now = stand.fleet().backends.now_ms();
+    stand.fleet().excuse(0, now - 1_500.0, now + 2_500.0);
     // Its only child: the program itself.
     let supervisor = supervisor.expect("an id").to_string();
     let killed = Command::new("pkill").args(["-KILL", "-P", &supervisor]).status().expect("pkill");
@@ -117,5 +117,5 @@
     });
     thread::sleep(Duration::from_secs(3));
     stand.nothing_lost();
-    assert!(stand.fleet().proxies[0].process.stops(), "told to stop it ends, and its process with it");
+    assert!(stand.fleet().proxies[0].process.shut_down(), "told to stop it ends, and its process with it");
 }
--- a/crates/flintwell/tests/process/words.rs
+++ b/crates/flintwell/tests/process/words.rs
@@ -2,9 +2,9 @@
 
 use crate::rollout::{PROGRAM, Stand};
 use crate::support::{config, get, run};
-use flintwell_rig::datagrams::Post;
+use flintwell_rig::datagrams::DatagramMode;
 use flintwell_rig::days;
-use flintwell_rig::fleet::Shape;
+use flintwell_rig::fleet::FleetSpec;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -12,8 +12,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn shape() -> Shape {
-    Shape { proxies: 6, zones: vec!["a".into(), "b".into()], words: true, ..Shape::default() }
+fn shape() -> FleetSpec {
+    FleetSpec {
+        proxies: 6,
+        zones: vec!["a".into(), "b".into()],
+        peer_messaging: true,
+        ..FleetSpec::default()
+    }
 }
 
 fn knows(at: SocketAddr) -> Value {
@@ -44,44 +49,44 @@
 #[test]
 fn a_fleet_finds_itself_loses_one_is_cut_in_halves_and_heals() {
     let mut stand = Stand::new(shape());
-    let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
+    let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.management).collect();
     until(30, "all know all", &staff, |there| there.iter().all(|&there| there == 5));
     let status = Command::new(PROGRAM).args(["fleet", "status", "--at", &staff[0].to_string()]).output();
     let told = String::from_utf8(status.expect("the program").stdout).expect("a text");
     assert!(told.contains("number 0: no limit known") && told.matches(" alive").count() == 5, "{told}");
     // Stands still, and accuses nobody when it wakes.
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(1, now - 1_500.0, f64::MAX);
-    stand.fleet().proxies[1].process.pauses();
+    let now = stand.fleet().backends.now_ms();
+    stand.fleet().excuse(1, now - 1_500.0, f64::MAX);
+    stand.fleet().proxies[1].process.pause();
     thread::sleep(Duration::from_secs(3));
-    stand.fleet().proxies[1].process.goes_on();
+    stand.fleet().proxies[1].process.resume();
     until(30, "it is taken back", &staff, |there| there.iter().all(|&there| there == 5));
     assert_eq!(knows(staff[1])["taken_as_gone"], 0);
-    let until_ms = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(1, until_ms);
+    let until_ms = stand.fleet().backends.now_ms() + 500.0;
+    stand.fleet().end_excuse(1, until_ms);
     // Killed, and back under its number.
-    let now = stand.fleet().world.now_ms();
-    stand.fleet().excuses(2, now - 1_500.0, f64::MAX);
-    stand.fleet().proxies[2].process.kills();
+    let now = stand.fleet().backends.now_ms();
+    stand.fleet().excuse(2, now - 1_500.0, f64::MAX);
+    stand.fleet().proxies[2].process.kill();
     let others: Vec<SocketAddr> = [0, 1, 3, 4, 5].map(|n| staff[n]).into();
     until(20, "one is gone", &others, |there| there.iter().all(|&there| there == 4));
-    stand.fleet().proxies[2].process.starts().expect("it starts");
-    let until_ms = stand.fleet().world.now_ms() + 500.0;
-    stand.fleet().excused_until(2, until_ms);
+    stand.fleet().proxies[2].process.spawn().expect("it starts");
+    let until_ms = stand.fleet().backends.now_ms() + 500.0;
+    stand.fleet().end_excuse(2, until_ms);
     until(30, "it is back", &staff, |there| there.iter().all(|&there| there == 5));
     // Halves that hear nothing of one another, then words that are lost and doubled.
-    stand.fleet().words("zone:a", "zone:b", Post::Cut);
-    stand.fleet().words("zone:b", "zone:a", Post::Cut);
+    stand.fleet().set_datagram_mode("zone:a", "zone:b", DatagramMode::Cut);
+    stand.fleet().set_datagram_mode("zone:b", "zone:a", DatagramMode::Cut);
     until(30, "halves", &staff, |there| there.iter().all(|&there| there == 2));
-    stand.fleet().words("*", "*", Post::Loses(0.2));
+    stand.fleet().set_datagram_mode("*", "*", DatagramMode::Drop(0.2));
     until(45, "healed", &staff, |there| there.iter().all(|&there| there == 5));
     stand.nothing_lost();
 }
 
 #[test]
 fn what_is_foreign_is_dropped_and_counted() {
-    let mut stand = Stand::new(Shape { proxies: 2, ..shape() });
-    let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.staff).collect();
+    let mut stand = Stand::new(FleetSpec { proxies: 2, ..shape() });
+    let staff: Vec<SocketAddr> = stand.fleet().proxies.iter().map(|proxy| proxy.management).collect();
     until(30, "both know both", &staff, |there| there == [1, 1]);
     let known = knows(staff[0])["members"][0]["addr"].as_str().expect("an address").to_owned();
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
@@ -132,9 +137,9 @@
     let runtime = runtime.expect("a runtime");
     for seed in [3, 4] {
         let folder = tempfile::tempdir().expect("a folder");
-        let day = runtime.block_on(days::play(seed, &shape(), Path::new(PROGRAM), folder.path()));
+        let day = runtime.block_on(days::run_day(seed, &shape(), Path::new(PROGRAM), folder.path()));
         let day = day.expect("it was played");
-        assert!(day.breaches.is_empty() && day.whole_s.is_some(), "seed {seed}: {day:#?}");
+        assert!(day.breaches.is_empty() && day.converged_after_s.is_some(), "seed {seed}: {day:#?}");
         assert!(day.served * 10 > day.requests * 7, "seed {seed}: {} of {}", day.served, day.requests);
     }
 }
