--- a/crates/flintwell-standins/src/backends.rs
+++ b/crates/flintwell-standins/src/backends.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: the nodes as they are, what each took, and what discovery tells of them.
+//! State shared by the stand-ins: the nodes, the requests each one received, and the node list that discovery publishes.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// What a node is made of; times in ms.
+/// Capacity and placement of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSpec {
@@ -18,35 +18,39 @@
     pub kind: String,
     #[serde(default)]
     pub cell: u32,
-    /// How many requests it works on at once, how many wait, and how long each takes.
+    /// Requests processed concurrently.
     pub workers: usize,
+    /// Requests that may wait for a worker.
     pub queue: usize,
+    /// Processing time of a request.
     pub time_ms: f64,
-    /// Open connections; a further one is closed at once.
+    /// Limit of open connections; a further connection is closed immediately.
     pub connections: usize,
-    /// The share of its workers that it has just after a start, and for how long that grows to all.
+    /// Share of the workers available immediately after a start.
     pub cold_share: f64,
+    /// Time over which the available share grows to all workers.
     pub ramp_s: f64,
 }
 
-/// What is wrong with a node.
+/// Fault injected into a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
     #[default]
     None,
-    /// Takes all and says nothing.
+    /// Accepts requests and never responds.
     Silent,
-    /// Closes every connection at once.
+    /// Closes every new connection immediately.
     Refuses,
-    /// Answers after so many times its time.
+    /// Multiplies the processing time by this factor.
     Slow(f64),
-    /// This share of its answers are errors.
+    /// Responds to this share of requests with an error.
     Errors(f64),
-    /// Turns all away as full.
+    /// Rejects every request as overloaded.
     Full,
 }
 
+/// State of a node in the list of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeState {
@@ -56,6 +60,7 @@
 }
 
 impl NodeState {
+    /// The name of the state in the node list.
     pub fn as_str(self) -> &'static str {
         match self {
             NodeState::Ready => "ready",
@@ -65,7 +70,7 @@
     }
 }
 
-/// What a node did with a request that reached it whole.
+/// What a node did with a request that it received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Disposition {
@@ -77,10 +82,10 @@
     Nothing,
 }
 
-/// One request at one node.
+/// A request received by a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NodeRequest {
-    /// Since the world's start, when its last byte had come.
+    /// When the node decided the outcome, in ms since the start of the backends.
     pub at_ms: f64,
     pub node: String,
     pub id: String,
@@ -90,77 +95,80 @@
     pub write: bool,
     #[serde(rename = "did")]
     pub disposition: Disposition,
-    /// The share of its workers that the node had then.
+    /// Share of the node's workers that were available then.
     pub warmth: f64,
 }
 
-/// What discovery told of a node, and since when.
+/// A change of a node's state in the node list.
 #[derive(Clone, Debug)]
 pub struct ListChange {
     pub at_ms: f64,
-    /// Of the list that tells it.
+    /// Version of the first list that contains the change.
     pub version: u64,
     pub node: String,
     pub state: NodeState,
 }
 
-/// A call of a proxy at discovery.
+/// A call from a proxy to discovery.
 #[derive(Clone, Debug)]
 pub struct DiscoveryCall {
     pub proxy: String,
     pub at_ms: f64,
+    /// The long-poll time-out requested by the call.
     pub wait_ms: f64,
-    /// When the answer was written, and the version that it told.
+    /// When the response was produced, and the list version in it; version 0 for a refused call.
     pub answered: Option<(f64, u64)>,
 }
 
 pub(crate) struct Node {
-    pub made: NodeSpec,
+    pub spec: NodeSpec,
     pub addr: SocketAddr,
     pub fault: Fault,
     pub state: NodeState,
     pub started: Option<Instant>,
     pub started_ms: u64,
     pub values: HashMap<String, Bytes>,
-    pub busy: usize,
-    pub open: usize,
-    /// Raised at a restart, so that what is open ends.
-    pub life: watch::Sender<u64>,
+    pub active_requests: usize,
+    pub open_connections: usize,
+    /// Incremented by a restart, which closes the open connections.
+    pub generation: watch::Sender<u64>,
 }
 
 impl Node {
+    /// The share of the workers that is available now.
     pub fn warmth(&self) -> f64 {
         let since = self.started.map_or(f64::MAX, |started| started.elapsed().as_secs_f64());
-        let grown = if self.made.ramp_s > 0.0 { (since / self.made.ramp_s).min(1.0) } else { 1.0 };
-        self.made.cold_share + (1.0 - self.made.cold_share) * grown
+        let grown = if self.spec.ramp_s > 0.0 { (since / self.spec.ramp_s).min(1.0) } else { 1.0 };
+        self.spec.cold_share + (1.0 - self.spec.cold_share) * grown
     }
 }
 
 #[derive(Default)]
 pub(crate) struct Inner {
     pub nodes: Vec<Node>,
-    pub took: Vec<NodeRequest>,
-    pub changes: Vec<ListChange>,
+    pub requests: Vec<NodeRequest>,
+    pub list_changes: Vec<ListChange>,
     pub calls: Vec<DiscoveryCall>,
-    /// How long discovery takes for a call, one after another.
+    /// Processing time of a discovery call; calls are processed one at a time.
     pub call_time: Duration,
-    /// Where discovery has too many callers: only new connections cost it, and a call that would wait for longer is refused.
-    pub queue_most: Option<Duration>,
-    /// Until when discovery works on calls that it has let in, where that is bounded.
-    pub busy_until: Option<Instant>,
-    /// The caches that missed for a request, by its id, until the origin answers it.
-    pub missed: HashMap<String, Vec<usize>>,
+    /// Models an overloaded discovery when set: only the first call of a connection takes processing time, and a call that
+    /// would wait for longer than this is refused.
+    pub max_call_queue_wait: Option<Duration>,
+    /// When the last call admitted to the bounded queue completes.
+    pub call_queue_busy_until: Option<Instant>,
+    /// Indexes of the caches that missed for a request, by request id, until the origin responds to it.
+    pub missed_caches: HashMap<String, Vec<usize>>,
 }
 
-/// Everything the stand-ins know; a handle to it.
+/// Handle to the shared state of all stand-ins.
 #[derive(Clone)]
 pub struct Backends {
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) inner: Arc<Mutex<Inner>>,
-    /// The list's version.
+    /// Version of the node list.
     pub(crate) version: Arc<watch::Sender<u64>>,
-    /// Discovery's turn.
-    pub(crate) turn: Arc<tokio::sync::Mutex<()>>,
+    /// Serializes the processing of discovery calls.
+    pub(crate) call_mutex: Arc<tokio::sync::Mutex<()>>,
 }
 
 impl Default for Backends {
@@ -170,111 +178,119 @@
 }
 
 impl Backends {
+    /// Creates backends without nodes.
     pub fn new() -> Self {
         Backends {
-            began: Instant::now(),
+            started_at: Instant::now(),
             inner: Arc::default(),
             version: Arc::new(watch::channel(1).0),
-            turn: Arc::default(),
+            call_mutex: Arc::default(),
         }
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
-        // A stand-in that panicked leaves counts and lists that can still be read.
+        // The records stay readable after a panic of a stand-in.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Milliseconds since the start.
     pub fn now_ms(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1e3
+        self.started_at.elapsed().as_secs_f64() * 1e3
     }
 
-    /// When that was, by the same count.
+    /// Converts an instant to milliseconds since the start.
     pub fn to_ms(&self, at: Instant) -> f64 {
-        at.saturating_duration_since(self.began).as_secs_f64() * 1e3
+        at.saturating_duration_since(self.started_at).as_secs_f64() * 1e3
     }
 
-    /// The instant from which all times of the world count.
+    /// The instant that all recorded times are relative to.
     pub fn started_at(&self) -> Instant {
-        self.began
+        self.started_at
     }
 
-    fn node(&self, id: &str, change: impl FnOnce(&mut Node)) -> bool {
+    /// Updates a node; returns whether it exists.
+    fn update_node(&self, id: &str, update: impl FnOnce(&mut Node)) -> bool {
         let mut inner = self.lock();
-        inner.nodes.iter_mut().find(|node| node.made.id == id).map(change).is_some()
+        inner.nodes.iter_mut().find(|node| node.spec.id == id).map(update).is_some()
     }
 
-    /// Whether there is such a node.
+    /// Injects a fault into a node; returns whether the node exists.
     pub fn set_fault(&self, id: &str, fault: Fault) -> bool {
-        self.node(id, |node| node.fault = fault)
+        self.update_node(id, |node| node.fault = fault)
     }
 
-    /// Discovery tells this of it from now on.
+    /// Publishes a new list with this state of the node; returns whether the node exists.
     pub fn set_list_state(&self, id: &str, state: NodeState) -> bool {
-        let known = self.node(id, |node| node.state = state);
+        let known = self.update_node(id, |node| node.state = state);
         let version = *self.version.borrow() + 1;
         let change = ListChange { at_ms: self.now_ms(), version, node: id.into(), state };
-        self.lock().changes.push(change);
+        self.lock().list_changes.push(change);
         self.version.send_replace(version);
         known
     }
 
-    /// It ends and is there again, empty and cold; the list tells its start.
+    /// Restarts a node empty and cold, and lists it as ready with its new start time; returns whether the node exists.
     pub fn restart_node(&self, id: &str) -> bool {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let known = self.node(id, |node| {
+        let known = self.update_node(id, |node| {
             node.values.clear();
             (node.started, node.started_ms) = (Some(Instant::now()), since.as_millis() as u64);
-            node.busy = 0;
-            node.life.send_modify(|life| *life += 1);
+            node.active_requests = 0;
+            node.generation.send_modify(|generation| *generation += 1);
         });
         self.set_list_state(id, NodeState::Ready) && known
     }
 
+    /// The requests that the nodes received.
     pub fn node_requests(&self) -> Vec<NodeRequest> {
-        self.lock().took.clone()
+        self.lock().requests.clone()
     }
 
+    /// The changes of the node list.
     pub fn list_changes(&self) -> Vec<ListChange> {
-        self.lock().changes.clone()
+        self.lock().list_changes.clone()
     }
 
-    /// Calls at discovery, of all proxies.
+    /// The calls of all proxies to discovery.
     pub fn discovery_calls(&self) -> Vec<DiscoveryCall> {
         self.lock().calls.clone()
     }
 
-    /// Discovery takes so long for a call from now on, and works through calls in turn.
-    pub fn set_call_time(&self, each: Duration) {
-        self.lock().call_time = each;
+    /// Sets the processing time of a discovery call; calls are processed one at a time.
+    pub fn set_call_time(&self, call_time: Duration) {
+        self.lock().call_time = call_time;
     }
 
-    /// Discovery takes so long for each new connection's first call from now on, and refuses at once what would wait for
-    /// longer than `longest`; calls that go on with a watch cost it nothing.
-    pub fn limit_call_queue(&self, each: Duration, longest: Duration) {
+    /// Models an overloaded discovery: the first call of each connection takes `call_time`, and a call that would wait for
+    /// longer than `max_wait` is refused immediately. Further calls of a connection take no time.
+    pub fn limit_call_queue(&self, call_time: Duration, max_wait: Duration) {
         let mut inner = self.lock();
-        (inner.call_time, inner.queue_most) = (each, Some(longest));
+        (inner.call_time, inner.max_call_queue_wait) = (call_time, Some(max_wait));
     }
 
-    /// How long a call made now waits for its turn where the queue is bounded; none if it is refused.
-    pub(crate) fn reserve_call_slot(&self, fresh: bool) -> Option<Duration> {
+    /// Admits a call to the bounded queue and returns its waiting time; none if the call is refused.
+    pub(crate) fn reserve_call_slot(&self, first_on_connection: bool) -> Option<Duration> {
         let mut inner = self.lock();
-        let Some(longest) = inner.queue_most.filter(|_| fresh) else { return Some(Duration::ZERO) };
+        let Some(max_wait) = inner.max_call_queue_wait.filter(|_| first_on_connection) else {
+            return Some(Duration::ZERO);
+        };
         let now = Instant::now();
-        let ends = inner.busy_until.map_or(now, |busy| busy.max(now)) + inner.call_time;
+        let ends = inner.call_queue_busy_until.map_or(now, |busy| busy.max(now)) + inner.call_time;
         let wait = ends - now;
-        if wait > longest {
+        if wait > max_wait {
             return None;
         }
-        inner.busy_until = Some(ends);
+        inner.call_queue_busy_until = Some(ends);
         Some(wait)
     }
 
-    /// Ids, zones and kinds, as they were made.
+    /// The specifications of all nodes.
     pub fn node_specs(&self) -> Vec<NodeSpec> {
-        self.lock().nodes.iter().map(|node| node.made.clone()).collect()
+        self.lock().nodes.iter().map(|node| node.spec.clone()).collect()
     }
 
+    /// The address of a node.
     pub fn addr(&self, id: &str) -> Option<SocketAddr> {
-        self.lock().nodes.iter().find(|node| node.made.id == id).map(|node| node.addr)
+        self.lock().nodes.iter().find(|node| node.spec.id == id).map(|node| node.addr)
     }
 }
--- a/crates/flintwell-standins/src/clients.rs
+++ b/crates/flintwell-standins/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of one proxy: requests in an open loop, at a seeded Poisson rate, so that a slow proxy gets no fewer. Some
-//! come again when they are refused, after the advice.
+//! Open-loop clients of one proxy: requests arrive as a seeded Poisson process, so that a slow proxy receives no fewer.
+//! Refused requests are retried after the advised delay if the load says so.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,52 +16,54 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout};
 
-const SLACK: Duration = Duration::from_millis(500); // after a request's limit in which an answer still counts as one
-const DIAL: Duration = Duration::from_millis(500); // for a connection to the proxy
+const RESPONSE_SLACK: Duration = Duration::from_millis(500); // responses this late are still recorded
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A class as clients ask for it.
+/// Share and deadline of a request class in the load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassLoad {
     pub name: String,
-    /// Of all requests, beside the other cases' shares.
+    /// Relative to the shares of the other classes.
     pub share: f64,
     pub write: bool,
     pub limit_s: f64,
 }
 
+/// Load on each proxy.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second at each proxy.
+    /// Requests per second.
     pub rate: f64,
+    /// Number of keys.
     pub keys: u64,
-    /// How uneven keys are: the exponent of their Zipf law; 0 for even.
+    /// Exponent of the Zipf distribution of keys; 0 is uniform.
     #[serde(rename = "skew")]
     pub zipf_exponent: f64,
-    /// The share of reads that ask for a key nobody asked for before.
+    /// Share of reads with a key that was never requested before.
     #[serde(rename = "new_keys")]
     pub new_key_share: f64,
-    /// How often one that is refused comes again.
+    /// How often a refused request is retried.
     #[serde(rename = "again")]
     pub max_retries: u32,
     #[serde(rename = "cases")]
     pub classes: Vec<ClassLoad>,
 }
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseFailure {
-    /// No connection to the proxy came up.
+    /// The connection to the proxy could not be established.
     NotConnected,
-    /// A new connection was reset under the request.
+    /// A new connection was reset before the response.
     Reset,
-    /// The connection ended with no whole answer, or none came in time.
+    /// The connection was closed without a complete response, or the client timed out.
     Unanswered,
 }
 
-/// One request as its client saw it; times in ms since the world began.
+/// A request as its client observed it; times in ms since the start of the backends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClientRequest {
     pub id: String,
@@ -72,141 +74,150 @@
     pub at_ms: f64,
     pub limit_ms: f64,
     pub took_ms: f64,
-    /// None: no whole answer came in time.
+    /// None if no complete response arrived in time.
     pub status: Option<u16>,
-    /// Why not.
+    /// Set if there is no status.
     #[serde(rename = "missing")]
     pub failure: Option<ResponseFailure>,
-    /// What the client was advised to wait.
+    /// From the retry-after header.
     #[serde(rename = "stay_away_ms")]
     pub retry_after_ms: f64,
 }
 
-/// What all clients saw.
+/// Record of all requests of all clients.
 #[derive(Clone, Default)]
 pub struct RequestLog(Arc<Mutex<Vec<ClientRequest>>>);
 
 impl RequestLog {
+    /// A copy of all entries.
     pub fn entries(&self) -> Vec<ClientRequest> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
-    fn record(&self, seen: ClientRequest) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push(seen);
+    fn record(&self, entry: ClientRequest) {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).push(entry);
     }
 }
 
-type Sender = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
-/// The clients of one proxy.
+/// Load generator for one proxy.
 #[derive(Clone)]
 pub struct Clients {
     proxy: String,
     addr: SocketAddr,
-    began: Instant,
+    time_origin: Instant,
     load: Arc<Load>,
-    book: RequestLog,
-    idle: Arc<Mutex<Vec<Sender>>>,
+    request_log: RequestLog,
+    idle: Arc<Mutex<Vec<RequestSender>>>,
 }
 
 impl Clients {
-    pub fn new(proxy: &str, addr: SocketAddr, began: Instant, load: Arc<Load>, book: RequestLog) -> Self {
-        Clients { proxy: proxy.into(), addr, began, load, book, idle: Arc::default() }
+    /// Clients of the proxy at `addr`; recorded times are relative to `time_origin`.
+    pub fn new(
+        proxy: &str,
+        addr: SocketAddr,
+        time_origin: Instant,
+        load: Arc<Load>,
+        request_log: RequestLog,
+    ) -> Self {
+        Clients { proxy: proxy.into(), addr, time_origin, load, request_log, idle: Arc::default() }
     }
 
-    /// Comes until `until`, then waits for what is out. The same seed, the same requests.
+    /// Sends requests until `until`, then waits for those in flight. The seed determines the requests.
     pub async fn run(self, seed: u64, until: Instant) {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let load = self.load.clone();
-        let (Ok(gaps), Ok(keys)) =
+        let (Ok(intervals), Ok(keys)) =
             (Exp::new(load.rate), Zipf::new(load.keys.max(1) as f64, load.zipf_exponent))
         else {
             return;
         };
-        let shares: f64 = load.classes.iter().map(|case| case.share).sum();
-        let (mut at, mut number, mut out) = (Instant::now(), 0u64, Vec::new());
+        let total_share: f64 = load.classes.iter().map(|class| class.share).sum();
+        let (mut send_at, mut request_count, mut in_flight) = (Instant::now(), 0u64, Vec::new());
         loop {
-            at += Duration::from_secs_f64(gaps.sample(&mut chance));
-            let mut lot = chance.random::<f64>() * shares;
-            let picked = load.classes.iter().find(|case| {
-                lot -= case.share;
-                lot < 0.0
+            send_at += Duration::from_secs_f64(intervals.sample(&mut rng));
+            let mut pick = rng.random::<f64>() * total_share;
+            let chosen = load.classes.iter().find(|class| {
+                pick -= class.share;
+                pick < 0.0
             });
-            let Some(case) = picked.or(load.classes.last()).filter(|_| at < until) else { break };
-            let known = keys.sample(&mut chance) as u64;
-            let new = !case.write && chance.random::<f64>() < load.new_key_share;
-            number += 1;
-            let id = format!("{}-{seed:x}-{number}", self.proxy);
+            let Some(class) = chosen.or(load.classes.last()).filter(|_| send_at < until) else { break };
+            let known = keys.sample(&mut rng) as u64;
+            let new = !class.write && rng.random::<f64>() < load.new_key_share;
+            request_count += 1;
+            let id = format!("{}-{seed:x}-{request_count}", self.proxy);
             let key = if new { format!("new-{id}") } else { format!("k{known}") };
-            sleep_until(at.into()).await;
-            out.push(tokio::spawn(self.clone().comes(id, key, case.clone())));
-            out.retain(|request| !request.is_finished());
+            sleep_until(send_at.into()).await;
+            in_flight.push(tokio::spawn(self.clone().send_with_retries(id, key, class.clone())));
+            in_flight.retain(|request| !request.is_finished());
         }
-        for request in out {
+        for request in in_flight {
             let _ = request.await;
         }
     }
 
-    /// One request, and its further ones if it is refused.
-    async fn comes(self, id: String, key: String, case: ClassLoad) {
-        for again in 0..=self.load.max_retries {
-            let id = if again == 0 { id.clone() } else { format!("{id}-again{again}") };
-            let seen = self.asks(&id, &key, &case).await;
-            let back = matches!(seen.status, Some(429 | 503)).then_some(seen.retry_after_ms);
-            self.book.record(seen);
-            let Some(stay_away) = back else { return };
-            sleep(Duration::from_secs_f64(stay_away.max(10.0) / 1e3)).await;
+    /// Sends a request and its retries while it is refused.
+    async fn send_with_retries(self, id: String, key: String, class: ClassLoad) {
+        for retry in 0..=self.load.max_retries {
+            let id = if retry == 0 { id.clone() } else { format!("{id}-again{retry}") };
+            let entry = self.send(&id, &key, &class).await;
+            let retry_delay = matches!(entry.status, Some(429 | 503)).then_some(entry.retry_after_ms);
+            self.request_log.record(entry);
+            let Some(retry_after) = retry_delay else { return };
+            sleep(Duration::from_secs_f64(retry_after.max(10.0) / 1e3)).await;
         }
     }
 
-    async fn asks(&self, id: &str, key: &str, case: &ClassLoad) -> ClientRequest {
+    /// Sends a request and records what its client observed.
+    async fn send(&self, id: &str, key: &str, class: &ClassLoad) -> ClientRequest {
         let began = Instant::now();
-        let limit = Duration::from_secs_f64(case.limit_s);
-        let mut seen = ClientRequest {
+        let limit = Duration::from_secs_f64(class.limit_s);
+        let mut entry = ClientRequest {
             id: id.into(),
             proxy: self.proxy.clone(),
-            class: case.name.clone(),
-            write: case.write,
-            at_ms: began.duration_since(self.began).as_secs_f64() * 1e3,
-            limit_ms: case.limit_s * 1e3,
+            class: class.name.clone(),
+            write: class.write,
+            at_ms: began.duration_since(self.time_origin).as_secs_f64() * 1e3,
+            limit_ms: class.limit_s * 1e3,
             took_ms: 0.0,
             status: None,
             failure: None,
             retry_after_ms: 0.0,
         };
-        let answered = timeout(limit + SLACK, self.exchange(id, key, case)).await;
-        seen.took_ms = began.elapsed().as_secs_f64() * 1e3;
+        let answered = timeout(limit + RESPONSE_SLACK, self.exchange(id, key, class)).await;
+        entry.took_ms = began.elapsed().as_secs_f64() * 1e3;
         match answered {
-            Ok(Ok((status, stay_away_ms))) => {
-                (seen.status, seen.retry_after_ms) = (Some(status), stay_away_ms);
+            Ok(Ok((status, retry_after_ms))) => {
+                (entry.status, entry.retry_after_ms) = (Some(status), retry_after_ms);
             }
-            Ok(Err(missing)) => seen.failure = Some(missing),
-            Err(_) => seen.failure = Some(ResponseFailure::Unanswered),
+            Ok(Err(failure)) => entry.failure = Some(failure),
+            Err(_) => entry.failure = Some(ResponseFailure::Unanswered),
         }
-        seen
+        entry
     }
 
-    /// On an idle connection, and once more on a new one if the proxy closed that between two requests.
-    async fn exchange(&self, id: &str, key: &str, case: &ClassLoad) -> Result<(u16, f64), ResponseFailure> {
+    /// Exchanges a request on an idle connection, and again on a new one if the proxy had closed the idle connection.
+    async fn exchange(&self, id: &str, key: &str, class: &ClassLoad) -> Result<(u16, f64), ResponseFailure> {
         let mut idle = loop {
-            let kept = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
-            match kept {
+            let sender = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
+            match sender {
                 Some(sender) if sender.is_closed() => {}
                 other => break other,
             }
         };
         loop {
-            let (mut sender, fresh) = match idle.take() {
+            let (mut sender, is_new) = match idle.take() {
                 Some(sender) => (sender, false),
-                None => (self.dial().await.ok_or(ResponseFailure::NotConnected)?, true),
+                None => (self.connect().await.ok_or(ResponseFailure::NotConnected)?, true),
             };
-            let body = if case.write { Bytes::from_static(b"value") } else { Bytes::new() };
+            let body = if class.write { Bytes::from_static(b"value") } else { Bytes::new() };
             let request = Request::builder()
-                .method(if case.write { Method::PUT } else { Method::GET })
+                .method(if class.write { Method::PUT } else { Method::GET })
                 .uri(format!("/api/{key}"))
                 .header("host", "origin.svc")
                 .header("x-request-id", id)
-                .header("x-class", &case.name)
-                .header("x-deadline", format!("{:.3}", case.limit_s))
+                .header("x-class", &class.name)
+                .header("x-deadline", format!("{:.3}", class.limit_s))
                 .header("idempotency-key", format!("m-{id}"))
                 .body(Full::new(body))
                 .map_err(|_| ResponseFailure::Unanswered)?;
@@ -214,24 +225,24 @@
                 Ok(response) => {
                     let (status, headers) = (response.status().as_u16(), response.headers().clone());
                     response.into_body().collect().await.map_err(|_| ResponseFailure::Unanswered)?;
-                    let advice = headers.get("retry-after").and_then(|value| value.to_str().ok());
-                    let wait = advice.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0) * 1e3;
+                    let header = headers.get("retry-after").and_then(|value| value.to_str().ok());
+                    let wait = header.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0) * 1e3;
                     let closes = headers.get("connection").is_some_and(|value| value == "close");
                     if !closes && sender.ready().await.is_ok() {
                         self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(sender);
                     }
                     return Ok((status, wait));
                 }
-                Err(_) if !fresh => {}
-                // Its end was there to be read; a reset shows that something of ours was not read.
+                Err(_) if !is_new => {}
+                // An orderly close; a reset shows that the proxy left a part of the request unread.
                 Err(error) if error.is_incomplete_message() => return Err(ResponseFailure::Unanswered),
                 Err(_) => return Err(ResponseFailure::Reset),
             }
         }
     }
 
-    async fn dial(&self) -> Option<Sender> {
-        let stream = timeout(DIAL, TcpStream::connect(self.addr)).await.ok()?.ok()?;
+    async fn connect(&self) -> Option<RequestSender> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(connection);
--- a/crates/flintwell-standins/src/lib.rs
+++ b/crates/flintwell-standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what a proxy meets, written from the operators' protocol page: discovery, cache nodes that start cold
-//! and hold only so much, an origin with room for a few fetches, and clients that come in the open. All on loopback.
+//! In-process stand-ins for the peers of a proxy, on loopback: discovery, cache nodes with limited capacity that start
+//! cold, an origin that bounds its concurrent fetches, and open-loop clients. They follow the protocol page.
 
 pub mod backends;
 pub mod clients;
--- a/crates/flintwell-standins/src/nodes.rs
+++ b/crates/flintwell-standins/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Cache nodes and the origin: one server, told apart by the kind of the node.
+//! Cache nodes and the origin: one HTTP server, whose behaviour depends on the kind of the node.
 
 use crate::backends::{Backends, Disposition, Fault, Node, NodeRequest, NodeSpec, NodeState};
 use bytes::Bytes;
@@ -19,48 +19,49 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-pub const ORIGIN: &str = "origin"; // the kind that fetches
-const QUEUE_STEP: Duration = Duration::from_millis(1); // between looks of one that waits for a worker
-const SILENCE: Duration = Duration::from_secs(600); // longer than any run
+/// Kind and id of the origin.
+pub const ORIGIN: &str = "origin";
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(1);
+const SILENT_DELAY: Duration = Duration::from_secs(600); // longer than any run
 
 impl Backends {
-    /// Serves a node at `addr` until the runtime ends, and lists it.
-    pub async fn serve_node(&self, made: NodeSpec, addr: SocketAddr, seed: u64) -> io::Result<SocketAddr> {
+    /// Serves a node at `addr` until the runtime shuts down, and adds it to the node list.
+    pub async fn serve_node(&self, spec: NodeSpec, addr: SocketAddr, seed: u64) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
-        let place = {
+        let index = {
             let mut inner = self.lock();
             inner.nodes.push(Node {
-                made,
+                spec,
                 addr,
                 fault: Fault::None,
                 state: NodeState::Ready,
                 started: None,
                 started_ms: 0,
                 values: Default::default(),
-                busy: 0,
-                open: 0,
-                life: watch::channel(0).0,
+                active_requests: 0,
+                open_connections: 0,
+                generation: watch::channel(0).0,
             });
             inner.nodes.len() - 1
         };
-        let (world, chance) = (self.clone(), Arc::new(Mutex::new(ChaCha8Rng::seed_from_u64(seed))));
+        let (backends, rng) = (self.clone(), Arc::new(Mutex::new(ChaCha8Rng::seed_from_u64(seed))));
         tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    sleep(QUEUE_STEP).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 };
-                let life = {
-                    let mut inner = world.lock();
-                    let node = &mut inner.nodes[place];
-                    if node.fault == Fault::Refuses || node.open >= node.made.connections {
+                let generation = {
+                    let mut inner = backends.lock();
+                    let node = &mut inner.nodes[index];
+                    if node.fault == Fault::Refuses || node.open_connections >= node.spec.connections {
                         continue;
                     }
-                    node.open += 1;
-                    node.life.subscribe()
+                    node.open_connections += 1;
+                    node.generation.subscribe()
                 };
-                tokio::spawn(connection(world.clone(), place, stream, life, chance.clone()));
+                tokio::spawn(serve_connection(backends.clone(), index, stream, generation, rng.clone()));
             }
         });
         self.version.send_modify(|version| *version += 1);
@@ -68,133 +69,141 @@
     }
 }
 
-async fn connection(
-    world: Backends,
-    place: usize,
+async fn serve_connection(
+    backends: Backends,
+    index: usize,
     stream: TcpStream,
-    mut life: watch::Receiver<u64>,
-    chance: Arc<Mutex<ChaCha8Rng>>,
+    mut generation: watch::Receiver<u64>,
+    rng: Arc<Mutex<ChaCha8Rng>>,
 ) {
-    let served = world.clone();
+    let shared = backends.clone();
     let service = service_fn(move |request| {
-        let (world, chance) = (served.clone(), chance.clone());
-        async move { answer(world, place, request, chance).await }
+        let (backends, rng) = (shared.clone(), rng.clone());
+        async move { respond(backends, index, request, rng).await }
     });
     let _ = stream.set_nodelay(true);
     tokio::select! {
-        // A connection that breaks is the proxy's to judge.
+        // A broken connection needs no handling here: the proxy detects it.
         _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service) => {}
-        _ = life.changed() => {}
+        _ = generation.changed() => {}
     }
-    let open = &mut world.lock().nodes[place].open;
+    let open = &mut backends.lock().nodes[index].open_connections;
     *open = open.saturating_sub(1);
 }
 
-/// A worker's place at a node, given back however the request ends.
-struct Busy(Backends, usize);
+/// Counts an active request at a node; released on drop, also when the request is cancelled.
+struct WorkerSlot(Backends, usize);
 
-impl Drop for Busy {
+impl Drop for WorkerSlot {
     fn drop(&mut self) {
-        let busy = &mut self.0.lock().nodes[self.1].busy;
-        *busy = busy.saturating_sub(1);
+        let active_requests = &mut self.0.lock().nodes[self.1].active_requests;
+        *active_requests = active_requests.saturating_sub(1);
     }
 }
 
-async fn answer(
-    world: Backends,
-    place: usize,
+async fn respond(
+    backends: Backends,
+    index: usize,
     request: Request<Incoming>,
-    chance: Arc<Mutex<ChaCha8Rng>>,
+    rng: Arc<Mutex<ChaCha8Rng>>,
 ) -> Result<Response<Full<Bytes>>, hyper::Error> {
     let header = |name: &str| {
         let value = request.headers().get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    let (id, mark) = (header("x-request-id"), header("idempotency-key"));
+    let (id, idempotency_key) = (header("x-request-id"), header("idempotency-key"));
     let (write, key) = (request.method() == Method::PUT, request.uri().path().to_owned());
-    let sent = request.into_body().collect().await?.to_bytes();
-    let lot: f64 = chance.lock().map_or(0.5, |mut chance| chance.random());
-    let (turn, fault, time, workers, origin) = {
-        let mut inner = world.lock();
-        let node = &mut inner.nodes[place];
-        let workers = (node.made.workers as f64 * node.warmth()).max(1.0);
-        let full = node.fault == Fault::Full || node.busy as f64 >= workers + node.made.queue as f64;
-        node.busy += usize::from(!full);
-        let time = match node.fault {
-            Fault::Slow(times) => node.made.time_ms * times,
-            _ => node.made.time_ms,
+    let body = request.into_body().collect().await?.to_bytes();
+    let error_draw: f64 = rng.lock().map_or(0.5, |mut rng| rng.random());
+    let (position, fault, service_time_ms, workers, origin) = {
+        let mut inner = backends.lock();
+        let node = &mut inner.nodes[index];
+        let workers = (node.spec.workers as f64 * node.warmth()).max(1.0);
+        let full =
+            node.fault == Fault::Full || node.active_requests as f64 >= workers + node.spec.queue as f64;
+        node.active_requests += usize::from(!full);
+        let service_time_ms = match node.fault {
+            Fault::Slow(times) => node.spec.time_ms * times,
+            _ => node.spec.time_ms,
         };
-        ((!full).then_some(node.busy), node.fault, time, workers, node.made.kind == ORIGIN)
+        (
+            (!full).then_some(node.active_requests),
+            node.fault,
+            service_time_ms,
+            workers,
+            node.spec.kind == ORIGIN,
+        )
     };
-    let note = |did: Disposition| {
-        let at_ms = world.now_ms();
-        let mut inner = world.lock();
-        let (node, warmth) = (inner.nodes[place].made.id.clone(), inner.nodes[place].warmth());
-        let (id, key, mark) = (id.clone(), key.clone(), mark.clone());
-        inner.took.push(NodeRequest {
+    let record = |disposition: Disposition| {
+        let at_ms = backends.now_ms();
+        let mut inner = backends.lock();
+        let (node, warmth) = (inner.nodes[index].spec.id.clone(), inner.nodes[index].warmth());
+        let (id, key, idempotency_key) = (id.clone(), key.clone(), idempotency_key.clone());
+        inner.requests.push(NodeRequest {
             at_ms,
             node,
             id,
             key,
-            idempotency_key: mark,
+            idempotency_key,
             write,
-            disposition: did,
+            disposition,
             warmth,
         });
     };
-    let Some(turn) = turn else {
-        note(Disposition::TurnedAway);
-        return Ok(turned_away());
+    let Some(position) = position else {
+        record(Disposition::TurnedAway);
+        return Ok(overloaded());
     };
-    let _busy = Busy(world.clone(), place);
+    let _slot = WorkerSlot(backends.clone(), index);
     if fault == Fault::Silent {
-        note(Disposition::Nothing);
-        sleep(SILENCE).await;
+        record(Disposition::Nothing);
+        sleep(SILENT_DELAY).await;
     }
-    // Whoever came before it goes first: their number over the workers, in times of one request.
-    let waits = ((turn as f64 / workers).ceil() - 1.0).max(0.0);
-    sleep(Duration::from_secs_f64(time * (1.0 + waits) / 1e3)).await;
-    if matches!(fault, Fault::Errors(share) if lot < share) {
-        note(Disposition::Error);
+    // First in, first out: waits one service time for each full round of workers ahead of it.
+    let rounds_ahead = ((position as f64 / workers).ceil() - 1.0).max(0.0);
+    sleep(Duration::from_secs_f64(service_time_ms * (1.0 + rounds_ahead) / 1e3)).await;
+    if matches!(fault, Fault::Errors(share) if error_draw < share) {
+        record(Disposition::Error);
         return Ok(status(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()));
     }
     let value = {
-        let mut inner = world.lock();
+        let mut inner = backends.lock();
         if origin {
-            fetch(&mut inner, place, &id, &key, write, sent)
+            fetch_origin(&mut inner, index, &id, &key, write, body)
         } else {
-            read(&mut inner, place, &id, &key)
+            read_cache(&mut inner, index, &id, &key)
         }
     };
-    note(if value.is_some() { Disposition::Served } else { Disposition::Missed });
+    record(if value.is_some() { Disposition::Served } else { Disposition::Missed });
     let (code, body) = value.map_or((StatusCode::NOT_FOUND, Bytes::new()), |value| (StatusCode::OK, value));
     Ok(status(code, body))
 }
 
-fn read(inner: &mut crate::backends::Inner, place: usize, id: &str, key: &str) -> Option<Bytes> {
-    let kept = inner.nodes[place].values.get(key).cloned();
-    if kept.is_none() {
-        inner.missed.entry(id.to_owned()).or_default().push(place);
+/// Reads from a cache and records a miss.
+fn read_cache(inner: &mut crate::backends::Inner, index: usize, id: &str, key: &str) -> Option<Bytes> {
+    let cached = inner.nodes[index].values.get(key).cloned();
+    if cached.is_none() {
+        inner.missed_caches.entry(id.to_owned()).or_default().push(index);
     }
-    kept
+    cached
 }
 
-/// The origin's value; what caches missed for this request is stored there, and a write drops all copies.
-fn fetch(
+/// Returns the origin's value and fills the caches that missed for this request; a write invalidates all copies first.
+fn fetch_origin(
     inner: &mut crate::backends::Inner,
-    place: usize,
+    index: usize,
     id: &str,
     key: &str,
     write: bool,
-    sent: Bytes,
+    body: Bytes,
 ) -> Option<Bytes> {
     if write {
         inner.nodes.iter_mut().for_each(|node| drop(node.values.remove(key)));
-        inner.nodes[place].values.insert(key.to_owned(), sent);
+        inner.nodes[index].values.insert(key.to_owned(), body);
     }
-    let first = || Bytes::from(format!("first value of {key}\n"));
-    let value = inner.nodes[place].values.entry(key.to_owned()).or_insert_with(first).clone();
-    for cache in inner.missed.remove(id).unwrap_or_default() {
+    let initial_value = || Bytes::from(format!("first value of {key}\n"));
+    let value = inner.nodes[index].values.entry(key.to_owned()).or_insert_with(initial_value).clone();
+    for cache in inner.missed_caches.remove(id).unwrap_or_default() {
         inner.nodes[cache].values.insert(key.to_owned(), value.clone());
     }
     Some(value)
@@ -206,7 +215,7 @@
     response
 }
 
-fn turned_away() -> Response<Full<Bytes>> {
+fn overloaded() -> Response<Full<Bytes>> {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     response.headers_mut().insert("x-not-run", HeaderValue::from_static("1"));
     response
