--- a/crates/flintwell-rig/src/days.rs
+++ b/crates/flintwell-rig/src/days.rs
@@ -95,7 +95,7 @@
             _ => {
                 let (from, to) = (one, zone(&mut chance));
                 let path = |way| Action::Path { from: from.clone(), to: to.clone(), mode: way };
-                during(path(LinkMode::DropResponses), path(LinkMode::Pass));
+                during(path(LinkMode::HoldResponses), path(LinkMode::Pass));
             }
         }
     }
--- a/crates/flintwell-rig/src/relay.rs
+++ b/crates/flintwell-rig/src/relay.rs
@@ -24,7 +24,7 @@
     Cut,
     /// What is asked arrives, what is answered does not.
     #[serde(rename = "deaf")]
-    DropResponses,
+    HoldResponses,
     /// Open connections are reset, new ones too.
     #[serde(rename = "resets")]
     Reset,
@@ -101,7 +101,7 @@
         let ((from_read, from_write), (there_read, there_write)) = (from.into_split(), there.into_split());
         let asked = passes(from_read, there_write, way.clone(), hushed.clone(), |way| way != LinkMode::Cut);
         let answered = passes(there_read, from_write, way.clone(), hushed, |way| {
-            !matches!(way, LinkMode::Cut | LinkMode::DropResponses)
+            !matches!(way, LinkMode::Cut | LinkMode::HoldResponses)
         });
         tokio::join!(asked, answered);
     };
--- a/crates/flintwell/tests/process/rollout.rs
+++ b/crates/flintwell/tests/process/rollout.rs
@@ -211,7 +211,7 @@
     let rolls = Rolls::start("start", &plan);
     stand.until("the canaries have it", |epochs| epochs[..2] == [1, 1]);
     // What it answers is lost; what it is told arrives. Then nothing.
-    assert_eq!(stand.fleet().set_link_mode("n0", "staff", LinkMode::DropResponses), 1);
+    assert_eq!(stand.fleet().set_link_mode("n0", "staff", LinkMode::HoldResponses), 1);
     thread::sleep(Duration::from_millis(1_500));
     assert_eq!(stand.fleet().set_link_mode("n0", "staff", LinkMode::Cut), 1);
     let report = || -> String { Rolls::start("status", &plan).ends().1 };
