--- a/crates/flintwell-rig/src/datagrams.rs
+++ b/crates/flintwell-rig/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! What one proxy hears of the others, datagram by datagram: passed on, lost, doubled, late or cut, by who sends.
+//! UDP relay with fault injection per sender: forwards, drops, duplicates or delays the datagrams to one proxy.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,59 +11,60 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-const LONGEST: usize = 2_048; // bytes of one; far above any that are sent
+const MAX_DATAGRAM_BYTES: usize = 2_048; // well above the size of any datagram sent
 
-/// What becomes of datagrams from one proxy to another.
+/// How the datagrams from one proxy to another are treated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DatagramMode {
     #[default]
     #[serde(rename = "passes")]
     Pass,
+    /// Drops all.
     Cut,
-    /// This share is lost.
+    /// Drops this share.
     #[serde(rename = "loses")]
     Drop(f64),
-    /// This share comes twice.
+    /// Forwards this share twice.
     #[serde(rename = "doubles")]
     Duplicate(f64),
-    /// Each comes up to so many ms later, so that they overtake one another.
+    /// Delays each datagram by a random time up to this many ms, which reorders them.
     #[serde(rename = "delays")]
     Delay(f64),
 }
 
-/// In front of one proxy's address for words.
+/// A relay in front of one proxy's address for peer messaging.
 pub struct DatagramRelay {
     pub addr: SocketAddr,
-    ways: Arc<Mutex<HashMap<SocketAddr, DatagramMode>>>,
+    modes: Arc<Mutex<HashMap<SocketAddr, DatagramMode>>>,
 }
 
 impl DatagramRelay {
-    /// From an address of its own to `to`, until the runtime ends; what it loses and doubles is drawn by `seed`.
+    /// Forwards from an address of its own to `to` until the runtime shuts down. `seed` determines the random faults.
     pub async fn start(to: SocketAddr, seed: u64) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let addr = socket.local_addr()?;
-        let ways: Arc<Mutex<HashMap<SocketAddr, DatagramMode>>> = Arc::default();
-        let told = ways.clone();
+        let modes: Arc<Mutex<HashMap<SocketAddr, DatagramMode>>> = Arc::default();
+        let current_modes = modes.clone();
         tokio::spawn(async move {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
-            let mut buffer = [0; LONGEST];
+            let mut buffer = [0; MAX_DATAGRAM_BYTES];
             loop {
-                // An error is another's answer to what we passed on to one who is gone.
+                // An error reports that the target of an earlier datagram is unreachable (ICMP).
                 let Ok((bytes, from)) = socket.recv_from(&mut buffer).await else { continue };
-                let way = told.lock().unwrap_or_else(PoisonError::into_inner).get(&from).copied();
-                let (copies, late) = match way.unwrap_or_default() {
+                let mode = current_modes.lock().unwrap_or_else(PoisonError::into_inner).get(&from).copied();
+                let (copies, delay_ms) = match mode.unwrap_or_default() {
                     DatagramMode::Pass => (1, 0.0),
                     DatagramMode::Cut => (0, 0.0),
                     DatagramMode::Drop(share) => (usize::from(rng.random::<f64>() >= share), 0.0),
                     DatagramMode::Duplicate(share) => (1 + usize::from(rng.random::<f64>() < share), 0.0),
-                    DatagramMode::Delay(most) => (1, rng.random::<f64>() * most.max(0.0)),
+                    DatagramMode::Delay(max_ms) => (1, rng.random::<f64>() * max_ms.max(0.0)),
                 };
                 for _ in 0..copies {
-                    if late > 0.0 {
+                    if delay_ms > 0.0 {
                         let (socket, datagram) = (socket.clone(), buffer[..bytes].to_vec());
                         tokio::spawn(async move {
-                            sleep(Duration::from_secs_f64(late / 1e3)).await;
+                            sleep(Duration::from_secs_f64(delay_ms / 1e3)).await;
                             let _ = socket.send_to(&datagram, to).await;
                         });
                     } else {
@@ -72,10 +73,11 @@
                 }
             }
         });
-        Ok(DatagramRelay { addr, ways })
+        Ok(DatagramRelay { addr, modes })
     }
 
-    pub fn set_mode(&self, from: SocketAddr, way: DatagramMode) {
-        self.ways.lock().unwrap_or_else(PoisonError::into_inner).insert(from, way);
+    /// Sets the mode for datagrams from this sender.
+    pub fn set_mode(&self, from: SocketAddr, mode: DatagramMode) {
+        self.modes.lock().unwrap_or_else(PoisonError::into_inner).insert(from, mode);
     }
 }
--- a/crates/flintwell-rig/src/lib.rs
+++ b/crates/flintwell-rig/src/lib.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program between stand-ins, a relay on each path between them, faults as a plan, and a
-//! checker of the rules that knows neither the module nor the stand-ins' own judgement.
+//! Fault-injection tests on real proxy processes: each path between a proxy and the stand-ins runs through a relay, faults
+//! follow a plan, and a checker verifies the rules from recorded traffic alone, without the code of the proxy's policy.
 
 pub mod check;
 pub mod datagrams;
--- a/crates/flintwell-rig/src/process.rs
+++ b/crates/flintwell-rig/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program: started with a configuration of its own, paused, killed, restarted by its id.
+//! One proxy process: start, signals, log capture and restart.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader};
@@ -9,10 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const STARTS: Duration = Duration::from_secs(20); // a start on a busy machine
-const ENDS: Duration = Duration::from_secs(5); // after SIGTERM, past the longest deadline
-const LINES_MOST: usize = 10_000; // of a process's log that are kept
+const START_TIMEOUT: Duration = Duration::from_secs(20); // allows for a busy machine
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5); // from SIGTERM; longer than the longest deadline
+const MAX_LOG_LINES: usize = 10_000;
 
+/// A child process and the log lines it wrote to stderr. Dropping it kills the process.
 pub struct Process {
     pub name: String,
     program: PathBuf,
@@ -23,7 +24,7 @@
 }
 
 impl Process {
-    /// Starts `program` with these arguments, with `folder` for its files, and waits until it serves.
+    /// Starts `program` with these arguments and `folder` for its files, and waits until it accepts clients.
     pub fn start(name: &str, program: &Path, arguments: &[&str], folder: &Path) -> Result<Self, String> {
         let mut process = Process {
             name: name.into(),
@@ -37,71 +38,78 @@
         Ok(process)
     }
 
+    /// Starts the process, or restarts it with the same arguments, and waits until it accepts clients.
     pub fn spawn(&mut self) -> Result<(), String> {
-        let temporary = self.folder.join("tmp");
-        let made = std::fs::create_dir_all(&temporary);
-        made.map_err(|e| format!("{}: {e}", temporary.display()))?;
+        let tmp_dir = self.folder.join("tmp");
+        let created = std::fs::create_dir_all(&tmp_dir);
+        created.map_err(|e| format!("{}: {e}", tmp_dir.display()))?;
         let mut command = Command::new(&self.program);
         command.args(&self.arguments);
-        command.env("TMPDIR", &temporary).env_remove("EDGE_MGMT").env_remove("EDGE_CONFIG");
+        command.env("TMPDIR", &tmp_dir).env_remove("EDGE_MGMT").env_remove("EDGE_CONFIG");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
         let stderr = child.stderr.take();
         self.child = Some(child);
-        let (says, serves) = channel();
+        let (ready_sender, ready) = channel();
         let log = self.log.clone();
         thread::spawn(move || {
             for line in BufReader::new(stderr.into_iter().next()?).lines().map_while(Result::ok) {
                 if line.contains(" serves on ") {
-                    let _ = says.send(());
+                    let _ = ready_sender.send(());
                 }
                 let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-                if log.len() < LINES_MOST {
+                if log.len() < MAX_LOG_LINES {
                     log.push((Instant::now(), line));
                 }
             }
             Some(())
         });
-        match serves.recv_timeout(STARTS) {
+        match ready.recv_timeout(START_TIMEOUT) {
             Ok(()) => Ok(()),
             Err(RecvTimeoutError::Disconnected) => {
                 self.child.take().map(|mut child| child.wait());
                 Err(format!("{} did not start: {}", self.name, self.log().join("; ")))
             }
-            Err(RecvTimeoutError::Timeout) => Err(format!("{} did not serve in {STARTS:?}", self.name)),
+            Err(RecvTimeoutError::Timeout) => {
+                Err(format!("{} did not serve in {START_TIMEOUT:?}", self.name))
+            }
         }
     }
 
+    /// The process id, if it was started and not yet reaped.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     fn signal(&self, signal: Signal) {
         let id = self.id().and_then(|id| i32::try_from(id).ok()).and_then(Pid::from_raw);
-        // One that has ended is not there to be told; it is waited for by us, so its id is nobody else's yet.
+        // A process that has exited ignores the signal. It is reaped only by us, so its id can't have been reused.
         let _ = id.map(|id| kill_process(id, signal));
     }
 
-    /// Stands still, as a machine that is overbooked.
+    /// Stops the process with SIGSTOP, as on an overcommitted machine.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
+    /// Continues a paused process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
+    /// Sends SIGHUP, on which the process reloads its configuration.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
-    /// Told to end; it goes on until it has, or is killed.
+    /// Sends SIGTERM without waiting for the process to exit.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
-    /// Its next start finds none of the files that it has kept.
+    /// Deletes the files that the process stored in its temporary folder.
     pub fn delete_state(&self) {
-        // Without any there is nothing to forget.
+        // The folder may be missing.
         let _ = std::fs::remove_dir_all(self.folder.join("tmp"));
     }
 
+    /// Kills the process and reaps it.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -109,11 +117,11 @@
         }
     }
 
-    /// A planned stop; killed if that takes too long. Whether it ended by itself, and well.
+    /// Sends SIGTERM and waits for the exit; kills the process after a time-out. Returns whether it exited with success.
     pub fn shut_down(&mut self) -> bool {
         self.signal(Signal::TERM);
         let began = Instant::now();
-        while began.elapsed() < ENDS {
+        while began.elapsed() < SHUTDOWN_TIMEOUT {
             match self.child.as_mut().map(Child::try_wait) {
                 Some(Ok(None)) => thread::sleep(Duration::from_millis(10)),
                 Some(Ok(Some(status))) => {
@@ -127,22 +135,22 @@
         false
     }
 
-    /// Whether it lives.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.as_mut().map(Child::try_wait), Some(Ok(None)))
     }
 
+    /// The log lines so far.
     pub fn log(&self) -> Vec<String> {
         self.timestamped_log().into_iter().map(|line| line.1).collect()
     }
-    /// Each line with when it came.
+    /// The log lines so far, each with the time it was read.
     pub fn timestamped_log(&self) -> Vec<(Instant, String)> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 impl Drop for Process {
-    /// Ended by its id however the run ends, also while a test panics.
+    /// Kills the process by its id however the run ends, also when a test panics.
     fn drop(&mut self) {
         self.resume();
         self.kill();
--- a/crates/flintwell-rig/src/relay.rs
+++ b/crates/flintwell-rig/src/relay.rs
@@ -1,4 +1,4 @@
-//! One path between two parties, over which we have the say: it passes on, delays, falls silent or breaks.
+//! TCP relay with fault injection: forwards, delays, throttles, stalls or resets connections.
 
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -11,141 +11,150 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-const PIECE: usize = 16_384; // bytes that one read passes on
+const CHUNK_BYTES: usize = 16_384;
 
-/// What a path does with what comes over it.
+/// How a relay treats the connections that pass through it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkMode {
     #[default]
     #[serde(rename = "passes")]
     Pass,
-    /// Nothing goes either way; open connections stay open and silent, new ones come up and say nothing.
+    /// Holds data in both directions; open connections stay open, new ones are accepted and not forwarded.
     Cut,
-    /// What is asked arrives, what is answered does not.
+    /// Forwards requests and holds responses.
     #[serde(rename = "deaf")]
     HoldResponses,
-    /// Open connections are reset, new ones too.
+    /// Resets open and new connections.
     #[serde(rename = "resets")]
     Reset,
-    /// Each piece comes so many ms later.
+    /// Delays each chunk by this many ms.
     #[serde(rename = "delays")]
     Delay(f64),
-    /// So many bytes a second.
+    /// Forwards this many bytes per second.
     #[serde(rename = "trickles")]
     Throttle(f64),
 }
 
+/// A relay in front of one address.
 pub struct Relay {
+    /// Address that the relay listens at.
     pub addr: SocketAddr,
-    way: Arc<watch::Sender<LinkMode>>,
-    /// Raised when what is open falls silent for good.
-    hushed: Arc<watch::Sender<u64>>,
+    mode: Arc<watch::Sender<LinkMode>>,
+    /// Incremented to silence the open connections for good.
+    silence_count: Arc<watch::Sender<u64>>,
 }
 
 impl Relay {
-    /// From an address of its own to `to`, until the runtime ends.
+    /// Forwards from an address of its own to `to` until the runtime shuts down.
     pub async fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
-        let way = Arc::new(watch::channel(LinkMode::Pass).0);
-        let hushed = Arc::new(watch::channel(0).0);
-        let (told, silenced) = (way.clone(), hushed.clone());
+        let mode = Arc::new(watch::channel(LinkMode::Pass).0);
+        let silence_count = Arc::new(watch::channel(0).0);
+        let (modes, silences) = (mode.clone(), silence_count.clone());
         tokio::spawn(async move {
             loop {
                 match listener.accept().await {
                     Ok((stream, _)) => {
-                        let (told, silenced) = (told.subscribe(), silenced.subscribe());
-                        tokio::spawn(joined(stream, to, told, silenced));
+                        let (modes, silences) = (modes.subscribe(), silences.subscribe());
+                        tokio::spawn(relay_connection(stream, to, modes, silences));
                     }
                     Err(_) => sleep(Duration::from_millis(1)).await,
                 }
             }
         });
-        Ok(Relay { addr, way, hushed })
+        Ok(Relay { addr, mode, silence_count })
     }
 
-    pub fn set_mode(&self, way: LinkMode) {
-        self.way.send_replace(way);
+    /// Applies to open and new connections.
+    pub fn set_mode(&self, mode: LinkMode) {
+        self.mode.send_replace(mode);
     }
 
-    /// How long what was sent is still on its way, ms.
+    /// The delay of forwarded data in the current mode, ms.
     pub fn delay_ms(&self) -> f64 {
-        match *self.way.borrow() {
+        match *self.mode.borrow() {
             LinkMode::Delay(ms) => ms.max(0.0),
             _ => 0.0,
         }
     }
 
-    /// Connections open now stay open and say nothing more, either way; new ones pass.
+    /// Forwards nothing more on the connections that are open now and keeps them open; new connections are forwarded.
     pub fn silence_open(&self) {
-        self.hushed.send_modify(|times| *times += 1);
+        self.silence_count.send_modify(|times| *times += 1);
     }
 }
 
-async fn joined(
+/// Forwards one connection in both directions until it ends or is reset.
+async fn relay_connection(
     from: TcpStream,
     to: SocketAddr,
-    mut way: watch::Receiver<LinkMode>,
-    hushed: watch::Receiver<u64>,
+    mut mode: watch::Receiver<LinkMode>,
+    silence_count: watch::Receiver<u64>,
 ) {
-    let (mut resets, mut opens) = (way.clone(), way.clone());
-    let both = async {
-        // Over a path that is cut a new connection reaches nobody.
-        let open = opens.wait_for(|way| *way != LinkMode::Cut).await.map(|way| *way);
-        if open.is_err() {
+    let (mut reset_watch, mut open_watch) = (mode.clone(), mode.clone());
+    let both_directions = async {
+        // While the link is cut, a new connection is accepted and not forwarded.
+        let waited = open_watch.wait_for(|mode| *mode != LinkMode::Cut).await.map(|mode| *mode);
+        if waited.is_err() {
             return;
         }
-        let Ok(there) = TcpStream::connect(to).await else { return };
-        let _ = (from.set_nodelay(true), there.set_nodelay(true));
-        let ((from_read, from_write), (there_read, there_write)) = (from.into_split(), there.into_split());
-        let asked = passes(from_read, there_write, way.clone(), hushed.clone(), |way| way != LinkMode::Cut);
-        let answered = passes(there_read, from_write, way.clone(), hushed, |way| {
-            !matches!(way, LinkMode::Cut | LinkMode::HoldResponses)
+        let Ok(upstream) = TcpStream::connect(to).await else { return };
+        let _ = (from.set_nodelay(true), upstream.set_nodelay(true));
+        let ((client_read, client_write), (upstream_read, upstream_write)) =
+            (from.into_split(), upstream.into_split());
+        let requests =
+            relay_direction(client_read, upstream_write, mode.clone(), silence_count.clone(), |mode| {
+                mode != LinkMode::Cut
+            });
+        let responses = relay_direction(upstream_read, client_write, mode.clone(), silence_count, |mode| {
+            !matches!(mode, LinkMode::Cut | LinkMode::HoldResponses)
         });
-        tokio::join!(asked, answered);
+        tokio::join!(requests, responses);
     };
     tokio::select! {
-        () = both => {}
-        _ = resets.wait_for(|way| *way == LinkMode::Reset) => {}
+        () = both_directions => {}
+        _ = reset_watch.wait_for(|mode| *mode == LinkMode::Reset) => {}
     }
-    // Dropped with bytes unread, a connection is reset.
-    way.mark_unchanged();
+    // The connection is reset if it is dropped with unread bytes.
+    mode.mark_unchanged();
 }
 
-async fn passes(
+/// Forwards one direction of a connection while `open` holds for the mode.
+async fn relay_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut way: watch::Receiver<LinkMode>,
-    hushed: watch::Receiver<u64>,
-    open: fn(LinkMode) -> bool,
+    mut mode: watch::Receiver<LinkMode>,
+    silence_count: watch::Receiver<u64>,
+    is_open: fn(LinkMode) -> bool,
 ) {
-    let mut piece = vec![0; PIECE];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let most = match *way.borrow() {
-            LinkMode::Throttle(rate) => ((rate / 20.0) as usize).clamp(1, PIECE),
-            _ => PIECE,
+        let max_read = match *mode.borrow() {
+            LinkMode::Throttle(rate) => ((rate / 20.0) as usize).clamp(1, CHUNK_BYTES),
+            _ => CHUNK_BYTES,
         };
-        let Ok(read) = from.read(&mut piece[..most]).await else { return };
-        if hushed.has_changed().unwrap_or(true) {
-            // Held open, and nothing more is read of it.
+        let Ok(count) = from.read(&mut buffer[..max_read]).await else { return };
+        if silence_count.has_changed().unwrap_or(true) {
+            // Silenced: the connection stays open, this data is discarded and no more is read.
             std::future::pending::<()>().await;
         }
-        let now = match way.wait_for(|way| open(*way)).await {
-            Ok(way) => *way,
+        let mode_now = match mode.wait_for(|mode| is_open(*mode)).await {
+            Ok(mode) => *mode,
             Err(_) => return,
         };
-        match now {
+        match mode_now {
             LinkMode::Delay(ms) => sleep(Duration::from_secs_f64(ms.max(0.0) / 1e3)).await,
             LinkMode::Throttle(_) => sleep(Duration::from_millis(50)).await,
             _ => {}
         }
-        if read == 0 {
-            // One side has said all it had.
+        if count == 0 {
+            // End of this direction: half-close the other side.
             let _ = to.shutdown().await;
             return;
         }
-        if to.write_all(&piece[..read]).await.is_err() {
+        if to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
