--- a/crates/flintwell-rig/src/check.rs
+++ b/crates/flintwell-rig/src/check.rs
@@ -1,5 +1,4 @@
-//! The rules over the whole fleet, from what clients saw, what nodes took and what discovery told. Knows nothing of the
-//! module.
+//! Checks the rules over the whole fleet from what clients, nodes and discovery recorded, without the code of the policy.
 
 use flintwell_standins::backends::{
     DiscoveryCall, Disposition, ListChange, NodeRequest, NodeSpec, NodeState,
@@ -8,22 +7,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-const SLACK: f64 = 50.0; // ms; what sockets add to each limit, by the protocol page
-const BREATH: f64 = 250.0; // ms; what a machine that is busy with many processes adds in a test
-const SILENT: f64 = 6_000.0; // ms; after a watch fell silent what it misses counts as told, by the protocol page
-const WAITED: f64 = 2_000.0; // ms; the same after the wait of a call, where that is later
-const DOOR: f64 = 400.0; // ms; after a proxy is told to end new connections go on coming for so long, by the protocol page
-const COLD: f64 = 0.99; // share of its workers; under it a node is cold
+const SOCKET_SLACK_MS: f64 = 50.0; // sockets may add this to each limit (protocol page)
+const BUSY_MACHINE_MS: f64 = 250.0; // delay that a machine busy with many processes may add
+const SILENT_WATCH_DETECTION_MS: f64 = 6_000.0; // what a silent watch misses counts as known after this (protocol page)
+const WATCH_END_SLACK_MS: f64 = 2_000.0; // the same after the long-poll time-out of the call, if that is later
+const ACCEPT_AFTER_SHUTDOWN_MS: f64 = 400.0; // new connections arrive this long after SIGTERM (protocol page)
+const COLD_BELOW_SHARE: f64 = 0.99; // a node with a smaller share of its workers is cold
 
-/// How a class may be repeated, as far as the checker needs it.
+/// How requests of a class may be repeated.
 #[derive(Clone, Debug)]
 pub struct RepeatRules {
-    /// Anywhere, any time.
+    /// May be repeated at any node and any time.
     pub replayable: bool,
-    /// By its mark, wherever the mark is known, for so long.
+    /// Nodes that know its idempotency key deduplicate repeats within this time.
     pub dedup_window_ms: Option<f64>,
 }
 
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Breach {
     pub rule: u8,
@@ -31,197 +31,230 @@
     pub what: String,
 }
 
+/// What a run recorded, and the limits that the rules apply.
 pub struct Observations<'a> {
     pub client_requests: &'a [ClientRequest],
     pub node_requests: &'a [NodeRequest],
     pub list_changes: &'a [ListChange],
     pub discovery_calls: &'a [DiscoveryCall],
-    /// Proxies whose open watch fell silent, when, and until when a call of before may still have reached discovery.
+    /// Proxies whose open watches were silenced, when, and until when an earlier call may still have reached discovery.
     pub silenced_watches: &'a [(String, f64, f64)],
-    /// What discovery has counts as told, whether or not anybody watches.
+    /// Discovery pushes its list: a change counts as known immediately, whether or not a watch is open.
     pub push_discovery: bool,
     pub node_specs: &'a [NodeSpec],
     pub repeat_rules: &'a BTreeMap<String, RepeatRules>,
-    /// From when an entry is told until nothing new may go there.
+    /// Time from when a drain is known until no new request may be sent to the node.
     pub drain_grace_ms: f64,
-    /// Within which a cold node falls if more comes than it bears.
+    /// Window in which a cold node must not receive more than its capacity.
     pub cold_overload_window_s: f64,
-    /// Paths or processes that we stopped ourselves: requests in these times may get no answer.
+    /// Proxies and times of injected faults in which requests may get no response.
     pub excused: &'a [(String, f64, f64)],
-    /// When a proxy was told to end, and when a process of its own took clients again.
+    /// Proxies with the time of SIGTERM and the time when they accepted clients again.
     pub shutdowns: &'a [(String, f64, f64)],
-    /// Idle clients fill the descriptors: new connections may be shut unread.
+    /// Idle clients use up the descriptors: new connections may be closed unread.
     pub sockets_exhausted: bool,
 }
 
-/// Every breach, by time.
-pub fn check_rules(evidence: &Observations) -> Vec<Breach> {
-    let mut breaches = answers(evidence);
-    breaches.extend(effects(evidence));
-    breaches.extend(drains(evidence));
-    breaches.extend(cold(evidence));
+/// All violations, ordered by time.
+pub fn check_rules(observations: &Observations) -> Vec<Breach> {
+    let mut breaches = check_answers(observations);
+    breaches.extend(check_effects(observations));
+    breaches.extend(check_drains(observations));
+    breaches.extend(check_cold_nodes(observations));
     breaches.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
     breaches
 }
 
-/// Rule 1: one final answer before the deadline.
-fn answers(evidence: &Observations) -> Vec<Breach> {
-    let excused = |seen: &ClientRequest| {
-        let end = seen.at_ms + seen.limit_ms + BREATH;
-        let meets =
-            |(proxy, from, to): &(String, f64, f64)| *proxy == seen.proxy && seen.at_ms < *to && end > *from;
-        evidence.excused.iter().any(meets)
+/// Rule 1: each request gets one final response before its deadline.
+fn check_answers(observations: &Observations) -> Vec<Breach> {
+    let excused = |request: &ClientRequest| {
+        let end = request.at_ms + request.limit_ms + BUSY_MACHINE_MS;
+        let overlaps = |(proxy, from, to): &(String, f64, f64)| {
+            *proxy == request.proxy && request.at_ms < *to && end > *from
+        };
+        observations.excused.iter().any(overlaps)
     };
-    // A request that the proxy never read is no loss where nobody was owed a connection.
-    let not_taken = |seen: &&ClientRequest| {
-        let ends = seen.at_ms + seen.took_ms;
+    // No violation: the proxy never read the request, and it did not have to accept connections then.
+    let not_owed = |request: &&ClientRequest| {
+        let ends = request.at_ms + request.took_ms;
         let down = |(proxy, from, to): &(String, f64, f64)| {
-            *proxy == seen.proxy && ends > from + DOOR && seen.at_ms < to + BREATH
+            *proxy == request.proxy
+                && ends > from + ACCEPT_AFTER_SHUTDOWN_MS
+                && request.at_ms < to + BUSY_MACHINE_MS
         };
-        match seen.failure {
+        match request.failure {
             Some(ResponseFailure::NotConnected | ResponseFailure::Reset) => {
-                evidence.sockets_exhausted || evidence.shutdowns.iter().any(down)
+                observations.sockets_exhausted || observations.shutdowns.iter().any(down)
             }
             _ => false,
         }
     };
-    let late = |seen: &&ClientRequest| seen.status.is_none() || seen.took_ms > seen.limit_ms + SLACK + BREATH;
-    let wrong =
-        evidence.client_requests.iter().filter(late).filter(|seen| !not_taken(seen) && !excused(seen));
-    wrong
-        .map(|seen| Breach {
+    let is_late = |request: &&ClientRequest| {
+        request.status.is_none() || request.took_ms > request.limit_ms + SOCKET_SLACK_MS + BUSY_MACHINE_MS
+    };
+    let violating = observations
+        .client_requests
+        .iter()
+        .filter(is_late)
+        .filter(|request| !not_owed(request) && !excused(request));
+    violating
+        .map(|request| Breach {
             rule: 1,
-            at_ms: seen.at_ms,
+            at_ms: request.at_ms,
             what: format!(
                 "{} at {}: {:?} ({:?}) after {:.0} ms",
-                seen.id, seen.proxy, seen.status, seen.failure, seen.took_ms
+                request.id, request.proxy, request.status, request.failure, request.took_ms
             ),
         })
         .collect()
 }
 
-/// Rule 2: no effect twice, and nothing that ran is told as harmless to try again.
-fn effects(evidence: &Observations) -> Vec<Breach> {
-    let mut runs: HashMap<&str, Vec<&NodeRequest>> = HashMap::new();
-    for took in evidence.node_requests {
-        if matches!(took.disposition, Disposition::Served | Disposition::Error | Disposition::Nothing) {
-            runs.entry(&took.id).or_default().push(took);
+/// Rule 2: no request takes effect twice, and none that may have run is refused as safe to retry.
+fn check_effects(observations: &Observations) -> Vec<Breach> {
+    let mut executions: HashMap<&str, Vec<&NodeRequest>> = HashMap::new();
+    for node_request in observations.node_requests {
+        if matches!(node_request.disposition, Disposition::Served | Disposition::Error | Disposition::Nothing)
+        {
+            executions.entry(&node_request.id).or_default().push(node_request);
         }
     }
     let mut breaches = Vec::new();
-    for seen in evidence.client_requests {
-        let (Some(ran), Some(repeats)) = (runs.get(&*seen.id), evidence.repeat_rules.get(&seen.class)) else {
+    for request in observations.client_requests {
+        let (Some(executed), Some(repeats)) =
+            (executions.get(&*request.id), observations.repeat_rules.get(&request.class))
+        else {
             continue;
         };
         if repeats.replayable {
             continue;
         }
-        let first = ran.iter().map(|took| took.at_ms).fold(f64::MAX, f64::min);
-        let far =
-            ran.iter().any(|took| repeats.dedup_window_ms.is_none_or(|memory| took.at_ms > first + memory));
-        if ran.len() > 1 && far {
-            let nodes: Vec<&str> = ran.iter().map(|took| &*took.node).collect();
-            breaches.push(Breach { rule: 2, at_ms: first, what: format!("{} ran at {nodes:?}", seen.id) });
+        let first = executed.iter().map(|node_request| node_request.at_ms).fold(f64::MAX, f64::min);
+        let outside_window = executed.iter().any(|node_request| {
+            repeats.dedup_window_ms.is_none_or(|window| node_request.at_ms > first + window)
+        });
+        if executed.len() > 1 && outside_window {
+            let nodes: Vec<&str> = executed.iter().map(|node_request| &*node_request.node).collect();
+            breaches.push(Breach { rule: 2, at_ms: first, what: format!("{} ran at {nodes:?}", request.id) });
         }
-        let harmless = repeats.dedup_window_ms.is_some();
-        if matches!(seen.status, Some(429 | 503)) && !harmless {
-            let what = format!("{} refused though it may have run", seen.id);
+        let deduplicated = repeats.dedup_window_ms.is_some();
+        if matches!(request.status, Some(429 | 503)) && !deduplicated {
+            let what = format!("{} refused although it may have run", request.id);
             breaches.push(Breach { rule: 2, at_ms: first, what });
         }
     }
     breaches
 }
 
-/// When a change counts as told to a proxy.
-fn told(evidence: &Observations, proxy: &str, change: &ListChange) -> f64 {
-    let mut calls = evidence.discovery_calls.iter().filter(|call| call.proxy == proxy).peekable();
+/// When a proxy must know a change of the node list, in ms; `f64::MAX` if it need not.
+fn list_known_at(observations: &Observations, proxy: &str, change: &ListChange) -> f64 {
+    let mut calls = observations.discovery_calls.iter().filter(|call| call.proxy == proxy).peekable();
     if calls.peek().is_none() {
         return change.at_ms;
     }
-    let silent =
-        evidence.silenced_watches.iter().filter(|(who, ..)| who == proxy).filter_map(|&(_, at, reach)| {
-            let open = |call: &&DiscoveryCall| {
-                call.at_ms <= reach && call.answered.is_none_or(|(then, _)| then > at)
+    let silent = observations.silenced_watches.iter().filter(|(who, ..)| who == proxy).filter_map(
+        |&(_, at, reached_until)| {
+            let was_open = |call: &&DiscoveryCall| {
+                call.at_ms <= reached_until && call.answered.is_none_or(|(then, _)| then > at)
             };
-            let call = evidence.discovery_calls.iter().rfind(|call| call.proxy == proxy && open(call))?;
-            Some((at, call, (at + SILENT).max(call.at_ms + call.wait_ms + WAITED)))
-        });
+            let call =
+                observations.discovery_calls.iter().rfind(|call| call.proxy == proxy && was_open(call))?;
+            Some((
+                at,
+                call,
+                (at + SILENT_WATCH_DETECTION_MS).max(call.at_ms + call.wait_ms + WATCH_END_SLACK_MS),
+            ))
+        },
+    );
     let silent: Vec<_> = silent.collect();
-    let heard = |call: &DiscoveryCall| !silent.iter().any(|(_, lost, _)| std::ptr::eq(*lost, call));
-    let written = |call: &DiscoveryCall| call.answered.filter(|(_, version)| *version >= change.version);
-    let answered = calls.filter(|call| heard(call)).filter_map(written).map(|(at, _)| at);
-    let answered = answered.fold(f64::MAX, f64::min);
-    // What is missed counts all the same; with no watch that is lost, what is pushed counts at once. A watch is no longer
-    // missed once a later call was answered: that one told all until then, and what comes next is no loss of the silent one.
-    let mine = || evidence.discovery_calls.iter().filter(|call| call.proxy == proxy);
-    let renewed = |from: f64| {
-        let later = mine().filter(|call| call.at_ms > from && heard(call)).filter_map(|call| call.answered);
+    let is_received =
+        |call: &DiscoveryCall| !silent.iter().any(|(_, silenced_call, _)| std::ptr::eq(*silenced_call, call));
+    let has_change = |call: &DiscoveryCall| call.answered.filter(|(_, version)| *version >= change.version);
+    let received_at = calls.filter(|call| is_received(call)).filter_map(has_change).map(|(at, _)| at);
+    let received_at = received_at.fold(f64::MAX, f64::min);
+    // A change that a silenced watch misses counts as known after the detection time. Without a silenced watch, a pushed change
+    // counts at once. A later call that was answered ends the silence: its response had everything up to then, and changes
+    // after it are not missed because of the silenced watch.
+    let proxy_calls = || observations.discovery_calls.iter().filter(|call| call.proxy == proxy);
+    let renewed_after = |from: f64| {
+        let later = proxy_calls()
+            .filter(|call| call.at_ms > from && is_received(call))
+            .filter_map(|call| call.answered);
         later.filter(|(_, version)| *version > 0).map(|(at, _)| at).fold(f64::MAX, f64::min)
     };
-    let missed = silent
+    let missed_at = silent
         .iter()
-        .find(|(from, _, to)| (*from..to.min(renewed(*from))).contains(&change.at_ms))
+        .find(|(from, _, to)| (*from..to.min(renewed_after(*from))).contains(&change.at_ms))
         .map(|(_, _, to)| *to);
-    answered.min(missed.unwrap_or(if evidence.push_discovery { change.at_ms } else { f64::MAX }))
+    received_at.min(missed_at.unwrap_or(if observations.push_discovery { change.at_ms } else { f64::MAX }))
 }
 
-/// Rule 3: nothing new to a node that was told as draining or gone, past the grace.
-fn drains(evidence: &Observations) -> Vec<Breach> {
+/// Rule 3: no new request to a node that is known as draining or gone, after the drain grace.
+fn check_drains(observations: &Observations) -> Vec<Breach> {
     let proxies: HashMap<&str, &str> =
-        evidence.client_requests.iter().map(|seen| (&*seen.id, &*seen.proxy)).collect();
+        observations.client_requests.iter().map(|request| (&*request.id, &*request.proxy)).collect();
     let mut breaches = Vec::new();
-    let mut out: BTreeMap<&str, (&ListChange, f64)> = BTreeMap::new();
-    let mut spans: Vec<(&str, &ListChange, f64)> = Vec::new();
-    for change in evidence.list_changes {
+    let mut excluded: BTreeMap<&str, (&ListChange, f64)> = BTreeMap::new();
+    let mut intervals: Vec<(&str, &ListChange, f64)> = Vec::new();
+    for change in observations.list_changes {
         match change.state {
             NodeState::Ready => {
-                let span = out.remove(&*change.node);
-                spans.extend(span.map(|(from, _)| (&*change.node, from, change.at_ms)));
+                let span = excluded.remove(&*change.node);
+                intervals.extend(span.map(|(from, _)| (&*change.node, from, change.at_ms)));
             }
-            _ => drop(out.entry(&change.node).or_insert((change, f64::MAX))),
+            _ => drop(excluded.entry(&change.node).or_insert((change, f64::MAX))),
         }
     }
-    spans.extend(out.into_iter().map(|(node, (from, to))| (node, from, to)));
-    for took in evidence.node_requests {
-        let proxy = proxies.get(&*took.id).copied().unwrap_or_default();
-        let past = |(node, from, to): &&(&str, &ListChange, f64)| {
-            let least = from.at_ms + evidence.drain_grace_ms + SLACK + BREATH;
-            *node == took.node && took.at_ms > least && took.at_ms < *to
+    intervals.extend(excluded.into_iter().map(|(node, (from, to))| (node, from, to)));
+    for node_request in observations.node_requests {
+        let proxy = proxies.get(&*node_request.id).copied().unwrap_or_default();
+        let in_interval = |(node, from, to): &&(&str, &ListChange, f64)| {
+            let earliest = from.at_ms + observations.drain_grace_ms + SOCKET_SLACK_MS + BUSY_MACHINE_MS;
+            *node == node_request.node && node_request.at_ms > earliest && node_request.at_ms < *to
         };
-        for (_, change, _) in spans.iter().filter(past) {
-            let from = told(evidence, proxy, change);
-            if took.at_ms > from + evidence.drain_grace_ms + SLACK + BREATH {
-                let what =
-                    format!("{} to {} {:.0} ms after its drain", took.id, took.node, took.at_ms - from);
-                breaches.push(Breach { rule: 3, at_ms: took.at_ms, what });
+        for (_, change, _) in intervals.iter().filter(in_interval) {
+            let from = list_known_at(observations, proxy, change);
+            if node_request.at_ms > from + observations.drain_grace_ms + SOCKET_SLACK_MS + BUSY_MACHINE_MS {
+                let what = format!(
+                    "{} to {} {:.0} ms after its drain",
+                    node_request.id,
+                    node_request.node,
+                    node_request.at_ms - from
+                );
+                breaches.push(Breach { rule: 3, at_ms: node_request.at_ms, what });
             }
         }
     }
     breaches
 }
 
-/// Rule 4: no cold node pushed over. It bears what its workers, as warm as it is, can do within the time of a fall.
-fn cold(evidence: &Observations) -> Vec<Breach> {
+/// Rule 4: no cold node is overloaded. Its capacity in the window is what its available workers can process.
+fn check_cold_nodes(observations: &Observations) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    for made in evidence.node_specs {
+    for spec in observations.node_specs {
         let mut window: std::collections::VecDeque<&NodeRequest> = Default::default();
-        let mut told = HashSet::new();
-        for took in evidence.node_requests.iter().filter(|took| took.node == made.id && took.warmth < COLD) {
-            window.push_back(took);
-            let from = took.at_ms - evidence.cold_overload_window_s * 1e3;
+        let mut reported = HashSet::new();
+        for node_request in observations
+            .node_requests
+            .iter()
+            .filter(|node_request| node_request.node == spec.id && node_request.warmth < COLD_BELOW_SHARE)
+        {
+            window.push_back(node_request);
+            let from = node_request.at_ms - observations.cold_overload_window_s * 1e3;
             while window.front().is_some_and(|first| first.at_ms < from) {
                 window.pop_front();
             }
-            let bears =
-                made.workers as f64 * took.warmth * 1e3 / made.time_ms * evidence.cold_overload_window_s;
-            if window.len() as f64 > bears + made.queue as f64 && told.insert((took.at_ms / 1e3) as u64) {
+            let capacity = spec.workers as f64 * node_request.warmth * 1e3 / spec.time_ms
+                * observations.cold_overload_window_s;
+            if window.len() as f64 > capacity + spec.queue as f64
+                && reported.insert((node_request.at_ms / 1e3) as u64)
+            {
                 let what = format!(
-                    "{}: {} requests in {} s, it bears {bears:.0}",
-                    made.id,
+                    "{}: {} requests in {} s, capacity {capacity:.0}",
+                    spec.id,
                     window.len(),
-                    evidence.cold_overload_window_s
+                    observations.cold_overload_window_s
                 );
-                breaches.push(Breach { rule: 4, at_ms: took.at_ms, what });
+                breaches.push(Breach { rule: 4, at_ms: node_request.at_ms, what });
             }
         }
     }
--- a/crates/flintwell-rig/src/check/tests.rs
+++ b/crates/flintwell-rig/src/check/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn seen(id: &str, case: &str, status: Option<u16>, took_ms: f64) -> ClientRequest {
+fn client_request(id: &str, class: &str, status: Option<u16>, took_ms: f64) -> ClientRequest {
     ClientRequest {
         id: id.into(),
         proxy: "n0".into(),
-        class: case.into(),
+        class: class.into(),
         write: false,
         at_ms: 0.0,
         limit_ms: 1_000.0,
@@ -15,7 +15,7 @@
     }
 }
 
-fn took(id: &str, node: &str, at_ms: f64, did: Disposition, warmth: f64) -> NodeRequest {
+fn node_request(id: &str, node: &str, at_ms: f64, disposition: Disposition, warmth: f64) -> NodeRequest {
     let (id, node) = (id.into(), node.into());
     NodeRequest {
         at_ms,
@@ -24,32 +24,33 @@
         key: String::new(),
         idempotency_key: String::new(),
         write: true,
-        disposition: did,
+        disposition,
         warmth,
     }
 }
 
 #[test]
-fn each_rule_is_found_broken_where_it_is_and_only_there() {
-    let seen = [
-        seen("well", "read", Some(200), 900.0),
-        seen("lost", "read", None, 1_500.0),
-        seen("late", "read", Some(503), 1_400.0),
-        seen("twice", "once", Some(502), 10.0),
-        seen("again", "keyed", Some(200), 10.0),
-        seen("told", "once", Some(503), 10.0),
+fn checker_reports_each_violation_under_its_rule_and_no_others() {
+    let client_requests = [
+        client_request("well", "read", Some(200), 900.0),
+        client_request("lost", "read", None, 1_500.0),
+        client_request("late", "read", Some(503), 1_400.0),
+        client_request("twice", "once", Some(502), 10.0),
+        client_request("again", "keyed", Some(200), 10.0),
+        client_request("told", "once", Some(503), 10.0),
     ];
-    let mut all = vec![
-        took("twice", "a", 5.0, Disposition::Served, 1.0),
-        took("twice", "b", 6.0, Disposition::Error, 1.0),
-        took("again", "a", 5.0, Disposition::Served, 1.0),
-        took("again", "b", 6.0, Disposition::Served, 1.0),
-        took("told", "a", 7.0, Disposition::Nothing, 1.0),
-        took("drained", "a", 2_000.0, Disposition::Served, 1.0),
-        took("drained", "a", 4_000.0, Disposition::Served, 1.0),
+    let mut node_requests = vec![
+        node_request("twice", "a", 5.0, Disposition::Served, 1.0),
+        node_request("twice", "b", 6.0, Disposition::Error, 1.0),
+        node_request("again", "a", 5.0, Disposition::Served, 1.0),
+        node_request("again", "b", 6.0, Disposition::Served, 1.0),
+        node_request("told", "a", 7.0, Disposition::Nothing, 1.0),
+        node_request("drained", "a", 2_000.0, Disposition::Served, 1.0),
+        node_request("drained", "a", 4_000.0, Disposition::Served, 1.0),
     ];
-    all.extend((0..40).map(|n| took("cold", "b", 100.0 + f64::from(n), Disposition::Missed, 0.2)));
-    let made = |id: &str| NodeSpec {
+    node_requests
+        .extend((0..40).map(|n| node_request("cold", "b", 100.0 + f64::from(n), Disposition::Missed, 0.2)));
+    let spec = |id: &str| NodeSpec {
         id: id.into(),
         zone: String::new(),
         kind: "cache".into(),
@@ -61,16 +62,16 @@
         cold_share: 0.2,
         ramp_s: 5.0,
     };
-    let change = |at_ms, state| ListChange { at_ms, version: at_ms as u64, node: "a".into(), state };
+    let list_change = |at_ms, state| ListChange { at_ms, version: at_ms as u64, node: "a".into(), state };
     let (replayable, keyed) = (|replayable| RepeatRules { replayable, dedup_window_ms: None }, Some(300.0));
     let breaches = check_rules(&Observations {
-        client_requests: &seen,
-        node_requests: &all,
-        list_changes: &[change(1_000.0, NodeState::Draining), change(3_000.0, NodeState::Ready)],
+        client_requests: &client_requests,
+        node_requests: &node_requests,
+        list_changes: &[list_change(1_000.0, NodeState::Draining), list_change(3_000.0, NodeState::Ready)],
         discovery_calls: &[],
         silenced_watches: &[],
         push_discovery: false,
-        node_specs: &[made("a"), made("b")],
+        node_specs: &[spec("a"), spec("b")],
         repeat_rules: &BTreeMap::from([
             ("read".into(), replayable(true)),
             ("once".into(), replayable(false)),
