--- a/crates/flintwell-rig/src/days.rs
+++ b/crates/flintwell-rig/src/days.rs
@@ -1,5 +1,5 @@
-//! Days drawn by their seed: cuts, losses, pauses, kills, an origin with less room, a silent zone, several at a time.
-//! Afterwards all is well again, and the fleet has to be whole.
+//! Randomized fault tests ("days"), determined by a seed: link cuts, datagram loss, pauses, kills, an overloaded origin and
+//! a silent zone, several at a time. Afterwards all faults end and the membership of the fleet has to converge.
 
 use crate::datagrams::DatagramMode;
 use crate::fleet::{Fleet, FleetSpec};
@@ -17,14 +17,15 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, sleep_until};
 
-const FROM: f64 = 4.0; // s; by then a fleet has found itself
-const LAST: f64 = 12.0; // s; the latest that something begins
-const LONGEST: f64 = 5.0; // s; that it lasts
-const PAUSE_SLACK: f64 = 500.0; // ms; after a paused process goes on, its clients' requests are still on their way
-const WHOLE: Duration = Duration::from_secs(45); // for a fleet to find itself once all is well
-const LOOK: Duration = Duration::from_millis(200); // between looks
-const ANSWERS: Duration = Duration::from_secs(5); // for a proxy to say what it knows
+const FIRST_FAULT_S: f64 = 4.0; // the fleet has formed by then
+const LAST_FAULT_S: f64 = 12.0; // latest start of a fault
+const MAX_FAULT_S: f64 = 5.0; // longest duration of a fault
+const RESUME_EXCUSE_MS: f64 = 500.0; // requests that arrived during a pause are still in flight after it
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(45); // for the fleet to converge after the last fault
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5); // for a proxy's fleet status
 
+/// Result of one day.
 #[derive(Clone, Debug, Serialize)]
 pub struct DayResult {
     pub seed: u64,
@@ -34,68 +35,73 @@
     #[serde(rename = "honoured")]
     pub served: usize,
     pub breaches: Vec<crate::check::Breach>,
-    /// From when all was well until each proxy knew all others, s; none if that was never so.
+    /// Time from the end of all faults until each proxy listed all others as alive, s; none if that did not happen.
     #[serde(rename = "whole_s")]
     pub converged_after_s: Option<f64>,
-    /// Where it was never so: what each proxy said of the fleet at the end.
+    /// The fleet status of each proxy at the end, if the fleet did not converge.
     #[serde(rename = "apart")]
     pub final_statuses: Vec<String>,
 }
 
-/// What goes wrong on this day, and when it is over.
+/// Draws the faults of a day and their ends.
 pub fn draw_events(seed: u64, zones: &[String], proxies: usize) -> Vec<Event> {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut events = Vec::new();
-    for _ in 0..chance.random_range(2..5) {
-        let from = chance.random_range(FROM..LAST);
-        let to = from + chance.random_range(1.0..LONGEST);
-        let mut during = |begins: Action, ends: Action| {
-            events.push(Event { at_s: from, action: begins });
-            events.push(Event { at_s: to, action: ends });
+    for _ in 0..rng.random_range(2..5) {
+        let from = rng.random_range(FIRST_FAULT_S..LAST_FAULT_S);
+        let to = from + rng.random_range(1.0..MAX_FAULT_S);
+        let mut add_fault = |start: Action, end: Action| {
+            events.push(Event { at_s: from, action: start });
+            events.push(Event { at_s: to, action: end });
         };
-        let zone =
-            |chance: &mut ChaCha8Rng| format!("zone:{}", zones.choose(chance).map_or("a", |zone| zone));
-        let one = format!("n{}", chance.random_range(0..proxies));
-        let words = |from: String, to: String, way| Action::Datagrams { from, to, mode: way };
-        match chance.random_range(0..8) {
+        let zone = |rng: &mut ChaCha8Rng| format!("zone:{}", zones.choose(rng).map_or("a", |zone| zone));
+        let proxy = format!("n{}", rng.random_range(0..proxies));
+        let datagrams = |from: String, to: String, mode| Action::Datagrams { from, to, mode };
+        match rng.random_range(0..8) {
             0 => {
-                let (from, to) = (zone(&mut chance), zone(&mut chance));
-                during(
-                    words(from.clone(), to.clone(), DatagramMode::Cut),
-                    words(from, to, DatagramMode::Pass),
+                let (from, to) = (zone(&mut rng), zone(&mut rng));
+                add_fault(
+                    datagrams(from.clone(), to.clone(), DatagramMode::Cut),
+                    datagrams(from, to, DatagramMode::Pass),
                 );
             }
             1 => {
-                let way = match chance.random_range(0..3) {
+                let mode = match rng.random_range(0..3) {
                     0 => DatagramMode::Drop(0.3),
                     1 => DatagramMode::Duplicate(0.5),
                     _ => DatagramMode::Delay(800.0),
                 };
-                during(words("*".into(), "*".into(), way), words("*".into(), "*".into(), DatagramMode::Pass));
+                add_fault(
+                    datagrams("*".into(), "*".into(), mode),
+                    datagrams("*".into(), "*".into(), DatagramMode::Pass),
+                );
             }
             2 => {
-                // Heard by nobody, and hears all.
+                // One-way loss: no other proxy receives its datagrams, it receives all of theirs.
                 let all = || "*".to_owned();
-                during(words(one.clone(), all(), DatagramMode::Cut), words(one, all(), DatagramMode::Pass));
+                add_fault(
+                    datagrams(proxy.clone(), all(), DatagramMode::Cut),
+                    datagrams(proxy, all(), DatagramMode::Pass),
+                );
             }
-            3 => during(Action::Pause { who: one.clone() }, Action::Resume { who: one }),
-            4 => during(Action::Kill { who: one.clone() }, Action::Start { who: one, afresh: false }),
+            3 => add_fault(Action::Pause { who: proxy.clone() }, Action::Resume { who: proxy }),
+            4 => add_fault(Action::Kill { who: proxy.clone() }, Action::Start { who: proxy, afresh: false }),
             5 => {
                 let origin = || "origin".to_owned();
-                during(
+                add_fault(
                     Action::Node { who: origin(), fault: Fault::Full },
                     Action::Node { who: origin(), fault: Fault::None },
                 );
             }
             6 => {
-                let (from, to) = ("*".to_owned(), zone(&mut chance));
-                let path = |way| Action::Path { from: from.clone(), to: to.clone(), mode: way };
-                during(path(LinkMode::Cut), path(LinkMode::Pass));
+                let (from, to) = ("*".to_owned(), zone(&mut rng));
+                let path = |mode| Action::Path { from: from.clone(), to: to.clone(), mode };
+                add_fault(path(LinkMode::Cut), path(LinkMode::Pass));
             }
             _ => {
-                let (from, to) = (one, zone(&mut chance));
-                let path = |way| Action::Path { from: from.clone(), to: to.clone(), mode: way };
-                during(path(LinkMode::HoldResponses), path(LinkMode::Pass));
+                let (from, to) = (proxy, zone(&mut rng));
+                let path = |mode| Action::Path { from: from.clone(), to: to.clone(), mode };
+                add_fault(path(LinkMode::HoldResponses), path(LinkMode::Pass));
             }
         }
     }
@@ -103,72 +109,74 @@
     events
 }
 
+/// Runs one day on a new fleet.
 pub async fn run_day(
     seed: u64,
-    shape: &FleetSpec,
+    spec: &FleetSpec,
     program: &Path,
     folder: &Path,
 ) -> Result<DayResult, String> {
-    let events = draw_events(seed, &shape.zones, shape.proxies);
-    let plan = Plan { seed, time_s: LAST + LONGEST, fleet: shape.clone(), events };
-    let mut fleet = Fleet::start(shape.clone(), program, folder).await?;
-    let began = Instant::now();
+    let events = draw_events(seed, &spec.zones, spec.proxies);
+    let plan = Plan { seed, time_s: LAST_FAULT_S + MAX_FAULT_S, fleet: spec.clone(), events };
+    let mut fleet = Fleet::start(spec.clone(), program, folder).await?;
+    let started_at = Instant::now();
     fleet.start_clients(seed, Duration::from_secs_f64(plan.time_s));
     for event in &plan.events {
-        sleep_until((began + Duration::from_secs_f64(event.at_s)).into()).await;
-        // One that is killed twice, or paused while it is dead, stays as it is.
+        sleep_until((started_at + Duration::from_secs_f64(event.at_s)).into()).await;
+        // Killing or pausing a proxy that is not running has no effect.
         apply(&mut fleet, &event.action).await?;
     }
-    // Whatever overlapped, all is well from here on.
-    fleet.restore_all(PAUSE_SLACK)?;
+    // Ends all faults, also those that overlapped.
+    fleet.restore_all(RESUME_EXCUSE_MS)?;
     fleet.set_link_mode("*", "*", LinkMode::Pass);
     fleet.set_datagram_mode("*", "*", DatagramMode::Pass);
     fleet.backends.set_fault("origin", Fault::None);
-    let well = Instant::now();
+    let restored_at = Instant::now();
     fleet.join_clients().await;
-    let mut whole_s = None;
-    while whole_s.is_none() && well.elapsed() < WHOLE {
+    let mut converged_after_s = None;
+    while converged_after_s.is_none() && restored_at.elapsed() < CONVERGENCE_TIMEOUT {
         if has_converged(&fleet).await {
-            whole_s = Some(well.elapsed().as_secs_f64());
+            converged_after_s = Some(restored_at.elapsed().as_secs_f64());
         } else {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
-    let mut apart = Vec::new();
-    if whole_s.is_none() {
+    let mut final_statuses = Vec::new();
+    if converged_after_s.is_none() {
         for (n, proxy) in fleet.proxies.iter().enumerate() {
-            let told = fetch_fleet_status(proxy.management)
+            let status = fetch_fleet_status(proxy.management)
                 .await
-                .map_or("no answer".to_owned(), |told| told.to_string());
-            apart.push(format!("n{n} at {}: {told}", proxy.management));
+                .map_or("no answer".to_owned(), |status| status.to_string());
+            final_statuses.push(format!("n{n} at {}: {status}", proxy.management));
         }
     }
-    let seen = fleet.request_log.entries();
+    let requests = fleet.request_log.entries();
     Ok(DayResult {
         seed,
         events: plan.events,
-        requests: seen.len(),
-        served: seen.iter().filter(|seen| seen.status == Some(200)).count(),
+        requests: requests.len(),
+        served: requests.iter().filter(|request| request.status == Some(200)).count(),
         breaches: fleet.breaches(),
-        converged_after_s: whole_s,
-        final_statuses: apart,
+        converged_after_s,
+        final_statuses,
     })
 }
 
-/// What a proxy says that it knows of the fleet.
+/// Requests the fleet status of a proxy.
 pub async fn fetch_fleet_status(at: SocketAddr) -> Option<Value> {
     let called =
-        flintwell_call::send_request(at, Method::GET, "/api/fleet", Default::default(), ANSWERS).await;
+        flintwell_call::send_request(at, Method::GET, "/api/fleet", Default::default(), STATUS_TIMEOUT).await;
     serde_json::from_slice(&called.ok()?.1).ok()
 }
 
-/// Whether each proxy knows all others as there.
+/// Whether each proxy lists all others as alive.
 pub async fn has_converged(fleet: &Fleet) -> bool {
     for proxy in &fleet.proxies {
-        let Some(told) = fetch_fleet_status(proxy.management).await else { return false };
-        let there = |member: &&Value| member["state"] == "alive";
-        let known = told["members"].as_array().map_or(0, |members| members.iter().filter(there).count());
-        if known + 1 != fleet.proxies.len() {
+        let Some(status) = fetch_fleet_status(proxy.management).await else { return false };
+        let is_alive = |member: &&Value| member["state"] == "alive";
+        let alive_count =
+            status["members"].as_array().map_or(0, |members| members.iter().filter(is_alive).count());
+        if alive_count + 1 != fleet.proxies.len() {
             return false;
         }
     }
--- a/crates/flintwell-rig/src/fleet.rs
+++ b/crates/flintwell-rig/src/fleet.rs
@@ -171,7 +171,7 @@
     silenced_watches: Vec<(String, f64, f64)>,
 }
 
-/// A loopback address reserved for this process by its id: a free port that is picked and released could be taken by
+/// A loopback address derived from the id of this process: a free port that is picked and released could be taken by
 /// another process in the meantime.
 fn loopback_addr(port: u16) -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
@@ -432,7 +432,8 @@
         self.excused.push((self.proxies[n].process.name.clone(), from_ms, to_ms));
     }
 
-    /// Records the shutdown of this proxy: it need not accept connections from then until it is started again.
+    /// Records the shutdown of this proxy: from shortly after then until its next start it need not
+    /// accept connections.
     pub fn mark_down(&mut self, n: usize) {
         let (name, now) = (self.proxies[n].process.name.clone(), self.backends.now_ms());
         if !self.shutdowns.iter().any(|(proxy, _, to)| *proxy == name && *to == f64::MAX) {
@@ -444,7 +445,7 @@
     pub fn mark_up(&mut self, n: usize) {
         let (name, now) = (&self.proxies[n].process.name, self.backends.now_ms());
         let open = self.shutdowns.iter_mut().filter(|(proxy, _, to)| proxy == name && *to == f64::MAX);
-        open.for_each(|shutdowns| shutdowns.2 = now);
+        open.for_each(|shutdown| shutdown.2 = now);
     }
 
     /// Opens this many idle connections to this proxy; returns how many succeeded.
@@ -479,7 +480,7 @@
 
     /// All violations of the rules so far.
     pub fn breaches(&self) -> Vec<Breach> {
-        let repeat_rules = [
+        let rules = [
             ("read", RepeatRules { replayable: true, dedup_window_ms: None }),
             ("write", RepeatRules { replayable: false, dedup_window_ms: Some(3_000.0) }),
             ("once", RepeatRules { replayable: false, dedup_window_ms: None }),
@@ -494,7 +495,7 @@
             silenced_watches: &self.silenced_watches,
             push_discovery: settings["discovery"] == "pushed",
             node_specs: &self.backends.node_specs(),
-            repeat_rules: &repeat_rules.map(|(name, repeat_rules)| (name.to_owned(), repeat_rules)).into(),
+            repeat_rules: &rules.map(|(class, rules)| (class.to_owned(), rules)).into(),
             drain_grace_ms: settings["guarantees"]["stop_sending_within"]
                 .as_f64()
                 .map_or(DRAIN_GRACE_MS, |grace| grace * 1e3),
--- a/crates/flintwell-rig/src/main.rs
+++ b/crates/flintwell-rig/src/main.rs
@@ -1,4 +1,4 @@
-//! flintwell-rig: plays a plan of faults on several real processes and judges the rules over all of them.
+//! flintwell-rig: runs fault plans against several real proxy processes and checks the rules over the whole fleet.
 
 use clap::{Parser, Subcommand};
 use flintwell_rig::fleet::{Fleet, FleetSpec};
@@ -10,9 +10,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 #[derive(Parser)]
-#[command(version, about = "Several processes of flintwell on loopback, with faults between them")]
+#[command(version, about = "Runs a fleet of flintwell processes on loopback, with injected faults")]
 struct Arguments {
-    /// The program that each proxy runs
+    /// Path of the proxy program
     #[arg(long, global = true, default_value = "target/release/flintwell")]
     program: PathBuf,
     #[command(subcommand)]
@@ -21,77 +21,87 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Starts a small fleet with light traffic to try things on, until Ctrl-C
+    /// Starts a small fleet with light traffic for experiments, until Ctrl-C
     Try {
+        /// Number of proxies
         #[arg(long, default_value_t = 3)]
         proxies: usize,
     },
-    /// Plays a plan once and prints what happened, second by second
+    /// Runs a plan once and prints the figures of each second
     Run {
+        /// Plan file (TOML)
         plan: PathBuf,
-        /// Another seed than the plan's
+        /// Overrides the seed of the plan
         #[arg(long)]
         seed: Option<u64>,
-        /// Prints one JSON object
+        /// Prints the outcome as one JSON object
         #[arg(long)]
         json: bool,
-        /// A folder for the plan as it was played, one merged timeline and the figures
+        /// Folder for the plan as it was run, the merged timeline and the figures
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Plays again what `run --out` left in a folder, and shows both plays side by side
-    Replay { folder: PathBuf },
-    /// Rolls out many changes, good and bad, each on a fresh fleet, and says how each went
+    /// Runs the plan written by `run --out` again and compares the totals of both runs
+    Replay {
+        /// Folder written by `run --out`
+        folder: PathBuf,
+    },
+    /// Rolls out many good and bad changes, each on a new fleet, and prints the result of each
     Rollouts {
+        /// Number of proxies
         #[arg(long, default_value_t = 24)]
         proxies: usize,
-        /// How many
+        /// Number of runs
         #[arg(long, default_value_t = 40)]
         count: u64,
-        /// The first seed
+        /// First seed
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// One JSON object a line, for each rollout
+        /// File for the results, one JSON object per line
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Plays days of cuts, losses, pauses, kills and faults drawn by their seed, on proxies that speak to one another
+    /// Runs randomized faults (cuts, losses, pauses, kills) on proxies that exchange messages, one run per seed
     Days {
+        /// Number of proxies
         #[arg(long, default_value_t = 9)]
         proxies: usize,
-        /// How many
+        /// Number of runs
         #[arg(long, default_value_t = 100)]
         count: u64,
-        /// The first seed
+        /// First seed
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// One JSON object a line, for each day
+        /// File for the results, one JSON object per line
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Plays days of overlapping faults round a discovery that has too many callers: silences, resets, drains, restarts
+    /// Runs randomized overlapping faults around an overloaded discovery: silences, resets, drains, restarts
     Soak {
+        /// Number of proxies
         #[arg(long, default_value_t = 24)]
         proxies: usize,
-        /// How many
+        /// Number of runs
         #[arg(long, default_value_t = 20)]
         count: u64,
-        /// The first seed
+        /// First seed
         #[arg(long, default_value_t = 0)]
         from: u64,
     },
-    /// Kills the one who rolls out, and members, at random points, and looks whether the fleet is whole afterwards
+    /// Kills the rollout command and members at random times and checks that the members agree afterwards
     Kills {
+        /// Number of proxies
         #[arg(long, default_value_t = 6)]
         proxies: usize,
-        /// Of the one who rolls out
+        /// Number of kills of the rollout command
         #[arg(long, default_value_t = 100)]
         count: usize,
     },
-    /// Plays a plan with many seeds and prints what breaks
+    /// Runs a plan with many seeds and prints the violated rules
     Sweep {
+        /// Plan file (TOML)
         plan: PathBuf,
-        /// How many, from the plan's own on
+        /// Number of seeds, starting with the seed of the plan
         #[arg(long, default_value_t = 10)]
         seeds: u64,
     },
@@ -100,11 +110,11 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
-    let done = match runtime {
-        Ok(runtime) => runtime.block_on(ended_or(run(&arguments))),
+    let result = match runtime {
+        Ok(runtime) => runtime.block_on(run_until_terminated(run(&arguments))),
         Err(error) => Err(error.to_string()),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
@@ -114,21 +124,22 @@
     }
 }
 
-/// Danger: ended by a signal we would leave our processes behind; dropped, a fleet ends them by their ids.
-async fn ended_or(run: impl Future<Output = Result<bool, String>>) -> Result<bool, String> {
-    let mut ends = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
+/// Stops the run on SIGTERM. Without a handler the signal would end this process at once and leave the proxies running;
+/// dropping the run drops its fleet, which kills them by their ids.
+async fn run_until_terminated(run: impl Future<Output = Result<bool, String>>) -> Result<bool, String> {
+    let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
     tokio::select! {
-        done = run => done,
-        _ = ends.recv() => Err("ended by a signal".into()),
+        result = run => result,
+        _ = terminate.recv() => Err("terminated by a signal".into()),
     }
 }
 
-/// Whether all rules were kept.
+/// Runs the command; returns whether all checks passed.
 async fn run(arguments: &Arguments) -> Result<bool, String> {
-    let folder = tempfile::tempdir().map_err(|e| format!("a folder for files: {e}"))?;
+    let folder = tempfile::tempdir().map_err(|e| format!("cannot create a temporary folder: {e}"))?;
     match &arguments.command {
         Command::Try { proxies } => {
-            try_out(*proxies, &arguments.program, folder.path()).await?;
+            run_interactive(*proxies, &arguments.program, folder.path()).await?;
             Ok(true)
         }
         Command::Run { plan, seed, json, out } => {
@@ -141,124 +152,129 @@
             if *json {
                 println!("{}", serde_json::to_string(&outcome).map_err(|e| e.to_string())?);
             } else {
-                shows(&outcome);
+                print_outcome(&outcome);
             }
             Ok(outcome.breaches.is_empty())
         }
-        Command::Replay { folder: left } => {
-            let (plan, before) = record::read_run(left)?;
+        Command::Replay { folder: run_dir } => {
+            let (plan, before) = record::read_run(run_dir)?;
             let outcome = plan.run(&arguments.program, folder.path()).await?;
             println!("{:12} {:>9} {:>9}", "seed", before.seed, outcome.seed);
-            for ((what, then), (_, now)) in record::totals(&before).into_iter().zip(record::totals(&outcome))
+            for ((label, before), (_, after)) in
+                record::totals(&before).into_iter().zip(record::totals(&outcome))
             {
-                println!("{what:12} {then:9} {now:9}");
+                println!("{label:12} {before:9} {after:9}");
             }
             println!("{:12} {:9} {:9}", "breaches", before.breaches.len(), outcome.breaches.len());
-            outcome.breaches.iter().for_each(|one| println!("rule {}: {}", one.rule, one.what));
+            outcome.breaches.iter().for_each(|breach| println!("rule {}: {}", breach.rule, breach.what));
             Ok(outcome.breaches.is_empty())
         }
         Command::Rollouts { proxies, count, from, out } => {
-            let mut shape = FleetSpec { proxies: *proxies, ..FleetSpec::default() };
-            shape.zones = ["a", "b", "c"].map(str::to_owned).into();
-            shape.load.rate = 30.0;
+            let mut spec = FleetSpec { proxies: *proxies, ..FleetSpec::default() };
+            spec.zones = ["a", "b", "c"].map(str::to_owned).into();
+            spec.load.rate = 30.0;
             let mut lines = String::new();
-            let (mut right, mut lost) = (0, 0);
+            let (mut correct, mut lost) = (0, 0);
             for seed in *from..from + count {
-                let below = folder.path().join(seed.to_string());
-                std::fs::create_dir_all(&below).map_err(|e| e.to_string())?;
-                let rolled = rollouts::run_rollout(seed, &shape, &arguments.program, &below).await?;
+                let run_dir = folder.path().join(seed.to_string());
+                std::fs::create_dir_all(&run_dir).map_err(|e| e.to_string())?;
+                let result = rollouts::run_rollout(seed, &spec, &arguments.program, &run_dir).await?;
                 println!(
                     "{:3} {:4} {:34} {:12} {} {:2} of {} in {:5.1} s, harmed {:5.1} s {:5.3}, lost {} {}",
                     seed,
-                    if rolled.good { "good" } else { "bad" },
-                    rolled.change,
-                    format!("{:?}", rolled.concurrent_fault),
-                    if rolled.is_correct() { "right" } else { "WRONG" },
-                    rolled.reached,
-                    rolled.members,
-                    rolled.took_s,
-                    rolled.harmed_s,
-                    rolled.not_served,
-                    rolled.lost,
-                    rolled.why
+                    if result.good { "good" } else { "bad" },
+                    result.change,
+                    format!("{:?}", result.concurrent_fault),
+                    if result.is_correct() { "right" } else { "WRONG" },
+                    result.reached,
+                    result.members,
+                    result.took_s,
+                    result.harmed_s,
+                    result.not_served,
+                    result.lost,
+                    result.why
                 );
-                rolled
+                result
                     .breaches
                     .iter()
                     .take(3)
-                    .for_each(|one| println!("    rule {}: {}", one.rule, one.what));
-                (right, lost) = (right + u64::from(rolled.is_correct()), lost + rolled.lost);
-                lines += &(serde_json::to_string(&rolled).map_err(|e| e.to_string())? + "\n");
+                    .for_each(|breach| println!("    rule {}: {}", breach.rule, breach.what));
+                (correct, lost) = (correct + u64::from(result.is_correct()), lost + result.lost);
+                lines += &(serde_json::to_string(&result).map_err(|e| e.to_string())? + "\n");
             }
-            println!("{right} of {count} right, {lost} requests lost");
+            println!("{correct} of {count} right, {lost} requests lost");
             if let Some(out) = out {
                 std::fs::write(out, lines).map_err(|e| format!("{}: {e}", out.display()))?;
             }
-            Ok(right == *count && lost == 0)
+            Ok(correct == *count && lost == 0)
         }
         Command::Days { proxies, count, from, out } => {
             let zones = ["a", "b", "c"].map(str::to_owned).into();
-            let shape = FleetSpec { proxies: *proxies, zones, peer_messaging: true, ..FleetSpec::default() };
-            let (mut kept, mut lines) = (0, String::new());
+            let spec = FleetSpec { proxies: *proxies, zones, peer_messaging: true, ..FleetSpec::default() };
+            let (mut passed, mut lines) = (0, String::new());
             for seed in *from..from + count {
-                let below = folder.path().join(seed.to_string());
-                let day = days::run_day(seed, &shape, &arguments.program, &below).await?;
-                let whole = day.converged_after_s.map_or("never".into(), |whole| format!("{whole:.1} s"));
-                let (all, well) = (day.requests, day.served);
+                let run_dir = folder.path().join(seed.to_string());
+                let day = days::run_day(seed, &spec, &arguments.program, &run_dir).await?;
+                let converged =
+                    day.converged_after_s.map_or("never".into(), |converged| format!("{converged:.1} s"));
+                let (requests, served) = (day.requests, day.served);
                 println!(
-                    "{seed:4}: {all} requests, {well} served, {} breaches, whole {whole}",
+                    "{seed:4}: {requests} requests, {served} served, {} breaches, whole {converged}",
                     day.breaches.len()
                 );
-                day.breaches.iter().take(3).for_each(|one| println!("    rule {}: {}", one.rule, one.what));
-                kept += u64::from(day.breaches.is_empty() && day.converged_after_s.is_some());
+                day.breaches
+                    .iter()
+                    .take(3)
+                    .for_each(|breach| println!("    rule {}: {}", breach.rule, breach.what));
+                passed += u64::from(day.breaches.is_empty() && day.converged_after_s.is_some());
                 lines += &(serde_json::to_string(&day).map_err(|e| e.to_string())? + "\n");
             }
-            println!("{kept} of {count} with all rules kept and the fleet whole afterwards");
+            println!("{passed} of {count} without violations and with a converged fleet");
             if let Some(out) = out {
                 std::fs::write(out, lines).map_err(|e| format!("{}: {e}", out.display()))?;
             }
-            Ok(kept == *count)
+            Ok(passed == *count)
         }
         Command::Soak { proxies, count, from } => {
-            let mut kept = 0;
+            let mut passed = 0;
             for seed in *from..from + count {
-                let below = folder.path().join(format!("soak-{seed}"));
-                let day = soak::run_day(seed, *proxies, &arguments.program, &below).await?;
+                let run_dir = folder.path().join(format!("soak-{seed}"));
+                let day = soak::run_day(seed, *proxies, &arguments.program, &run_dir).await?;
                 println!(
                     "{seed:4}: {} requests, {} served, {} lapses, lists {:.1} s old, ready in {:.1} s",
                     day.requests, day.served, day.lease_lapses, day.oldest_list_s, day.ready_s
                 );
-                day.violations.iter().take(5).for_each(|one| println!("    {one}"));
+                day.violations.iter().take(5).for_each(|breach| println!("    {breach}"));
                 if !day.violations.is_empty() {
                     println!("    {}", serde_json::to_string(&day.events).map_err(|e| e.to_string())?);
                 }
-                kept += u64::from(day.violations.is_empty());
+                passed += u64::from(day.violations.is_empty());
             }
-            println!("{kept} of {count} with all rules kept");
-            Ok(kept == *count)
+            println!("{passed} of {count} with all rules kept");
+            Ok(passed == *count)
         }
         Command::Kills { proxies, count } => {
-            let mut shape = FleetSpec { proxies: *proxies, ..FleetSpec::default() };
-            shape.zones = ["a", "b"].map(str::to_owned).into();
-            shape.load.rate = 60.0;
-            let killed = rollouts::run_kills(*count, &shape, &arguments.program, folder.path()).await?;
-            println!("{}", serde_json::to_string(&killed).map_err(|e| e.to_string())?);
-            Ok(killed.inconsistent == 0 && killed.lost == 0)
+            let mut spec = FleetSpec { proxies: *proxies, ..FleetSpec::default() };
+            spec.zones = ["a", "b"].map(str::to_owned).into();
+            spec.load.rate = 60.0;
+            let summary = rollouts::run_kills(*count, &spec, &arguments.program, folder.path()).await?;
+            println!("{}", serde_json::to_string(&summary).map_err(|e| e.to_string())?);
+            Ok(summary.inconsistent == 0 && summary.lost == 0)
         }
         Command::Sweep { plan, seeds } => {
-            let first = Plan::read(plan)?;
-            let mut kept = 0;
+            let base = Plan::read(plan)?;
+            let mut passed = 0;
             for n in 0..*seeds {
-                let plan = Plan { seed: first.seed + n, ..first.clone() };
-                let below = folder.path().join(n.to_string());
-                let outcome = plan.run(&arguments.program, &below).await?;
-                kept += u64::from(outcome.breaches.is_empty());
-                let all: usize = outcome.seconds.iter().map(|second| second.requests).sum();
-                let well: usize = outcome.seconds.iter().map(|second| second.served).sum();
-                let fetched: usize = outcome.seconds.iter().map(|second| second.fetches).sum();
+                let plan = Plan { seed: base.seed + n, ..base.clone() };
+                let run_dir = folder.path().join(n.to_string());
+                let outcome = plan.run(&arguments.program, &run_dir).await?;
+                passed += u64::from(outcome.breaches.is_empty());
+                let requests: usize = outcome.seconds.iter().map(|second| second.requests).sum();
+                let served: usize = outcome.seconds.iter().map(|second| second.served).sum();
+                let fetches: usize = outcome.seconds.iter().map(|second| second.fetches).sum();
                 let refused: usize = outcome.seconds.iter().map(|second| second.origin_refused).sum();
                 println!(
-                    "seed {}: {all} requests, {well} served, {refused} refused for {fetched} fetched, {} breaches",
+                    "seed {}: {requests} requests, {served} served, {refused} refused for {fetches} fetched, {} breaches",
                     plan.seed,
                     outcome.breaches.len()
                 );
@@ -268,25 +284,26 @@
                     .take(5)
                     .for_each(|breach| println!("  rule {}: {}", breach.rule, breach.what));
             }
-            println!("{kept} of {seeds} seeds with all rules kept");
-            Ok(kept == *seeds)
+            println!("{passed} of {seeds} seeds with all rules kept");
+            Ok(passed == *seeds)
         }
     }
 }
 
-fn shows(outcome: &Outcome) {
+/// Prints the figures of each second and the violated rules.
+fn print_outcome(outcome: &Outcome) {
     println!("second requests served refused failed unanswered attempts fetches refused-there");
-    for (n, one) in outcome.seconds.iter().enumerate() {
+    for (n, second) in outcome.seconds.iter().enumerate() {
         println!(
             "{n:6} {:8} {:8} {:11} {:10} {:10} {:9} {:7} {:7}",
-            one.requests,
-            one.served,
-            one.refused,
-            one.failed,
-            one.unanswered,
-            one.attempts,
-            one.fetches,
-            one.origin_refused
+            second.requests,
+            second.served,
+            second.refused,
+            second.failed,
+            second.unanswered,
+            second.attempts,
+            second.fetches,
+            second.origin_refused
         );
     }
     for breach in &outcome.breaches {
@@ -299,12 +316,12 @@
     );
 }
 
-/// A fleet to try a rollout on: its members as a plan, and what to type.
-async fn try_out(proxies: usize, program: &Path, folder: &Path) -> Result<(), String> {
-    let mut shape = FleetSpec { proxies, zones: vec!["a".into(), "b".into()], ..FleetSpec::default() };
-    shape.load.rate = 40.0;
-    let fleet_name = shape.fleet_name.clone();
-    let mut fleet = Fleet::start(shape, program, folder).await?;
+/// Starts a fleet, writes a rollout plan for it and prints the commands to start the rollout.
+async fn run_interactive(proxies: usize, program: &Path, folder: &Path) -> Result<(), String> {
+    let mut spec = FleetSpec { proxies, zones: vec!["a".into(), "b".into()], ..FleetSpec::default() };
+    spec.load.rate = 40.0;
+    let fleet_name = spec.fleet_name.clone();
+    let mut fleet = Fleet::start(spec, program, folder).await?;
     let day = Duration::from_secs(86_400);
     fleet.start_clients(1, day);
     let mut plan =
@@ -321,11 +338,11 @@
     write(&file, &plan)?;
     write(&new, r#"{"limits": {"max_hand_offs": 3}}"#)?;
     println!(
-        "{proxies} proxies, {} nodes, light traffic; Ctrl-C ends all",
+        "{proxies} proxies, {} nodes, light traffic; Ctrl-C stops all",
         fleet.backends.node_specs().len()
     );
     for proxy in &fleet.proxies {
-        println!("  {}: clients at {}, staff at {}", proxy.process.name, proxy.listen, proxy.management);
+        println!("  {}: clients at {}, management at {}", proxy.process.name, proxy.listen, proxy.management);
     }
     println!("try:  {} rollout plan {}", program.display(), file.display());
     println!("      {} rollout start {}", program.display(), file.display());
--- a/crates/flintwell-rig/src/soak.rs
+++ b/crates/flintwell-rig/src/soak.rs
@@ -1,8 +1,8 @@
-//! Days of faults that overlap, drawn by their seed, round a discovery that has too many callers: all watches fall silent or
-//! are reset, servers leave and come back cold, one proxy or most are killed, or told to end and killed as early as may be, and
-//! started again after 0.1 to 20 s with the files that they kept or none, clients crowd, the origin has no room. Settings may tell
-//! a larger fleet than there is. Judged by the checker, by the terms on drains, which hold for each proxy whatever became of its
-//! calls, and by what the proxies count themselves.
+//! Randomized tests of overlapping faults around an overloaded discovery, determined by a seed. All watches fall silent or are
+//! reset; nodes leave and return cold; one proxy or most of them are killed, or shut down and killed at the earliest permitted
+//! time, and restarted after 0.1 to 20 s with or without their stored files; idle clients use up descriptors; the origin is
+//! overloaded. The configured fleet size may exceed the real one. A run is judged by the checker, by the drain rule for each
+//! proxy regardless of its discovery calls, and by the proxies' own violation counts.
 
 use crate::fleet::{Fleet, FleetSpec};
 use crate::plan::{Action, Event, apply};
@@ -18,329 +18,355 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, sleep_until};
 
-const ROUND: Duration = Duration::from_secs(5); // in which discovery can take one call from each proxy
-const QUEUE: Duration = Duration::from_secs(1); // the longest that a call waits for its turn; else it is refused
-const FROM: f64 = 2.0; // s; the earliest that something begins
-const LAST: f64 = 12.0; // s; the latest
-const ENDS: f64 = 12.0; // s after the last event, so that what began last counts as told well before
-const RESTART_LEAST: f64 = 0.1; // s; for which a process is gone
-const RESTART_MOST: f64 = 20.0; // s
-const MOST: f64 = 0.7; // of the proxies, where most are restarted
-const KILLED_AFTER: f64 = 0.7; // s; from a planned stop's signal to SIGKILL, beyond the longest deadline
-const STARTING: f64 = 2.0; // s; after a start until its process may be struck again
-const STAGGER: f64 = 1.0; // s; over which a planned stop meets most of the proxies
-const TOLD: f64 = 6_000.0; // ms; from when discovery had a change and could be reached
-const GRACE: f64 = 300.0; // ms; of a drain, as the fleet has it
-const SLACK: f64 = 300.0; // ms; of the rule on sockets, and what a machine busy with many processes adds
-const PAUSE_SLACK: f64 = 500.0; // ms; after a paused process goes on, its clients' requests are still on their way
-const READY: f64 = 10.0; // s; in which nine in ten restarted processes have to be ready
-const LOOK: Duration = Duration::from_millis(50); // between looks whether one is ready
-const ANSWERS: Duration = Duration::from_secs(5); // for a proxy to tell its counts
-const CROWDED_SOCKETS: usize = 256; // descriptors of each proxy where clients crowd
-const LIMITS: [f64; 3] = [0.3, 1.0, 3.0]; // s; the longest deadlines of a day's clients
+const CALL_ROUND: Duration = Duration::from_secs(5); // discovery can process one call of each proxy in this time
+const MAX_CALL_QUEUE_WAIT: Duration = Duration::from_secs(1); // a call that would wait for longer is refused
+const FIRST_FAULT_S: f64 = 2.0; // earliest start of a fault
+const LAST_FAULT_S: f64 = 12.0; // latest start of a fault
+const RUN_AFTER_LAST_EVENT_S: f64 = 12.0; // the last list change counts as known well before the end
+const MIN_RESTART_S: f64 = 0.1; // downtime of a process
+const MAX_RESTART_S: f64 = 20.0;
+const MASS_RESTART_SHARE: f64 = 0.7; // share of the proxies in a mass restart
+const KILL_AFTER_SIGTERM_S: f64 = 0.7; // from SIGTERM to SIGKILL, in addition to the longest deadline
+const START_GRACE_S: f64 = 2.0; // no further kill or shutdown this long after a start
+const MAX_STAGGER_S: f64 = 1.0; // the shutdowns of a mass restart are spread over this time
+const LIST_KNOWN_WITHIN_MS: f64 = 6_000.0; // a list change counts as known this long after discovery had it and was reachable
+const DRAIN_GRACE_MS: f64 = 300.0; // drain grace in the fleet's settings
+const SEND_SLACK_MS: f64 = 300.0; // for sockets, and for a machine busy with many processes
+const RESUME_EXCUSE_MS: f64 = 500.0; // requests that arrived during a pause are still in flight after it
+const READY_WITHIN_S: f64 = 10.0; // 90 % of restarted processes must be ready within this time
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5); // for a proxy's violation counts
+const CROWDED_SOCKET_LIMIT: usize = 256; // descriptor limit of each proxy when idle clients use them up
+const DEADLINES_S: [f64; 3] = [0.3, 1.0, 3.0]; // one is drawn as the deadline of a day's requests
 
-/// What became of a day.
+/// Result of a day.
 #[derive(Debug)]
 pub struct DayResult {
     pub events: Vec<Event>,
     pub requests: usize,
     pub served: usize,
-    /// How often a proxy's list grew too old to act on.
+    /// How often a proxy's lease on the node list lapsed.
     pub lease_lapses: u64,
-    /// How old the oldest list of a proxy is at the day's end, s.
+    /// Age of the oldest node list of a proxy at the end, s.
     pub oldest_list_s: f64,
-    /// The longest that a restarted process took to be ready, s.
+    /// The longest time that a restarted process took to be ready, s.
     pub ready_s: f64,
-    /// Each breach of a rule, in words.
+    /// Descriptions of the violated rules.
     pub violations: Vec<String>,
 }
 
-/// What a proxy tells at `/api/violations`.
+/// The fields used from the response of `/api/violations`.
 #[derive(Deserialize)]
-struct Counts {
+struct ViolationCounts {
     list_lapses: u64,
     violations: BTreeMap<String, u64>,
 }
 
-/// What a proxy tells at `/api/list`, as far as it is looked at.
+/// The fields used from the response of `/api/list`.
 #[derive(Deserialize)]
-struct List {
+struct ListStatus {
     age_s: Option<f64>,
 }
 
-/// What a day is like, beside what goes wrong on it.
-struct Setting {
-    shape: FleetSpec,
+/// The conditions of a day, apart from its faults.
+struct Scenario {
+    spec: FleetSpec,
     crowded: bool,
 }
 
-impl Setting {
-    fn drawn(seed: u64, proxies: usize) -> Self {
-        // Another stream than the events' own.
-        let mut chance = ChaCha8Rng::seed_from_u64(!seed);
+impl Scenario {
+    fn draw(seed: u64, proxies: usize) -> Self {
+        // A random stream separate from that of the events.
+        let mut rng = ChaCha8Rng::seed_from_u64(!seed);
         let zones = ["a", "b"].map(str::to_owned).into();
-        let mut shape = FleetSpec { proxies, zones, ..FleetSpec::default() };
-        shape.configured_fleet_size = [proxies, 300, 900][chance.random_range(0..3)];
-        shape.max_deadline_s = LIMITS[chance.random_range(0..LIMITS.len())];
-        shape.load.classes.iter_mut().for_each(|case| case.limit_s = shape.max_deadline_s);
-        let crowded = chance.random_bool(0.25);
+        let mut spec = FleetSpec { proxies, zones, ..FleetSpec::default() };
+        spec.configured_fleet_size = [proxies, 300, 900][rng.random_range(0..3)];
+        spec.max_deadline_s = DEADLINES_S[rng.random_range(0..DEADLINES_S.len())];
+        spec.load.classes.iter_mut().for_each(|class| class.limit_s = spec.max_deadline_s);
+        let crowded = rng.random_bool(0.25);
         if crowded {
-            shape.sockets = CROWDED_SOCKETS;
+            spec.sockets = CROWDED_SOCKET_LIMIT;
         }
-        Setting { shape, crowded }
+        Scenario { spec, crowded }
     }
 }
 
-/// What goes wrong on a day, drawn.
-struct Events {
-    chance: ChaCha8Rng,
+/// Draws the events of a day.
+struct EventDraw {
+    rng: ChaCha8Rng,
     proxies: usize,
-    /// The longest that clients wait, s.
-    limit: f64,
-    /// Who is gone from when to when.
-    gone: Vec<(String, f64, f64)>,
-    all: Vec<Event>,
+    /// Deadline of the requests, s.
+    max_deadline_s: f64,
+    /// Proxies with the start and end of their planned downtimes, s.
+    downtimes: Vec<(String, f64, f64)>,
+    events: Vec<Event>,
 }
 
-impl Events {
-    fn add(&mut self, at_s: f64, what: Action) {
-        self.all.push(Event { at_s, action: what });
+impl EventDraw {
+    fn add(&mut self, at_s: f64, action: Action) {
+        self.events.push(Event { at_s, action });
     }
 
-    /// One proxy, or most of them.
-    fn some(&mut self) -> Vec<String> {
+    /// Picks one proxy or most of them.
+    fn pick_proxies(&mut self) -> Vec<String> {
         let name = |n| format!("n{n}");
-        if self.chance.random_bool(0.5) {
-            return vec![name(self.chance.random_range(0..self.proxies))];
+        if self.rng.random_bool(0.5) {
+            return vec![name(self.rng.random_range(0..self.proxies))];
         }
-        let most = (self.proxies as f64 * MOST) as usize;
-        rand::seq::index::sample(&mut self.chance, self.proxies, most).into_iter().map(name).collect()
+        let count = (self.proxies as f64 * MASS_RESTART_SHARE) as usize;
+        rand::seq::index::sample(&mut self.rng, self.proxies, count).into_iter().map(name).collect()
     }
 
-    /// Whether a proxy lives in this time; it is gone in it from now on. Danger: the end of one stop would kill what was started
-    /// after another one.
-    fn takes(&mut self, who: &str, from: f64, to: f64) -> bool {
-        let meets = |(gone, begins, ends): &(String, f64, f64)| gone == who && *begins <= to && *ends >= from;
-        let free = !self.gone.iter().any(meets);
-        if free {
-            self.gone.push((who.to_owned(), from, to));
+    /// Reserves a downtime of a proxy; returns false if it overlaps an earlier one. Otherwise the SIGKILL that ends one
+    /// shutdown would hit the process that was started after another.
+    fn reserve_downtime(&mut self, who: &str, from: f64, to: f64) -> bool {
+        let overlaps =
+            |(proxy, begins, ends): &(String, f64, f64)| proxy == who && *begins <= to && *ends >= from;
+        let is_free = !self.downtimes.iter().any(overlaps);
+        if is_free {
+            self.downtimes.push((who.to_owned(), from, to));
         }
-        free
+        is_free
     }
 
-    /// How long processes are gone: as often tenths of a second as many seconds.
-    fn gone_for(&mut self) -> f64 {
-        let logarithm = self.chance.random_range(RESTART_LEAST.ln()..RESTART_MOST.ln());
+    /// Draws a downtime from a log-uniform distribution, so that tenths of a second are as frequent as many seconds.
+    fn draw_downtime(&mut self) -> f64 {
+        let logarithm = self.rng.random_range(MIN_RESTART_S.ln()..MAX_RESTART_S.ln());
         logarithm.exp()
     }
 
-    /// A server leaves, and is back, cold, under its id.
-    fn server_leaves(&mut self, caches: &[String]) {
-        let who = caches[self.chance.random_range(0..caches.len())].clone();
-        let at = self.chance.random_range(FROM..LAST);
-        let back = at + self.chance.random_range(2.0..15.0);
-        let state = if self.chance.random() { NodeState::Draining } else { NodeState::Gone };
+    /// A node leaves the list and returns cold under the same id.
+    fn add_node_restart(&mut self, caches: &[String]) {
+        let who = caches[self.rng.random_range(0..caches.len())].clone();
+        let at = self.rng.random_range(FIRST_FAULT_S..LAST_FAULT_S);
+        let ready_again = at + self.rng.random_range(2.0..15.0);
+        let state = if self.rng.random() { NodeState::Draining } else { NodeState::Gone };
         self.add(at, Action::List { who: who.clone(), state });
-        self.add(back, Action::RestartCold { who });
+        self.add(ready_again, Action::RestartCold { who });
     }
 
-    fn killed(&mut self, at: f64) {
-        let (whom, gone, afresh) = (self.some(), self.gone_for(), self.chance.random());
-        for who in whom {
-            if !self.takes(&who, at, at + gone + STARTING) {
+    /// Kills and restarts proxies.
+    fn add_kill(&mut self, at: f64) {
+        let (names, downtime, afresh) = (self.pick_proxies(), self.draw_downtime(), self.rng.random());
+        for who in names {
+            if !self.reserve_downtime(&who, at, at + downtime + START_GRACE_S) {
                 continue;
             }
             self.add(at, Action::Kill { who: who.clone() });
-            self.add(at + gone, Action::Start { who, afresh });
+            self.add(at + downtime, Action::Start { who, afresh });
         }
     }
 
-    /// A planned stop: signals in series, SIGKILL as early as it may come.
-    fn stopped(&mut self, at: f64) {
-        let (whom, gone, afresh) = (self.some(), self.gone_for(), self.chance.random());
-        let stagger = if whom.len() > 1 { STAGGER } else { 0.0 };
-        for who in whom {
-            let at = at + stagger * self.chance.random::<f64>();
-            let ends = at + self.limit + KILLED_AFTER;
-            if !self.takes(&who, at, ends + gone + STARTING) {
+    /// Shuts down and restarts proxies: repeated signals, then SIGKILL at the earliest permitted time.
+    fn add_shutdown(&mut self, at: f64) {
+        let (names, downtime, afresh) = (self.pick_proxies(), self.draw_downtime(), self.rng.random());
+        let stagger = if names.len() > 1 { MAX_STAGGER_S } else { 0.0 };
+        for who in names {
+            let at = at + stagger * self.rng.random::<f64>();
+            let killed_at = at + self.max_deadline_s + KILL_AFTER_SIGTERM_S;
+            if !self.reserve_downtime(&who, at, killed_at + downtime + START_GRACE_S) {
                 continue;
             }
             self.add(at, Action::Terminate { who: who.clone() });
-            for _ in 0..self.chance.random_range(0..4) {
-                let again = self.chance.random_range(at..ends);
-                let hangs_up = self.chance.random();
+            for _ in 0..self.rng.random_range(0..4) {
+                let signal_at = self.rng.random_range(at..killed_at);
+                let is_reload = self.rng.random();
                 let who = who.clone();
-                self.add(again, if hangs_up { Action::Reload { who } } else { Action::Terminate { who } });
+                self.add(
+                    signal_at,
+                    if is_reload { Action::Reload { who } } else { Action::Terminate { who } },
+                );
             }
-            self.add(ends, Action::End { who: who.clone() });
-            self.add(ends + gone, Action::Start { who, afresh });
+            self.add(killed_at, Action::End { who: who.clone() });
+            self.add(killed_at + downtime, Action::Start { who, afresh });
         }
     }
 
-    fn fault(&mut self) {
-        let at = self.chance.random_range(FROM..LAST);
-        let ends = at + self.chance.random_range(0.2..3.0);
-        let who = format!("n{}", self.chance.random_range(0..self.proxies));
+    /// Adds one fault and its end.
+    fn add_fault(&mut self) {
+        let at = self.rng.random_range(FIRST_FAULT_S..LAST_FAULT_S);
+        let end_at = at + self.rng.random_range(0.2..3.0);
+        let who = format!("n{}", self.rng.random_range(0..self.proxies));
         let all = || "*".to_owned();
-        let discovery = |way| Action::Path { from: all(), to: "discovery".into(), mode: way };
+        let discovery = |mode| Action::Path { from: all(), to: "discovery".into(), mode };
         let origin = |fault| Action::Node { who: "origin".into(), fault };
-        let (begins, over) = match self.chance.random_range(0..9) {
+        let (start, end) = match self.rng.random_range(0..9) {
             0 => (Action::SilenceWatches { who: all() }, None),
             1 => (discovery(LinkMode::Reset), Some(discovery(LinkMode::Pass))),
-            2 | 3 => return self.killed(at),
-            4 | 5 => return self.stopped(at),
+            2 | 3 => return self.add_kill(at),
+            4 | 5 => return self.add_shutdown(at),
             6 => (Action::Pause { who: who.clone() }, Some(Action::Resume { who })),
             7 => (origin(Fault::Full), Some(origin(Fault::None))),
             _ => (discovery(LinkMode::Delay(150.0)), Some(discovery(LinkMode::Pass))),
         };
-        self.add(at, begins);
-        over.into_iter().for_each(|what| self.add(ends, what));
+        self.add(at, start);
+        end.into_iter().for_each(|action| self.add(end_at, action));
     }
 }
 
-/// What goes wrong on this day, by time.
-fn drawn(seed: u64, setting: &Setting, caches: &[String]) -> Vec<Event> {
-    let FleetSpec { proxies, max_deadline_s: outer_limit_s, .. } = setting.shape;
-    let chance = ChaCha8Rng::seed_from_u64(seed);
-    let mut events = Events { chance, proxies, limit: outer_limit_s, gone: Vec::new(), all: Vec::new() };
-    for _ in 0..events.chance.random_range(1..4) {
-        events.server_leaves(caches);
+/// Draws the events of a day, ordered by time.
+fn draw_events(seed: u64, scenario: &Scenario, caches: &[String]) -> Vec<Event> {
+    let FleetSpec { proxies, max_deadline_s, .. } = scenario.spec;
+    let rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut draw = EventDraw { rng, proxies, max_deadline_s, downtimes: Vec::new(), events: Vec::new() };
+    for _ in 0..draw.rng.random_range(1..4) {
+        draw.add_node_restart(caches);
     }
-    for _ in 0..events.chance.random_range(2..6) {
-        events.fault();
+    for _ in 0..draw.rng.random_range(2..6) {
+        draw.add_fault();
     }
-    if setting.crowded {
-        let who = format!("n{}", events.chance.random_range(0..proxies));
-        events.add(FROM, Action::OpenIdleConnections { who, connections: 2 * CROWDED_SOCKETS });
+    if scenario.crowded {
+        let who = format!("n{}", draw.rng.random_range(0..proxies));
+        draw.add(FIRST_FAULT_S, Action::OpenIdleConnections { who, connections: 2 * CROWDED_SOCKET_LIMIT });
     }
-    events.all.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    events.all
+    draw.events.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+    draw.events
 }
 
-/// Plays one day with so many proxies.
+/// Runs one day with this many proxies.
 pub async fn run_day(seed: u64, proxies: usize, program: &Path, folder: &Path) -> Result<DayResult, String> {
-    let setting = Setting::drawn(seed, proxies);
-    let mut fleet = Fleet::start(setting.shape.clone(), program, folder).await?;
-    fleet.backends.limit_call_queue(ROUND / u32::try_from(proxies).unwrap_or(u32::MAX), QUEUE);
-    let began = Instant::now();
-    let events = drawn(seed, &setting, &fleet.matching_nodes("caches"));
-    let last = events.last().map_or(LAST, |event| event.at_s.max(LAST));
-    fleet.start_clients(seed, Duration::from_secs_f64(last + ENDS));
+    let scenario = Scenario::draw(seed, proxies);
+    let mut fleet = Fleet::start(scenario.spec.clone(), program, folder).await?;
+    fleet
+        .backends
+        .limit_call_queue(CALL_ROUND / u32::try_from(proxies).unwrap_or(u32::MAX), MAX_CALL_QUEUE_WAIT);
+    let started_at = Instant::now();
+    let events = draw_events(seed, &scenario, &fleet.matching_nodes("caches"));
+    let last = events.last().map_or(LAST_FAULT_S, |event| event.at_s.max(LAST_FAULT_S));
+    fleet.start_clients(seed, Duration::from_secs_f64(last + RUN_AFTER_LAST_EVENT_S));
     let mut starts = Vec::new();
     for event in &events {
-        sleep_until((began + Duration::from_secs_f64(event.at_s)).into()).await;
+        sleep_until((started_at + Duration::from_secs_f64(event.at_s)).into()).await;
         apply(&mut fleet, &event.action).await?;
         if let Action::Start { who, .. } = &event.action {
-            let struck = began + Duration::from_secs_f64(struck_next(&events, who, event.at_s));
-            let listens = fleet.matching_proxies(who).into_iter().map(|n| fleet.proxies[n].listen);
-            starts.extend(listens.map(|listen| tokio::spawn(ready_after(listen, struck))));
+            let disrupted_at =
+                started_at + Duration::from_secs_f64(next_disruption(&events, who, event.at_s));
+            let addrs = fleet.matching_proxies(who).into_iter().map(|n| fleet.proxies[n].listen);
+            starts.extend(addrs.map(|listen| tokio::spawn(ready_after(listen, disrupted_at))));
         }
     }
-    fleet.restore_all(PAUSE_SLACK)?;
+    fleet.restore_all(RESUME_EXCUSE_MS)?;
     fleet.join_clients().await;
-    let mut broken: Vec<String> =
+    let mut violations: Vec<String> =
         fleet.breaches().iter().map(|breach| format!("rule {}: {}", breach.rule, breach.what)).collect();
-    broken.extend(late(&fleet));
+    violations.extend(late_requests(&fleet));
     let mut ready = Vec::new();
     for start in starts {
         ready.extend(start.await.unwrap_or(Some(f64::MAX)));
     }
-    let in_time = ready.iter().filter(|after| **after <= READY).count();
+    let in_time = ready.iter().filter(|after| **after <= READY_WITHIN_S).count();
     if in_time * 10 < ready.len() * 9 {
-        broken.push(format!("{in_time} of {} restarted processes were ready in {READY} s", ready.len()));
+        violations.push(format!(
+            "{in_time} of {} restarted processes were ready in {READY_WITHIN_S} s",
+            ready.len()
+        ));
     }
-    let (mut lapses, mut list_ages) = (0, Vec::new());
+    let (mut lease_lapses, mut list_ages) = (0, Vec::new());
     for proxy in &fleet.proxies {
         let name = &proxy.process.name;
         let (counts, list) =
-            (asked(proxy.management, "/api/violations"), asked(proxy.management, "/api/list"));
-        let (Some(counts), Some(list)): (Option<Counts>, Option<List>) = (counts.await, list.await) else {
-            broken.push(format!("{name} does not tell its counts"));
+            (fetch(proxy.management, "/api/violations"), fetch(proxy.management, "/api/list"));
+        let (Some(counts), Some(list)): (Option<ViolationCounts>, Option<ListStatus>) =
+            (counts.await, list.await)
+        else {
+            violations.push(format!("{name} did not respond with its violation counts"));
             continue;
         };
-        lapses += counts.list_lapses;
+        lease_lapses += counts.list_lapses;
         let counted = counts.violations.iter().filter(|(_, count)| **count > 0);
-        broken.extend(counted.map(|(rule, count)| format!("{name} counts {count} {rule}")));
+        violations.extend(counted.map(|(rule, count)| format!("{name} counts {count} {rule}")));
         list_ages.extend(list.age_s);
     }
-    let seen = fleet.request_log.entries();
-    let served = seen.iter().filter(|seen| seen.status == Some(200)).count();
+    let requests = fleet.request_log.entries();
+    let served = requests.iter().filter(|request| request.status == Some(200)).count();
     let oldest_list_s = list_ages.into_iter().fold(0.0, f64::max);
     let ready_s = ready.into_iter().fold(0.0, f64::max);
     Ok(DayResult {
         events,
-        requests: seen.len(),
+        requests: requests.len(),
         served,
-        lease_lapses: lapses,
+        lease_lapses,
         oldest_list_s,
         ready_s,
-        violations: broken,
+        violations,
     })
 }
 
-/// What a proxy tells at this path; none if that can't be had.
-async fn asked<T: for<'de> Deserialize<'de>>(staff: SocketAddr, path: &str) -> Option<T> {
+/// Requests JSON from the management API of a proxy; none on any error.
+async fn fetch<T: for<'de> Deserialize<'de>>(management: SocketAddr, path: &str) -> Option<T> {
     let (_, text) =
-        flintwell_call::send_request(staff, Method::GET, path, Default::default(), ANSWERS).await.ok()?;
+        flintwell_call::send_request(management, Method::GET, path, Default::default(), STATUS_TIMEOUT)
+            .await
+            .ok()?;
     serde_json::from_slice(&text).ok()
 }
 
-/// When this proxy is killed, told to end or paused next after `from_s`; far beyond the day's end if it is not.
-fn struck_next(events: &[Event], who: &str, from_s: f64) -> f64 {
-    let strikes = |what: &Action| match what {
-        Action::Kill { who: struck } | Action::Terminate { who: struck } | Action::Pause { who: struck } => {
-            struck == who
+/// When this proxy is killed, shut down or paused next after `from_s`; far beyond the end of the day if never.
+fn next_disruption(events: &[Event], who: &str, from_s: f64) -> f64 {
+    let is_disruption = |action: &Action| match action {
+        Action::Kill { who: target } | Action::Terminate { who: target } | Action::Pause { who: target } => {
+            target == who
         }
         _ => false,
     };
-    let next = events.iter().find(|event| event.at_s > from_s && strikes(&event.action));
-    next.map_or(from_s + 10.0 * RESTART_MOST, |event| event.at_s)
+    let next = events.iter().find(|event| event.at_s > from_s && is_disruption(&event.action));
+    next.map_or(from_s + 10.0 * MAX_RESTART_S, |event| event.at_s)
 }
 
-/// How long a process that was just started took to be ready, s; none if it was struck at `struck` before it was.
-async fn ready_after(listen: SocketAddr, struck: Instant) -> Option<f64> {
-    let began = Instant::now();
-    while Instant::now() < struck && began.elapsed().as_secs_f64() <= READY * 2.0 {
-        let called =
-            flintwell_call::send_request(listen, Method::GET, "/health/ready", Default::default(), ANSWERS)
-                .await;
+/// How long a process that was just started takes to be ready, s; none if it is disrupted at `disrupted_at` before.
+async fn ready_after(listen: SocketAddr, disrupted_at: Instant) -> Option<f64> {
+    let started_at = Instant::now();
+    while Instant::now() < disrupted_at && started_at.elapsed().as_secs_f64() <= READY_WITHIN_S * 2.0 {
+        let called = flintwell_call::send_request(
+            listen,
+            Method::GET,
+            "/health/ready",
+            Default::default(),
+            STATUS_TIMEOUT,
+        )
+        .await;
         if called.is_ok_and(|(status, _)| status == 200) {
-            return Some(began.elapsed().as_secs_f64());
+            return Some(started_at.elapsed().as_secs_f64());
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    (Instant::now() < struck).then(|| began.elapsed().as_secs_f64())
+    (Instant::now() < disrupted_at).then(|| started_at.elapsed().as_secs_f64())
 }
 
-/// Requests that reached a server later than its end counts as told to whoever could reach discovery. Danger: one that is back
-/// has left all the same for a process that was told neither.
-fn late(fleet: &Fleet) -> Vec<String> {
+/// Requests that reached a node after every proxy that could reach discovery must know that it left. A node that returned
+/// still counts as gone for a process that knows neither change.
+fn late_requests(fleet: &Fleet) -> Vec<String> {
     let proxies: HashMap<String, String> =
-        fleet.request_log.entries().into_iter().map(|seen| (seen.id, seen.proxy)).collect();
+        fleet.request_log.entries().into_iter().map(|request| (request.id, request.proxy)).collect();
     let (changes, calls) = (fleet.backends.list_changes(), fleet.backends.discovery_calls());
-    let mut answers: HashMap<&str, Vec<(f64, u64)>> = HashMap::new();
+    let mut responses: HashMap<&str, Vec<(f64, u64)>> = HashMap::new();
     for call in &calls {
-        answers.entry(&call.proxy).or_default().extend(call.answered);
+        responses.entry(&call.proxy).or_default().extend(call.answered);
     }
     let mut late = Vec::new();
-    for took in fleet.backends.node_requests() {
-        let proxy = proxies.get(&took.id).map_or("?", |proxy| proxy);
-        let told = |change: &ListChange| {
-            let answered = answers.get(proxy).into_iter().flatten();
-            change.at_ms + TOLD <= took.at_ms
-                || answered.into_iter().any(|(at, version)| *at <= took.at_ms && *version >= change.version)
+    for request in fleet.backends.node_requests() {
+        let proxy = proxies.get(&request.id).map_or("?", |proxy| proxy);
+        let is_known = |change: &ListChange| {
+            let proxy_responses = responses.get(proxy).into_iter().flatten();
+            change.at_ms + LIST_KNOWN_WITHIN_MS <= request.at_ms
+                || proxy_responses
+                    .into_iter()
+                    .any(|(at, version)| *at <= request.at_ms && *version >= change.version)
         };
-        let mine = || changes.iter().filter(|change| change.node == took.node && change.at_ms < took.at_ms);
-        let back = mine().rfind(|change| change.state == NodeState::Ready && told(change));
-        // The last that counts of it so long ago that its grace is over.
-        let allowed = TOLD + GRACE + SLACK;
-        let leaves =
-            mine().rfind(|change| change.state != NodeState::Ready && took.at_ms - change.at_ms > allowed);
-        let Some(left) = leaves.filter(|left| back.is_none_or(|back| back.at_ms < left.at_ms)) else {
+        let node_changes =
+            || changes.iter().filter(|change| change.node == request.node && change.at_ms < request.at_ms);
+        let ready_again = node_changes().rfind(|change| change.state == NodeState::Ready && is_known(change));
+        // The last departure whose grace has ended.
+        let limit_ms = LIST_KNOWN_WITHIN_MS + DRAIN_GRACE_MS + SEND_SLACK_MS;
+        let excluded = node_changes()
+            .rfind(|change| change.state != NodeState::Ready && request.at_ms - change.at_ms > limit_ms);
+        let Some(change) =
+            excluded.filter(|change| ready_again.is_none_or(|ready| ready.at_ms < change.at_ms))
+        else {
             continue;
         };
-        let since = took.at_ms - left.at_ms;
-        late.push(format!("{proxy} sent {} to {} {since:.0} ms after its end", took.id, took.node));
+        let since = request.at_ms - change.at_ms;
+        late.push(format!("{proxy} sent {} to {} {since:.0} ms after its end", request.id, request.node));
     }
     late
 }
