--- a/crates/flintwell-rig/src/rollouts.rs
+++ b/crates/flintwell-rig/src/rollouts.rs
@@ -120,7 +120,6 @@
     pub concurrent_fault: ConcurrentFault,
     /// Exit code of the rollout command; none if it timed out.
     pub code: Option<i32>,
-    /// Reason of the rollback, or the error of the command.
     pub why: String,
     /// The largest number of members that had the change at once.
     pub reached: usize,
@@ -249,9 +248,8 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KillSummary {
     pub rollouts: usize,
-    /// Kills of the rollout command.
+    /// Kills of the rollout command, and of members.
     pub kills: usize,
-    /// Kills of members.
     pub members: usize,
     /// Rollouts after which members had different or unconfirmed settings.
     #[serde(rename = "torn")]
