--- a/crates/flintwell-rig/src/check/tests.rs
+++ b/crates/flintwell-rig/src/check/tests.rs
@@ -1,46 +1,56 @@
 use super::*;
 
-fn seen(id: &str, case: &str, status: Option<u16>, took_ms: f64) -> Seen {
-    Seen {
+fn client_request(id: &str, class: &str, status: Option<u16>, took_ms: f64) -> ClientRequest {
+    ClientRequest {
         id: id.into(),
         proxy: "n0".into(),
-        case: case.into(),
+        class: class.into(),
         write: false,
         at_ms: 0.0,
         limit_ms: 1_000.0,
         took_ms,
         status,
-        missing: None,
-        stay_away_ms: 0.0,
+        failure: None,
+        retry_after_ms: 0.0,
     }
 }
 
-fn took(id: &str, node: &str, at_ms: f64, did: Did, warmth: f64) -> Took {
+fn node_request(id: &str, node: &str, at_ms: f64, disposition: Disposition, warmth: f64) -> NodeRequest {
     let (id, node) = (id.into(), node.into());
-    Took { at_ms, node, id, key: String::new(), mark: String::new(), write: true, did, warmth }
+    NodeRequest {
+        at_ms,
+        node,
+        id,
+        key: String::new(),
+        idempotency_key: String::new(),
+        write: true,
+        disposition,
+        warmth,
+    }
 }
 
 #[test]
-fn each_rule_is_found_broken_where_it_is_and_only_there() {
-    let seen = [
-        seen("well", "read", Some(200), 900.0),
-        seen("lost", "read", None, 1_500.0),
-        seen("late", "read", Some(503), 1_400.0),
-        seen("twice", "once", Some(502), 10.0),
-        seen("again", "keyed", Some(200), 10.0),
-        seen("told", "once", Some(503), 10.0),
+fn checker_reports_each_violation_under_its_rule_and_no_others() {
+    let client_requests = [
+        client_request("well", "read", Some(200), 900.0),
+        client_request("lost", "read", None, 1_500.0),
+        client_request("late", "read", Some(503), 1_400.0),
+        client_request("twice", "once", Some(502), 10.0),
+        client_request("again", "keyed", Some(200), 10.0),
+        client_request("told", "once", Some(503), 10.0),
     ];
-    let mut all = vec![
-        took("twice", "a", 5.0, Did::Served, 1.0),
-        took("twice", "b", 6.0, Did::Error, 1.0),
-        took("again", "a", 5.0, Did::Served, 1.0),
-        took("again", "b", 6.0, Did::Served, 1.0),
-        took("told", "a", 7.0, Did::Nothing, 1.0),
-        took("drained", "a", 2_000.0, Did::Served, 1.0),
-        took("drained", "a", 4_000.0, Did::Served, 1.0),
+    let mut node_requests = vec![
+        node_request("twice", "a", 5.0, Disposition::Served, 1.0),
+        node_request("twice", "b", 6.0, Disposition::Error, 1.0),
+        node_request("again", "a", 5.0, Disposition::Served, 1.0),
+        node_request("again", "b", 6.0, Disposition::Served, 1.0),
+        node_request("told", "a", 7.0, Disposition::Nothing, 1.0),
+        node_request("drained", "a", 2_000.0, Disposition::Served, 1.0),
+        node_request("drained", "a", 4_000.0, Disposition::Served, 1.0),
     ];
-    all.extend((0..40).map(|n| took("cold", "b", 100.0 + f64::from(n), Did::Missed, 0.2)));
-    let made = |id: &str| Made {
+    node_requests
+        .extend((0..40).map(|n| node_request("cold", "b", 100.0 + f64::from(n), Disposition::Missed, 0.2)));
+    let spec = |id: &str| NodeSpec {
         id: id.into(),
         zone: String::new(),
         kind: "cache".into(),
@@ -52,26 +62,26 @@
         cold_share: 0.2,
         ramp_s: 5.0,
     };
-    let change = |at_ms, state| Change { at_ms, version: at_ms as u64, node: "a".into(), state };
-    let (replayable, keyed) = (|replayable| Repeats { replayable, memory_ms: None }, Some(300.0));
-    let breaches = judge(&Evidence {
-        seen: &seen,
-        took: &all,
-        changes: &[change(1_000.0, State::Draining), change(3_000.0, State::Ready)],
-        calls: &[],
-        hushed: &[],
-        pushed: false,
-        made: &[made("a"), made("b")],
-        repeats: &BTreeMap::from([
+    let list_change = |at_ms, state| ListChange { at_ms, version: at_ms as u64, node: "a".into(), state };
+    let (replayable, keyed) = (|replayable| RepeatRules { replayable, dedup_window_ms: None }, Some(300.0));
+    let breaches = check_rules(&Observations {
+        client_requests: &client_requests,
+        node_requests: &node_requests,
+        list_changes: &[list_change(1_000.0, NodeState::Draining), list_change(3_000.0, NodeState::Ready)],
+        discovery_calls: &[],
+        silenced_watches: &[],
+        push_discovery: false,
+        node_specs: &[spec("a"), spec("b")],
+        repeat_rules: &BTreeMap::from([
             ("read".into(), replayable(true)),
             ("once".into(), replayable(false)),
-            ("keyed".into(), Repeats { replayable: false, memory_ms: keyed }),
+            ("keyed".into(), RepeatRules { replayable: false, dedup_window_ms: keyed }),
         ]),
-        grace_ms: 300.0,
-        fall_s: 1.0,
+        drain_grace_ms: 300.0,
+        cold_overload_window_s: 1.0,
         excused: &[],
-        down: &[],
-        crowded: false,
+        shutdowns: &[],
+        sockets_exhausted: false,
     });
     let found = |rule: u8, what: &str| breaches.iter().any(|one| one.rule == rule && one.what.contains(what));
     assert!(found(1, "lost") && found(1, "late") && found(2, "twice ran") && found(2, "told refused"));
--- a/crates/flintwell-rig/src/fleet.rs
+++ b/crates/flintwell-rig/src/fleet.rs
@@ -1,14 +1,15 @@
-//! Proxies, nodes, discovery and clients put together, with a relay on every path from a proxy and to its staff.
+//! A fleet of proxies with nodes, discovery and clients. Every link from a proxy, and every one to its management API, runs
+//! through a relay.
 
-use crate::check::{Breach, Evidence, Repeats, judge};
-use crate::datagrams::{Box as PostBox, Post};
+use crate::check::{Breach, Observations, RepeatRules, check_rules};
+use crate::datagrams::{DatagramMode, DatagramRelay};
 use crate::process::Process;
-use crate::relay::{Relay, Way};
+use crate::relay::{LinkMode, Relay};
 use flintwell_settings::merge_settings;
-use flintwell_standins::clients::{Book, Case, Clients, Load};
-use flintwell_standins::discovery::View;
+use flintwell_standins::backends::{Backends, NodeSpec};
+use flintwell_standins::clients::{ClassLoad, Clients, Load, RequestLog};
+use flintwell_standins::discovery::NodeAddresses;
 use flintwell_standins::nodes::ORIGIN;
-use flintwell_standins::world::{Made, World};
 use rustix::io::fcntl_dupfd_cloexec;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use serde::{Deserialize, Serialize};
@@ -22,18 +23,19 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-const DISCOVERY: &str = "discovery"; // names the path to it
-const STAFF: &str = "staff"; // names the path from the staff to a proxy's second address
-const DESCRIPTORS: u64 = 131_072; // where the system lets us: hundreds of proxies with some connections to some nodes, both ends ours
-const PROXIES_MOST: usize = 1_024; // far above what one machine carries
-const SEEDS: usize = 3; // proxies that each is told of at its start
-const GRACE: f64 = 300.0; // ms; from a drain's telling until nothing new goes there
-const FALL: f64 = 2.0; // s; within which a cold node falls
+const DISCOVERY: &str = "discovery"; // link target: discovery
+const MANAGEMENT: &str = "staff"; // link target: a proxy's management API, as seen by operators
+const MAX_DESCRIPTORS: u64 = 131_072; // enough for hundreds of proxies, as this process holds both ends of their connections
+const MAX_PROXIES: usize = 1_024; // far above what one machine can run
+const PEER_SEEDS: usize = 3; // addresses of peers in each proxy's configuration
+const DRAIN_GRACE_MS: f64 = 300.0; // from when a drain is known until no new requests are sent to the node
+const COLD_OVERLOAD_WINDOW_S: f64 = 2.0; // a cold node overloaded for this long fails
 
+/// Number and capacity of the cache nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Caches {
-    /// In each zone.
+    /// Cache nodes in each zone.
     pub count: usize,
     pub workers: usize,
     pub queue: usize,
@@ -57,51 +59,58 @@
     }
 }
 
+/// Capacity of the origin.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Origin {
-    /// Fetches at once; what comes beyond is refused.
-    pub room: usize,
+    /// Fetches processed concurrently; further ones are refused.
+    #[serde(rename = "room")]
+    pub max_concurrent_fetches: usize,
     pub time_ms: f64,
     pub connections: usize,
 }
 
 impl Default for Origin {
     fn default() -> Self {
-        Origin { room: 40, time_ms: 60.0, connections: 2_048 }
+        Origin { max_concurrent_fetches: 40, time_ms: 60.0, connections: 2_048 }
     }
 }
 
-/// What a fleet is made of.
+/// Size, load and settings of a fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Shape {
+pub struct FleetSpec {
     pub proxies: usize,
     pub zones: Vec<String>,
     pub caches: Caches,
     pub origin: Origin,
     pub load: Load,
-    /// Laid over the proxies' settings.
+    /// Overrides of the proxies' settings.
     pub settings: Value,
-    pub fleet: String,
-    /// Proxies may speak to one another.
-    pub words: bool,
-    /// How long discovery takes for a call, ms; it works through calls in turn.
-    pub call_ms: f64,
-    /// How many proxies the settings tell; as many as there are, if 0.
-    pub told_proxies: usize,
-    /// The longest that clients wait for an answer, s.
-    pub outer_limit_s: f64,
-    /// Descriptors that each proxy may hold.
+    #[serde(rename = "fleet")]
+    pub fleet_name: String,
+    /// Enables messages between proxies.
+    #[serde(rename = "words")]
+    pub peer_messaging: bool,
+    /// Processing time of a discovery call, ms; calls are processed one at a time.
+    #[serde(rename = "call_ms")]
+    pub discovery_call_ms: f64,
+    /// The fleet size in the settings; the number of proxies if that is larger.
+    #[serde(rename = "told_proxies")]
+    pub configured_fleet_size: usize,
+    /// The longest deadline, s.
+    #[serde(rename = "outer_limit_s")]
+    pub max_deadline_s: f64,
+    /// Limit of descriptors of each proxy.
     pub sockets: usize,
-    /// Each proxy runs under a supervisor, which the staff speaks to in its place.
+    /// Runs each proxy under a supervisor, whose control address takes the place of the management API.
     pub supervised: bool,
 }
 
-impl Default for Shape {
+impl Default for FleetSpec {
     fn default() -> Self {
-        let case = |name: &str, share, write| Case { name: name.into(), share, write, limit_s: 1.0 };
-        Shape {
+        let class = |name: &str, share, write| ClassLoad { name: name.into(), share, write, limit_s: 1.0 };
+        FleetSpec {
             proxies: 3,
             zones: vec!["a".into()],
             caches: Caches::default(),
@@ -109,109 +118,118 @@
             load: Load {
                 rate: 20.0,
                 keys: 200,
-                skew: 0.8,
-                new_keys: 0.05,
-                again: 0,
-                cases: vec![case("read", 0.9, false), case("write", 0.08, true), case("once", 0.02, true)],
+                zipf_exponent: 0.8,
+                new_key_share: 0.05,
+                max_retries: 0,
+                classes: vec![
+                    class("read", 0.9, false),
+                    class("write", 0.08, true),
+                    class("once", 0.02, true),
+                ],
             },
             settings: json!({}),
-            fleet: "rig".into(),
-            words: false,
-            call_ms: 0.0,
-            told_proxies: 0,
-            outer_limit_s: 1.0,
+            fleet_name: "rig".into(),
+            peer_messaging: false,
+            discovery_call_ms: 0.0,
+            configured_fleet_size: 0,
+            max_deadline_s: 1.0,
             sockets: 1_024,
             supervised: false,
         }
     }
 }
 
+/// A proxy of the fleet and its addresses.
 pub struct Proxy {
     pub process: Process,
     pub zone: String,
     pub listen: SocketAddr,
-    /// Where the staff reaches it: a path of its own.
-    pub staff: SocketAddr,
-    pub state: PathBuf,
-    /// Where it speaks to other proxies.
-    words: SocketAddr,
+    /// Relay address of the management API, or of the supervisor's control address.
+    pub management: SocketAddr,
+    pub state_dir: PathBuf,
+    /// Address for messages between proxies.
+    peering_addr: SocketAddr,
 }
 
+/// A running fleet.
 pub struct Fleet {
-    pub world: World,
-    pub book: Book,
+    pub backends: Backends,
+    pub request_log: RequestLog,
     pub proxies: Vec<Proxy>,
-    shape: Shape,
+    spec: FleetSpec,
     paths: BTreeMap<(usize, String), Relay>,
-    /// Before each proxy's address for words.
-    boxes: Vec<PostBox>,
-    coming: Vec<JoinHandle<()>>,
+    /// In front of each proxy's address for messages between proxies.
+    datagram_relays: Vec<DatagramRelay>,
+    clients: Vec<JoinHandle<()>>,
+    /// Proxies and times (ms) in which lost requests are excused.
     excused: Vec<(String, f64, f64)>,
-    /// When a proxy was told to end, and when a process of its own took clients again.
-    down: Vec<(String, f64, f64)>,
-    /// Connections that say nothing, held open to the day's end.
-    crowd: Vec<TcpStream>,
-    /// When a proxy's open watch fell silent, and until when a call of before may still reach discovery.
-    hushed: Vec<(String, f64, f64)>,
+    /// Proxies with the time of SIGTERM and the time when they accepted clients again.
+    shutdowns: Vec<(String, f64, f64)>,
+    /// Idle client connections, held open until the end of the run.
+    idle_connections: Vec<TcpStream>,
+    /// Proxies whose open watches were silenced, when, and until when an earlier call may still reach discovery.
+    silenced_watches: Vec<(String, f64, f64)>,
 }
 
-/// An address of this process's own on loopback: a port picked and left again may be another's meanwhile.
-fn own(port: u16) -> SocketAddr {
+/// A loopback address derived from the id of this process: a free port that is picked and released could be taken by
+/// another process in the meantime.
+fn loopback_addr(port: u16) -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let (process, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let high = 128 + (process >> 8 & 63) as u8;
     SocketAddr::from(([127, high, process as u8, (number % 250) as u8 + 1], port + number / 250))
 }
 
-/// Room for descriptors, at once. Danger: the kernel grows a table of descriptors that threads share only after all cores
-/// have passed a quiet state (`synchronize_rcu` in `expand_files`), and whoever opens one meanwhile waits: on a busy
-/// machine a second, in which none of our nodes answered, and requests in hand looked late.
-fn makes_room() {
+/// Grows the descriptor table once at start. The kernel grows a table shared by threads only after an RCU grace period
+/// (`synchronize_rcu` in `expand_files`), and threads that open a descriptor meanwhile wait. On a busy machine that took
+/// a second in which no stand-in node answered, so that requests in flight appeared late.
+fn reserve_descriptors() {
     let limit = getrlimit(Resource::Nofile);
-    let most = limit.maximum.map_or(DESCRIPTORS, |most| most.min(DESCRIPTORS));
-    // Where that is barred, it grows as it did.
-    let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(most), ..limit });
-    let _ = fcntl_dupfd_cloexec(std::io::stderr(), most as i32 - 1);
+    let max_descriptors = limit.maximum.map_or(MAX_DESCRIPTORS, |maximum| maximum.min(MAX_DESCRIPTORS));
+    // If the limit can't be raised, the table grows on demand.
+    let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(max_descriptors), ..limit });
+    let _ = fcntl_dupfd_cloexec(std::io::stderr(), max_descriptors as i32 - 1);
 }
 
-fn settings(shape: &Shape, n: usize) -> Value {
-    let case = |name: &str, effect: &str| {
+/// The settings of proxy `n`.
+fn settings(spec: &FleetSpec, n: usize) -> Value {
+    let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "all", "key_ttl": 3.0, "goal_time": 0.5,
-            "overdue_earnings": 0.0, "outer_limit": shape.outer_limit_s})
+            "overdue_earnings": 0.0, "outer_limit": spec.max_deadline_s})
     };
-    let told = shape.told_proxies.max(shape.proxies);
-    let own = json!({"index": n * (told / shape.proxies), "fleet_size": told, "locality": n % shape.zones.len(),
-        "discovery": "on_request", "weights": "off", "zones": shape.zones, "flavors": ["cache", ORIGIN],
+    let fleet_size = spec.configured_fleet_size.max(spec.proxies);
+    let base = json!({"index": n * (fleet_size / spec.proxies), "fleet_size": fleet_size, "locality": n % spec.zones.len(),
+        "discovery": "on_request", "weights": "off", "zones": spec.zones, "flavors": ["cache", ORIGIN],
         "realms": [], "specifics": {"mode": "aside", "origin_kind": 1},
         "limits": {"max_hand_offs": 4, "dial_timeout": 0.25, "keepalive": 10.0, "retry_after": true,
             "max_retry_after": 1.5},
-        "guarantees": {"ask_within": 10.0, "stop_sending_within": GRACE / 1e3, "start_capacity": shape.caches.cold_share,
-            "ramp_time": shape.caches.ramp_s, "fall": FALL},
-        "use_cases": [case("read", "safe"), case("write", "keyed"), case("once", "unsafe")]});
-    merge_settings(own, shape.settings.clone())
+        "guarantees": {"ask_within": 10.0, "stop_sending_within": DRAIN_GRACE_MS / 1e3, "start_capacity": spec.caches.cold_share,
+            "ramp_time": spec.caches.ramp_s, "fall": COLD_OVERLOAD_WINDOW_S},
+        "use_cases": [class("read", "safe"), class("write", "keyed"), class("once", "unsafe")]});
+    merge_settings(base, spec.settings.clone())
 }
 
 impl Fleet {
-    /// Everything but the clients. `program` runs at each proxy; `folder` takes their files.
-    pub async fn start(shape: Shape, program: &Path, folder: &Path) -> Result<Self, String> {
+    /// Starts everything except the clients. Each proxy runs `program`, with its files in `folder`.
+    pub async fn start(spec: FleetSpec, program: &Path, folder: &Path) -> Result<Self, String> {
         if !program.is_file() {
             return Err(format!("{}: no such program; build it first", program.display()));
         }
-        if shape.proxies == 0 || shape.proxies > PROXIES_MOST || shape.zones.is_empty() {
-            return Err(format!("a fleet has 1 to {PROXIES_MOST} proxies and at least one zone"));
+        if spec.proxies == 0 || spec.proxies > MAX_PROXIES || spec.zones.is_empty() {
+            return Err(format!("a fleet has 1 to {MAX_PROXIES} proxies and at least one zone"));
         }
-        makes_room();
-        let world = World::new();
-        world.takes_calls(Duration::from_secs_f64(shape.call_ms.max(0.0) / 1e3));
-        let failed = |error: std::io::Error| format!("a stand-in: {error}");
+        reserve_descriptors();
+        let backends = Backends::new();
+        backends.set_call_time(Duration::from_secs_f64(spec.discovery_call_ms.max(0.0) / 1e3));
+        let start_error = |error: std::io::Error| format!("cannot start a stand-in: {error}");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut made = Vec::new();
-        for (z, zone) in shape.zones.iter().enumerate() {
-            for n in 0..shape.caches.count {
-                let Caches { workers, queue, time_ms, connections, cold_share, ramp_s, .. } = shape.caches;
+        let mut node_specs = Vec::new();
+        for (z, zone) in spec.zones.iter().enumerate() {
+            for n in 0..spec.caches.count {
+                let Caches { workers, queue, time_ms, connections, cold_share, ramp_s, .. } = spec.caches;
                 let (id, kind) = (format!("cache-{zone}{n}"), "cache".into());
                 let (zone, cell) = (zone.clone(), z as u32);
-                made.push(Made {
+                node_specs.push(NodeSpec {
                     id,
                     zone,
                     kind,
@@ -225,13 +243,13 @@
                 });
             }
         }
-        let Origin { room, time_ms, connections } = shape.origin;
-        made.push(Made {
+        let Origin { max_concurrent_fetches, time_ms, connections } = spec.origin;
+        node_specs.push(NodeSpec {
             id: ORIGIN.into(),
-            zone: shape.zones[0].clone(),
+            zone: spec.zones[0].clone(),
             kind: ORIGIN.into(),
             cell: 0,
-            workers: room,
+            workers: max_concurrent_fetches,
             queue: 0,
             time_ms,
             connections,
@@ -239,221 +257,252 @@
             ramp_s: 0.0,
         });
         let mut nodes = Vec::new();
-        for (n, made) in made.into_iter().enumerate() {
-            let id = made.id.clone();
-            nodes.push((id, world.serves(made, any, n as u64).await.map_err(failed)?));
+        for (n, node_spec) in node_specs.into_iter().enumerate() {
+            let id = node_spec.id.clone();
+            nodes.push((id, backends.serve_node(node_spec, any, n as u64).await.map_err(start_error)?));
         }
         let (mut paths, mut proxies) = (BTreeMap::new(), Vec::new());
-        let (mut boxes, mut words) = (Vec::new(), Vec::new());
-        for n in 0..shape.proxies {
-            words.push(own(7_000));
-            boxes.push(PostBox::start(words[n], n as u64).await.map_err(failed)?);
+        let (mut datagram_relays, mut peering_addrs) = (Vec::new(), Vec::new());
+        for n in 0..spec.proxies {
+            peering_addrs.push(loopback_addr(7_000));
+            datagram_relays
+                .push(DatagramRelay::start(peering_addrs[n], n as u64).await.map_err(start_error)?);
         }
-        let peers: Vec<SocketAddr> = boxes.iter().take(SEEDS).map(|one| one.addr).collect();
+        let seed_peers: Vec<SocketAddr> =
+            datagram_relays.iter().take(PEER_SEEDS).map(|one| one.addr).collect();
         let key = folder.join("key");
-        std::fs::create_dir_all(folder).map_err(failed)?;
-        std::fs::write(&key, "a key of the rig's own").map_err(failed)?;
-        for n in 0..shape.proxies {
-            let (name, mut view) = (format!("n{n}"), View::new());
+        std::fs::create_dir_all(folder).map_err(start_error)?;
+        std::fs::write(&key, "a key of the rig's own").map_err(start_error)?;
+        for n in 0..spec.proxies {
+            let (name, mut addresses) = (format!("n{n}"), NodeAddresses::new());
             for (id, addr) in &nodes {
-                let relay = Relay::start(*addr).await.map_err(failed)?;
-                view.insert(id.clone(), relay.addr);
+                let relay = Relay::start(*addr).await.map_err(start_error)?;
+                addresses.insert(id.clone(), relay.addr);
                 paths.insert((n, id.clone()), relay);
             }
-            let known = world.list(&view);
-            let told = world.discovers(any, view, &name).await.map_err(failed)?;
-            let discovery = Relay::start(told).await.map_err(failed)?;
-            let (listen, management) = (own(8_000), own(9_600));
-            let home = folder.join(&name);
-            let state = home.join("state");
+            let initial_list = backends.list(&addresses);
+            let discovery_addr =
+                backends.serve_discovery(any, addresses, &name).await.map_err(start_error)?;
+            let discovery = Relay::start(discovery_addr).await.map_err(start_error)?;
+            let (listen, management) = (loopback_addr(8_000), loopback_addr(9_600));
+            let proxy_dir = folder.join(&name);
+            let state = proxy_dir.join("state");
             let mut config = json!({"name": name, "listen": listen, "mgmt": management, "discovery": discovery.addr,
                 "seed": format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(n as u64 + 1)),
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": shape.sockets}, "known": known,
-                "rollout": {"fleet": shape.fleet, "state": state}, "settings": settings(&shape, n)});
-            if shape.words {
-                config["words"] = json!({"cluster": shape.fleet, "listen": words[n], "advertise": boxes[n].addr,
-                    "peers": peers, "key_file": key});
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": spec.sockets}, "known": initial_list,
+                "rollout": {"fleet": spec.fleet_name, "state": state}, "settings": settings(&spec, n)});
+            if spec.peer_messaging {
+                config["words"] = json!({"cluster": spec.fleet_name, "listen": peering_addrs[n], "advertise": datagram_relays[n].addr,
+                    "peers": seed_peers, "key_file": key});
             }
             paths.insert((n, DISCOVERY.into()), discovery);
             let write = |file: &str, text: String| -> Result<String, String> {
-                let file = home.join(file);
-                let written = std::fs::create_dir_all(&home).and_then(|()| std::fs::write(&file, text));
+                let file = proxy_dir.join(file);
+                let written = std::fs::create_dir_all(&proxy_dir).and_then(|()| std::fs::write(&file, text));
                 written.map_err(|error| format!("{}: {error}", file.display()))?;
                 Ok(file.display().to_string())
             };
-            let told = write("config.json", config.to_string())?;
-            let (process, staff) = if shape.supervised {
-                let (control, other) = (own(9_500), own(9_600));
+            let config_file = write("config.json", config.to_string())?;
+            let (process, management_addr) = if spec.supervised {
+                let (control, second_management) = (loopback_addr(9_500), loopback_addr(9_600));
                 let text = format!(
                     "name = {name:?}\nfleet = {:?}\nstate = {:?}\nlisten = \"{listen}\"\ncontrol = \"{control}\"\n\
-                     management = [\"{management}\", \"{other}\"]\nprogram = {program:?}\nconfig = {told:?}\n",
-                    shape.fleet,
-                    home.join("supervised"),
+                     management = [\"{management}\", \"{second_management}\"]\nprogram = {program:?}\nconfig = {config_file:?}\n",
+                    spec.fleet_name,
+                    proxy_dir.join("supervised"),
                 );
                 let file = write("supervise.toml", text)?;
-                (Process::start(&name, program, &["supervise", "--config", &file], &home)?, control)
+                (Process::start(&name, program, &["supervise", "--config", &file], &proxy_dir)?, control)
             } else {
-                (Process::start(&name, program, &["serve", "--config", &told], &home)?, management)
+                (
+                    Process::start(&name, program, &["serve", "--config", &config_file], &proxy_dir)?,
+                    management,
+                )
             };
-            let staff = Relay::start(staff).await.map_err(failed)?;
-            let zone = shape.zones[n % shape.zones.len()].clone();
-            proxies.push(Proxy { process, zone, listen, staff: staff.addr, state, words: words[n] });
-            paths.insert((n, STAFF.into()), staff);
+            let management_relay = Relay::start(management_addr).await.map_err(start_error)?;
+            let zone = spec.zones[n % spec.zones.len()].clone();
+            proxies.push(Proxy {
+                process,
+                zone,
+                listen,
+                management: management_relay.addr,
+                state_dir: state,
+                peering_addr: peering_addrs[n],
+            });
+            paths.insert((n, MANAGEMENT.into()), management_relay);
         }
         Ok(Fleet {
-            world,
-            book: Book::default(),
+            backends,
+            request_log: RequestLog::default(),
             proxies,
-            shape,
+            spec,
             paths,
-            boxes,
-            coming: Vec::new(),
+            datagram_relays,
+            clients: Vec::new(),
             excused: Vec::new(),
-            down: Vec::new(),
-            crowd: Vec::new(),
-            hushed: Vec::new(),
+            shutdowns: Vec::new(),
+            idle_connections: Vec::new(),
+            silenced_watches: Vec::new(),
         })
     }
 
-    /// Clients come to each proxy for so long.
-    pub fn comes(&mut self, seed: u64, time: Duration) {
-        let (until, load) = (Instant::now() + time, Arc::new(self.shape.load.clone()));
+    /// Starts clients at each proxy for this time.
+    pub fn start_clients(&mut self, seed: u64, time: Duration) {
+        let (until, load) = (Instant::now() + time, Arc::new(self.spec.load.clone()));
         for (n, proxy) in self.proxies.iter().enumerate() {
-            let (name, began) = (&proxy.process.name, self.world.began());
-            let clients = Clients::new(name, proxy.listen, began, load.clone(), self.book.clone());
-            self.coming
+            let (name, began) = (&proxy.process.name, self.backends.started_at());
+            let clients = Clients::new(name, proxy.listen, began, load.clone(), self.request_log.clone());
+            self.clients
                 .push(tokio::spawn(clients.run(seed.wrapping_mul(1_000_003).wrapping_add(n as u64), until)));
         }
     }
 
-    /// Waits until all clients have gone.
-    pub async fn gone(&mut self) {
-        for clients in std::mem::take(&mut self.coming) {
+    /// Waits for all clients to finish.
+    pub async fn join_clients(&mut self) {
+        for clients in std::mem::take(&mut self.clients) {
             let _ = clients.await;
         }
     }
 
-    /// The numbers of the proxies that this names: `*`, a name, or `zone:NAME`.
-    pub fn named(&self, who: &str) -> Vec<usize> {
+    /// The indexes of the proxies that match `*`, a name or `zone:NAME`.
+    pub fn matching_proxies(&self, who: &str) -> Vec<usize> {
         let zone = who.strip_prefix("zone:");
-        let fits = |proxy: &Proxy| who == "*" || proxy.process.name == who || zone == Some(&*proxy.zone);
-        (0..self.proxies.len()).filter(|&n| fits(&self.proxies[n])).collect()
+        let matches = |proxy: &Proxy| who == "*" || proxy.process.name == who || zone == Some(&*proxy.zone);
+        (0..self.proxies.len()).filter(|&n| matches(&self.proxies[n])).collect()
     }
 
-    /// The nodes that this names: `caches`, an id, or `zone:NAME`.
-    pub fn nodes_named(&self, who: &str) -> Vec<String> {
+    /// The ids of the nodes that match `caches`, an id or `zone:NAME`; the latter matches caches only.
+    pub fn matching_nodes(&self, who: &str) -> Vec<String> {
         let zone = who.strip_prefix("zone:");
-        let fits = |made: &Made| {
-            let cache = made.kind != ORIGIN;
-            made.id == who || cache && (who == "caches" || zone == Some(&*made.zone))
+        let matches = |node_spec: &NodeSpec| {
+            let cache = node_spec.kind != ORIGIN;
+            node_spec.id == who || cache && (who == "caches" || zone == Some(&*node_spec.zone))
         };
-        self.world.made().iter().filter(|made| fits(made)).map(|made| made.id.clone()).collect()
+        self.backends
+            .node_specs()
+            .iter()
+            .filter(|node_spec| matches(node_spec))
+            .map(|node_spec| node_spec.id.clone())
+            .collect()
     }
 
-    /// Sets the paths from these proxies to these ends; how many those are.
-    pub fn way(&self, from: &str, to: &str, way: Way) -> usize {
-        let ends = match to {
-            DISCOVERY | STAFF => vec![to.to_owned()],
-            "*" => self.world.made().into_iter().map(|made| made.id).chain([DISCOVERY.into()]).collect(),
-            nodes => self.nodes_named(nodes),
+    /// Sets the mode of the links from matching proxies to discovery, the management API (`staff`), matching nodes, or all
+    /// nodes and discovery (`*`). Returns the number of links.
+    pub fn set_link_mode(&self, from: &str, to: &str, mode: LinkMode) -> usize {
+        let targets = match to {
+            DISCOVERY | MANAGEMENT => vec![to.to_owned()],
+            "*" => self
+                .backends
+                .node_specs()
+                .into_iter()
+                .map(|node_spec| node_spec.id)
+                .chain([DISCOVERY.into()])
+                .collect(),
+            nodes => self.matching_nodes(nodes),
         };
-        let chosen = self.named(from).into_iter().flat_map(|n| ends.iter().map(move |end| (n, end.clone())));
-        chosen.filter_map(|path| self.paths.get(&path)).map(|relay| relay.set(way)).count()
+        let chosen = self
+            .matching_proxies(from)
+            .into_iter()
+            .flat_map(|n| targets.iter().map(move |end| (n, end.clone())));
+        chosen.filter_map(|path| self.paths.get(&path)).map(|relay| relay.set_mode(mode)).count()
     }
 
-    /// Sets what becomes of datagrams from these proxies to those; how many pairs those are.
-    pub fn words(&self, from: &str, to: &str, way: Post) -> usize {
-        let (from, to) = (self.named(from), self.named(to));
+    /// Sets the mode of datagrams between matching proxies; returns the number of pairs.
+    pub fn set_datagram_mode(&self, from: &str, to: &str, mode: DatagramMode) -> usize {
+        let (from, to) = (self.matching_proxies(from), self.matching_proxies(to));
         let pairs = from.iter().flat_map(|&from| to.iter().map(move |&to| (from, to)));
-        pairs.map(|(from, to)| self.boxes[to].set(self.proxies[from].words, way)).count()
+        pairs
+            .map(|(from, to)| self.datagram_relays[to].set_mode(self.proxies[from].peering_addr, mode))
+            .count()
     }
 
-    /// What these proxies have open to discovery says nothing more; new connections do.
-    pub fn hushes(&mut self, who: &str) -> usize {
-        let (now, proxies) = (self.world.now_ms(), self.named(who));
+    /// Silences the open connections of these proxies to discovery; new connections work. Returns the number of proxies.
+    pub fn silence_watches(&mut self, who: &str) -> usize {
+        let (now, proxies) = (self.backends.now_ms(), self.matching_proxies(who));
         for &n in &proxies {
             let Some(path) = self.paths.get(&(n, DISCOVERY.into())) else { continue };
-            path.hushes();
-            self.hushed.push((self.proxies[n].process.name.clone(), now, now + path.delay_ms()));
+            path.silence_open();
+            self.silenced_watches.push((self.proxies[n].process.name.clone(), now, now + path.delay_ms()));
         }
         proxies.len()
     }
 
-    /// Requests at this proxy between these times may be lost: we did that.
-    pub fn excuses(&mut self, n: usize, from_ms: f64, to_ms: f64) {
+    /// Excuses lost requests at this proxy between these times, because of an injected fault.
+    pub fn excuse(&mut self, n: usize, from_ms: f64, to_ms: f64) {
         self.excused.push((self.proxies[n].process.name.clone(), from_ms, to_ms));
     }
 
-    /// This proxy is told to end: new connections are not owed to anybody from some time on, until it is started again.
-    pub fn goes_down(&mut self, n: usize) {
-        let (name, now) = (self.proxies[n].process.name.clone(), self.world.now_ms());
-        if !self.down.iter().any(|(proxy, _, to)| *proxy == name && *to == f64::MAX) {
-            self.down.push((name, now, f64::MAX));
+    /// Records the shutdown of this proxy: from shortly after then until its next start it need not
+    /// accept connections.
+    pub fn mark_down(&mut self, n: usize) {
+        let (name, now) = (self.proxies[n].process.name.clone(), self.backends.now_ms());
+        if !self.shutdowns.iter().any(|(proxy, _, to)| *proxy == name && *to == f64::MAX) {
+            self.shutdowns.push((name, now, f64::MAX));
         }
     }
 
-    /// It takes clients again.
-    pub fn comes_up(&mut self, n: usize) {
-        let (name, now) = (&self.proxies[n].process.name, self.world.now_ms());
-        let open = self.down.iter_mut().filter(|(proxy, _, to)| proxy == name && *to == f64::MAX);
-        open.for_each(|down| down.2 = now);
+    /// Records that this proxy accepts clients again.
+    pub fn mark_up(&mut self, n: usize) {
+        let (name, now) = (&self.proxies[n].process.name, self.backends.now_ms());
+        let open = self.shutdowns.iter_mut().filter(|(proxy, _, to)| proxy == name && *to == f64::MAX);
+        open.for_each(|shutdown| shutdown.2 = now);
     }
 
-    /// So many clients connect to this proxy, say nothing and stay; how many came in.
-    pub async fn crowds(&mut self, n: usize, connections: usize) -> usize {
-        let before = self.crowd.len();
+    /// Opens this many idle connections to this proxy; returns how many succeeded.
+    pub async fn open_idle_connections(&mut self, n: usize, connections: usize) -> usize {
+        let before = self.idle_connections.len();
         for _ in 0..connections {
-            self.crowd.extend(TcpStream::connect(self.proxies[n].listen).await);
+            self.idle_connections.extend(TcpStream::connect(self.proxies[n].listen).await);
         }
-        self.crowd.len() - before
+        self.idle_connections.len() - before
     }
 
-    /// What was excused at this proxy without an end ends then.
-    pub fn excused_until(&mut self, n: usize, until_ms: f64) {
+    /// Ends an open-ended excuse of this proxy at this time.
+    pub fn end_excuse(&mut self, n: usize, until_ms: f64) {
         let name = &self.proxies[n].process.name;
         let open = self.excused.iter_mut().filter(|(proxy, _, to)| proxy == name && *to == f64::MAX);
         open.for_each(|excused| excused.2 = until_ms);
     }
 
-    /// Every process lives and goes on from now on; requests that meet its return are excused for so many ms.
-    pub fn revives_all(&mut self, excused_ms: f64) -> Result<(), String> {
+    /// Resumes or restarts every proxy; lost requests are excused for this many ms longer.
+    pub fn restore_all(&mut self, excused_ms: f64) -> Result<(), String> {
         for n in 0..self.proxies.len() {
             let process = &mut self.proxies[n].process;
-            process.goes_on();
-            if !process.lives() {
-                process.starts()?;
+            process.resume();
+            if !process.is_running() {
+                process.spawn()?;
             }
-            self.comes_up(n);
-            self.excused_until(n, self.world.now_ms() + excused_ms);
+            self.mark_up(n);
+            self.end_excuse(n, self.backends.now_ms() + excused_ms);
         }
         Ok(())
     }
 
-    /// Every breach of the rules so far.
+    /// All violations of the rules so far.
     pub fn breaches(&self) -> Vec<Breach> {
-        let repeats = [
-            ("read", Repeats { replayable: true, memory_ms: None }),
-            ("write", Repeats { replayable: false, memory_ms: Some(3_000.0) }),
-            ("once", Repeats { replayable: false, memory_ms: None }),
+        let rules = [
+            ("read", RepeatRules { replayable: true, dedup_window_ms: None }),
+            ("write", RepeatRules { replayable: false, dedup_window_ms: Some(3_000.0) }),
+            ("once", RepeatRules { replayable: false, dedup_window_ms: None }),
         ];
-        // As the proxies have them.
-        let settings = settings(&self.shape, 0);
-        judge(&Evidence {
-            seen: &self.book.all(),
-            took: &self.world.took(),
-            changes: &self.world.changes(),
-            calls: &self.world.calls(),
-            hushed: &self.hushed,
-            pushed: settings["discovery"] == "pushed",
-            made: &self.world.made(),
-            repeats: &repeats.map(|(name, repeats)| (name.to_owned(), repeats)).into(),
-            grace_ms: settings["guarantees"]["stop_sending_within"]
+        // The checker uses the same settings as the proxies.
+        let settings = settings(&self.spec, 0);
+        check_rules(&Observations {
+            client_requests: &self.request_log.entries(),
+            node_requests: &self.backends.node_requests(),
+            list_changes: &self.backends.list_changes(),
+            discovery_calls: &self.backends.discovery_calls(),
+            silenced_watches: &self.silenced_watches,
+            push_discovery: settings["discovery"] == "pushed",
+            node_specs: &self.backends.node_specs(),
+            repeat_rules: &rules.map(|(class, rules)| (class.to_owned(), rules)).into(),
+            drain_grace_ms: settings["guarantees"]["stop_sending_within"]
                 .as_f64()
-                .map_or(GRACE, |grace| grace * 1e3),
-            fall_s: FALL,
+                .map_or(DRAIN_GRACE_MS, |grace| grace * 1e3),
+            cold_overload_window_s: COLD_OVERLOAD_WINDOW_S,
             excused: &self.excused,
-            down: &self.down,
-            crowded: !self.crowd.is_empty(),
+            shutdowns: &self.shutdowns,
+            sockets_exhausted: !self.idle_connections.is_empty(),
         })
     }
 }
--- a/crates/flintwell/tests/process/overload.rs
+++ b/crates/flintwell/tests/process/overload.rs
@@ -311,9 +311,9 @@
     let runtime = runtime.expect("build runtime");
     for seed in 0..2 {
         let directory = tempfile::tempdir().expect("create directory");
-        let day = runtime.block_on(soak::play(seed, 24, Path::new(PROGRAM), directory.path()));
+        let day = runtime.block_on(soak::run_day(seed, 24, Path::new(PROGRAM), directory.path()));
         let day = day.expect("run scenario");
-        assert!(day.broken.is_empty(), "seed {seed}: {:#?}", day.broken);
+        assert!(day.violations.is_empty(), "seed {seed}: {:#?}", day.violations);
         assert!(
             day.served * 10 > day.requests * 7,
             "seed {seed}: {} of {} requests served",
--- a/crates/flintwell/tests/process/peer_messaging.rs
+++ b/crates/flintwell/tests/process/peer_messaging.rs
@@ -2,9 +2,9 @@
 
 use crate::rollout::{PROGRAM, TestFleet};
 use crate::support::{config, get, run};
-use flintwell_rig::datagrams::Post;
+use flintwell_rig::datagrams::DatagramMode;
 use flintwell_rig::days;
-use flintwell_rig::fleet::Shape;
+use flintwell_rig::fleet::FleetSpec;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -12,8 +12,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn shape() -> Shape {
-    Shape { proxies: 6, zones: vec!["a".into(), "b".into()], words: true, ..Shape::default() }
+fn shape() -> FleetSpec {
+    FleetSpec {
+        proxies: 6,
+        zones: vec!["a".into(), "b".into()],
+        peer_messaging: true,
+        ..FleetSpec::default()
+    }
 }
 
 /// The fleet as this proxy sees it.
@@ -51,7 +56,7 @@
 #[test]
 fn fleet_detects_a_paused_and_a_killed_proxy_and_recovers_from_a_partition() {
     let mut fleet = TestFleet::new(shape());
-    let management: Vec<SocketAddr> = fleet.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+    let management: Vec<SocketAddr> = fleet.rig().proxies.iter().map(|proxy| proxy.management).collect();
     wait_for_alive_counts(30, "each proxy sees all others", &management, |counts| {
         counts.iter().all(|&count| count == 5)
     });
@@ -59,38 +64,38 @@
     let output = String::from_utf8(status.expect("spawn flintwell").stdout).expect("UTF-8");
     assert!(output.contains("number 0: no limit known") && output.matches(" alive").count() == 5, "{output}");
     // A paused process must not declare its peers down when it continues.
-    let now = fleet.rig().world.now_ms();
-    fleet.rig().excuses(1, now - 1_500.0, f64::MAX);
-    fleet.rig().proxies[1].process.pauses();
+    let now = fleet.rig().backends.now_ms();
+    fleet.rig().excuse(1, now - 1_500.0, f64::MAX);
+    fleet.rig().proxies[1].process.pause();
     thread::sleep(Duration::from_secs(3));
-    fleet.rig().proxies[1].process.goes_on();
+    fleet.rig().proxies[1].process.resume();
     wait_for_alive_counts(30, "the paused proxy is alive again", &management, |counts| {
         counts.iter().all(|&count| count == 5)
     });
     assert_eq!(fleet_status(management[1])["taken_as_gone"], 0);
-    let until_ms = fleet.rig().world.now_ms() + 500.0;
-    fleet.rig().excused_until(1, until_ms);
+    let until_ms = fleet.rig().backends.now_ms() + 500.0;
+    fleet.rig().end_excuse(1, until_ms);
     // Killed, and restarted under the same number.
-    let now = fleet.rig().world.now_ms();
-    fleet.rig().excuses(2, now - 1_500.0, f64::MAX);
-    fleet.rig().proxies[2].process.kills();
+    let now = fleet.rig().backends.now_ms();
+    fleet.rig().excuse(2, now - 1_500.0, f64::MAX);
+    fleet.rig().proxies[2].process.kill();
     let others: Vec<SocketAddr> = [0, 1, 3, 4, 5].map(|n| management[n]).into();
     wait_for_alive_counts(20, "the killed proxy is gone", &others, |counts| {
         counts.iter().all(|&count| count == 4)
     });
-    fleet.rig().proxies[2].process.starts().expect("start proxy");
-    let until_ms = fleet.rig().world.now_ms() + 500.0;
-    fleet.rig().excused_until(2, until_ms);
+    fleet.rig().proxies[2].process.spawn().expect("start proxy");
+    let until_ms = fleet.rig().backends.now_ms() + 500.0;
+    fleet.rig().end_excuse(2, until_ms);
     wait_for_alive_counts(30, "the restarted proxy is alive", &management, |counts| {
         counts.iter().all(|&count| count == 5)
     });
     // A partition between the zones, then datagrams that are lost.
-    fleet.rig().words("zone:a", "zone:b", Post::Cut);
-    fleet.rig().words("zone:b", "zone:a", Post::Cut);
+    fleet.rig().set_datagram_mode("zone:a", "zone:b", DatagramMode::Cut);
+    fleet.rig().set_datagram_mode("zone:b", "zone:a", DatagramMode::Cut);
     wait_for_alive_counts(30, "each zone sees only itself", &management, |counts| {
         counts.iter().all(|&count| count == 2)
     });
-    fleet.rig().words("*", "*", Post::Loses(0.2));
+    fleet.rig().set_datagram_mode("*", "*", DatagramMode::Drop(0.2));
     wait_for_alive_counts(45, "the partition has healed", &management, |counts| {
         counts.iter().all(|&count| count == 5)
     });
@@ -99,8 +104,8 @@
 
 #[test]
 fn malformed_and_foreign_datagrams_are_dropped_and_counted() {
-    let mut fleet = TestFleet::new(Shape { proxies: 2, ..shape() });
-    let management: Vec<SocketAddr> = fleet.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+    let mut fleet = TestFleet::new(FleetSpec { proxies: 2, ..shape() });
+    let management: Vec<SocketAddr> = fleet.rig().proxies.iter().map(|proxy| proxy.management).collect();
     wait_for_alive_counts(30, "both see each other", &management, |counts| counts == [1, 1]);
     let peer_address =
         fleet_status(management[0])["members"][0]["addr"].as_str().expect("peer address").to_owned();
@@ -156,9 +161,9 @@
     let runtime = runtime.expect("build runtime");
     for seed in [3, 4] {
         let directory = tempfile::tempdir().expect("create directory");
-        let day = runtime.block_on(days::play(seed, &shape(), Path::new(PROGRAM), directory.path()));
+        let day = runtime.block_on(days::run_day(seed, &shape(), Path::new(PROGRAM), directory.path()));
         let day = day.expect("run scenario");
-        assert!(day.breaches.is_empty() && day.whole_s.is_some(), "seed {seed}: {day:#?}");
+        assert!(day.breaches.is_empty() && day.converged_after_s.is_some(), "seed {seed}: {day:#?}");
         assert!(
             day.served * 10 > day.requests * 7,
             "seed {seed}: {} of {} requests served",
--- a/crates/flintwell/tests/process/rollout.rs
+++ b/crates/flintwell/tests/process/rollout.rs
@@ -1,9 +1,9 @@
 //! Staged rollouts of settings on real processes under traffic, with network faults between them.
 
 use crate::support::{get, raw_call, wait_until};
-use flintwell_rig::fleet::{Fleet, Shape};
-use flintwell_rig::relay::Way;
-use flintwell_standins::world::Fault;
+use flintwell_rig::fleet::{Fleet, FleetSpec};
+use flintwell_rig::relay::LinkMode;
+use flintwell_standins::backends::Fault;
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -25,14 +25,14 @@
 }
 
 impl TestFleet {
-    pub fn new(shape: Shape) -> Self {
+    pub fn new(shape: FleetSpec) -> Self {
         let directory = tempfile::tempdir().expect("create directory");
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.expect("build runtime");
         let fleet = runtime.block_on(async {
             let mut fleet =
                 Fleet::start(shape, Path::new(PROGRAM), directory.path()).await.expect("running fleet");
-            fleet.comes(1, LOAD_TIME);
+            fleet.start_clients(1, LOAD_TIME);
             fleet
         });
         TestFleet { fleet: Some(fleet), runtime: Some(runtime), directory }
@@ -55,7 +55,7 @@
              [limits]\naccesses = 1000\n"
         );
         for proxy in &self.rig().proxies {
-            let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.staff);
+            let (name, zone, at) = (&proxy.process.name, &proxy.zone, proxy.management);
             text += &format!("[[members]]\nname = \"{name}\"\nzone = \"{zone}\"\nat = \"{at}\"\n");
         }
         std::fs::write(&file, text).expect("read plan");
@@ -64,7 +64,7 @@
 
     /// The epoch that each proxy has in force.
     pub fn epochs(&mut self) -> Vec<u64> {
-        let management: Vec<_> = self.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+        let management: Vec<_> = self.rig().proxies.iter().map(|proxy| proxy.management).collect();
         management.into_iter().map(|at| status(at)["epoch"].as_u64().expect("epoch")).collect()
     }
 
@@ -79,8 +79,8 @@
 
     /// Asserts that there was traffic, every request was answered and no rule was violated.
     pub fn assert_no_violations(&mut self) {
-        let book = self.rig().book.clone();
-        wait_until("there is traffic", || book.all().len() > 100);
+        let book = self.rig().request_log.clone();
+        wait_until("there is traffic", || book.entries().len() > 100);
         let breaches = self.rig().breaches();
         assert!(breaches.is_empty(), "{breaches:#?}");
     }
@@ -98,8 +98,8 @@
     serde_json::from_str(&get(at, "/api/rollout/status").1).expect("status")
 }
 
-fn shape() -> Shape {
-    let mut shape = Shape { proxies: 6, zones: vec!["a".into(), "b".into()], ..Shape::default() };
+fn shape() -> FleetSpec {
+    let mut shape = FleetSpec { proxies: 6, zones: vec!["a".into(), "b".into()], ..FleetSpec::default() };
     shape.load.rate = 40.0;
     shape
 }
@@ -159,19 +159,19 @@
     let (code, output) = RolloutCommand::start("start", &plan).finish();
     assert_eq!((code, fleet.epochs()), (0, vec![1; 6]), "{output}");
     let proxy = &mut fleet.rig().proxies[3];
-    let member = status(proxy.staff);
+    let member = status(proxy.management);
     assert_eq!((&member["unconfirmed"], &member["former"]), (&json!(false), &json!(0)));
     let settings: Value =
-        serde_json::from_str(&get(proxy.staff, "/api/rollout/settings").1).expect("settings");
+        serde_json::from_str(&get(proxy.management, "/api/rollout/settings").1).expect("settings");
     assert_eq!(settings["limits"]["max_hand_offs"], 5);
     fleet.assert_no_violations();
     // A restarted process has the settings that were confirmed.
-    let now = fleet.rig().world.now_ms();
-    fleet.rig().excuses(3, now - 1_500.0, f64::MAX);
-    fleet.rig().proxies[3].process.kills();
-    fleet.rig().proxies[3].process.starts().expect("start proxy");
-    let until = fleet.rig().world.now_ms() + 500.0;
-    fleet.rig().excused_until(3, until);
+    let now = fleet.rig().backends.now_ms();
+    fleet.rig().excuse(3, now - 1_500.0, f64::MAX);
+    fleet.rig().proxies[3].process.kill();
+    fleet.rig().proxies[3].process.spawn().expect("start proxy");
+    let until = fleet.rig().backends.now_ms() + 500.0;
+    fleet.rig().end_excuse(3, until);
     assert_eq!(fleet.epochs(), [1; 6]);
     let (code, output) = RolloutCommand::start("undo", &plan).finish();
     assert!(code == 1 && output.contains("undone by the operator"), "{output}");
@@ -217,14 +217,14 @@
     let rollout = RolloutCommand::start("start", &plan);
     fleet.wait_for_epochs("the canaries have the new epoch", |epochs| epochs[..2] == [1, 1]);
     // Its responses are lost while requests arrive, then nothing passes either way.
-    assert_eq!(fleet.rig().way("n0", "staff", Way::Deaf), 1);
+    assert_eq!(fleet.rig().set_link_mode("n0", "staff", LinkMode::HoldResponses), 1);
     thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(fleet.rig().way("n0", "staff", Way::Cut), 1);
+    assert_eq!(fleet.rig().set_link_mode("n0", "staff", LinkMode::Cut), 1);
     let report = || -> String { RolloutCommand::start("status", &plan).finish().1 };
     wait_until("the rollout is on hold", || report().contains("not heard: n0"));
     thread::sleep(Duration::from_secs(3));
     assert!(report().contains("stage 1 of 3"), "{}", report());
-    fleet.rig().way("n0", "staff", Way::Passes);
+    fleet.rig().set_link_mode("n0", "staff", LinkMode::Pass);
     let (code, output) = rollout.finish();
     assert_eq!((code, fleet.epochs()), (0, vec![1; 6]), "{output}");
     fleet.assert_no_violations();
@@ -237,11 +237,11 @@
     let rollout = RolloutCommand::start("start", &plan);
     fleet.wait_for_epochs("the canaries have the new epoch", |epochs| epochs.contains(&1));
     // The origin refuses all, so misses and writes fail at old and new members alike.
-    assert!(fleet.rig().world.fault("origin", Fault::Full));
+    assert!(fleet.rig().backends.set_fault("origin", Fault::Full));
     let report = || -> String { RolloutCommand::start("status", &plan).finish().1 };
     wait_until("the rollout is on hold", || report().contains("both worse"));
     thread::sleep(Duration::from_secs(1));
-    assert!(fleet.rig().world.fault("origin", Fault::None));
+    assert!(fleet.rig().backends.set_fault("origin", Fault::None));
     let (code, output) = rollout.finish();
     assert_eq!((code, fleet.epochs()), (0, vec![1; 6]), "{output}");
     fleet.assert_no_violations();
@@ -262,8 +262,8 @@
 
 #[test]
 fn rejected_or_unrecordable_stage_requests_change_nothing() {
-    let mut fleet = TestFleet::new(Shape { proxies: 1, ..shape() });
-    let (at, state) = (fleet.rig().proxies[0].staff, fleet.rig().proxies[0].state.clone());
+    let mut fleet = TestFleet::new(FleetSpec { proxies: 1, ..shape() });
+    let (at, state) = (fleet.rig().proxies[0].management, fleet.rig().proxies[0].state_dir.clone());
     let before = status(at);
     let settings = get(at, "/api/rollout/settings").1;
     let hash = flintwell_rollout::wire::hash(&serde_json::from_str(&settings).expect("valid JSON"));
@@ -301,7 +301,7 @@
 
 #[test]
 fn all_errors_of_an_invalid_plan_are_reported_and_nothing_changes() {
-    let mut fleet = TestFleet::new(Shape { proxies: 2, ..shape() });
+    let mut fleet = TestFleet::new(FleetSpec { proxies: 2, ..shape() });
     let plan = fleet.plan("wrong", &json!({"specifics": {"mode": "through"}}));
     let (code, output) = RolloutCommand::start("start", &plan).finish();
     assert!(code == 2 && output.matches("specifics can't change without a restart").count() == 2, "{output}");
--- a/crates/flintwell/tests/process/supervise.rs
+++ b/crates/flintwell/tests/process/supervise.rs
@@ -2,7 +2,7 @@
 
 use crate::rollout::{PROGRAM, RolloutCommand, TestFleet, status};
 use crate::support::wait_until;
-use flintwell_rig::fleet::Shape;
+use flintwell_rig::fleet::FleetSpec;
 use serde_json::json;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 
 /// A supervised fleet in one zone.
 fn supervised_fleet(proxies: usize) -> TestFleet {
-    let mut shape = Shape { proxies, zones: vec!["a".into()], supervised: true, ..Shape::default() };
+    let mut shape = FleetSpec { proxies, zones: vec!["a".into()], supervised: true, ..FleetSpec::default() };
     shape.load.rate = 120.0;
     let mut fleet = TestFleet::new(shape);
     // A process accepts clients shortly before its supervisor notices that it is ready.
@@ -38,7 +38,7 @@
 }
 
 fn start_times(fleet: &mut TestFleet) -> Vec<u64> {
-    let management: Vec<_> = fleet.rig().proxies.iter().map(|proxy| proxy.staff).collect();
+    let management: Vec<_> = fleet.rig().proxies.iter().map(|proxy| proxy.management).collect();
     management.into_iter().map(|at| status(at)["started_ms"].as_u64().expect("start time")).collect()
 }
 
@@ -67,7 +67,7 @@
     // Members of the control group may have restarted with the old version meanwhile.
     assert_eq!(start_times(&mut fleet)[0], before[0], "the old process of the canary still runs");
     let programs: Vec<_> =
-        fleet.rig().proxies.iter().map(|proxy| status(proxy.staff)["program"].clone()).collect();
+        fleet.rig().proxies.iter().map(|proxy| status(proxy.management)["program"].clone()).collect();
     assert_eq!(programs, [PROGRAM; 3]);
     let plan = fleet.plan("missing", &json!({"program": "/nowhere/flintwell"}));
     let (code, output) = RolloutCommand::start("start", &plan).finish();
@@ -79,14 +79,14 @@
 fn version_that_crashes_after_seconds_is_rolled_back_at_its_canary() {
     let mut fleet = supervised_fleet(3);
     let script = "sh -c 'LISTEN_PID=$$ exec \"$0\" \"$@\"' $REAL \"$@\" &\nsleep 2\nkill -9 $!\nexit 9";
-    let now = fleet.rig().world.now_ms();
+    let now = fleet.rig().backends.now_ms();
     // Requests in flight at the canary are lost when it is killed.
-    fleet.rig().excuses(0, now, f64::MAX);
+    fleet.rig().excuse(0, now, f64::MAX);
     let (code, output) = roll_out(&mut fleet, "crashes", script);
     assert!(code == 1 && output.contains("1 of the new ended"), "{output}");
     assert_eq!(fleet.epochs(), [0; 3]);
-    let until = fleet.rig().world.now_ms() + 500.0;
-    fleet.rig().excused_until(0, until);
+    let until = fleet.rig().backends.now_ms() + 500.0;
+    fleet.rig().end_excuse(0, until);
     thread::sleep(Duration::from_secs(1));
     fleet.assert_no_violations();
 }
@@ -105,10 +105,10 @@
 #[test]
 fn killed_proxy_is_restarted_on_the_same_address() {
     let mut fleet = supervised_fleet(1);
-    let (management, supervisor) = (fleet.rig().proxies[0].staff, fleet.rig().proxies[0].process.id());
+    let (management, supervisor) = (fleet.rig().proxies[0].management, fleet.rig().proxies[0].process.id());
     let before = status(management)["started_ms"].clone();
-    let now = fleet.rig().world.now_ms();
-    fleet.rig().excuses(0, now - 1_500.0, now + 2_500.0);
+    let now = fleet.rig().backends.now_ms();
+    fleet.rig().excuse(0, now - 1_500.0, now + 2_500.0);
     // Its only child is the proxy.
     let supervisor = supervisor.expect("process id").to_string();
     let killed = Command::new("pkill").args(["-KILL", "-P", &supervisor]).status().expect("run pkill");
@@ -120,7 +120,7 @@
     thread::sleep(Duration::from_secs(3));
     fleet.assert_no_violations();
     assert!(
-        fleet.rig().proxies[0].process.stops(),
+        fleet.rig().proxies[0].process.shut_down(),
         "the supervisor stops when told to, together with its proxy"
     );
 }
