--- a/crates/flintwell-conduct/src/run.rs
+++ b/crates/flintwell-conduct/src/run.rs
@@ -5,10 +5,10 @@
 use crate::member_client::{CallError, get, post};
 use crate::state_folder;
 use crate::store::{MemberReport, Order, Report, RolloutStore};
-use flintwell_rollout::controller::{Controller, Journal, Phase, FleetMember, Command};
+use flintwell_rollout::controller::{Command, Controller, FleetMember, Journal, Phase};
 use flintwell_rollout::judge::Verdict;
 use flintwell_rollout::plan::Plan;
-use flintwell_rollout::wire::{MemberCounters, EpochRequest, PROTOCOL_VERSION, StageRequest, Status, hash};
+use flintwell_rollout::wire::{EpochRequest, MemberCounters, PROTOCOL_VERSION, StageRequest, Status, hash};
 use flintwell_settings::node_list::NodeList;
 use flintwell_settings::{check_change, merge_settings};
 use serde_json::Value;
@@ -119,7 +119,8 @@
     let sample = || call_all::<MemberCounters, _>(members, |addr| async move { get(addr, "figures").await });
     let sum = |figures: Vec<Result<MemberCounters, CallError>>| {
         let counts = |figures: &MemberCounters| {
-            let requests: u64 = figures.classes.values().map(flintwell_rollout::wire::RequestCounts::total).sum();
+            let requests: u64 =
+                figures.classes.values().map(flintwell_rollout::wire::RequestCounts::total).sum();
             (requests, figures.origin_attempts)
         };
         figures.iter().flatten().map(counts).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
@@ -284,13 +285,25 @@
     let mut calls: JoinSet<(usize, Command, Result<Status, CallError>)> = JoinSet::new();
     for (n, message) in messages {
         let (addr, fleet) = (plan.members[n].1, plan.fleet.clone());
-        let (settings, hash, within_ms) = (settings[n].clone(), hash(&settings[n]), plan.config.confirm_timeout_ms);
-        let named =
-            EpochRequest { protocol: PROTOCOL_VERSION, fleet: fleet.clone(), epoch, hash: hash.clone(), confirm_timeout_ms: within_ms, stage };
+        let (settings, hash, within_ms) =
+            (settings[n].clone(), hash(&settings[n]), plan.config.confirm_timeout_ms);
+        let named = EpochRequest {
+            protocol: PROTOCOL_VERSION,
+            fleet: fleet.clone(),
+            epoch,
+            hash: hash.clone(),
+            confirm_timeout_ms: within_ms,
+            stage,
+        };
         calls.spawn(async move {
             let result = match message {
                 Command::Stage => {
-                    post(addr, "stage", &StageRequest { protocol: PROTOCOL_VERSION, fleet, epoch, hash, settings }).await
+                    post(
+                        addr,
+                        "stage",
+                        &StageRequest { protocol: PROTOCOL_VERSION, fleet, epoch, hash, settings },
+                    )
+                    .await
                 }
                 Command::Apply => post(addr, "apply", &named).await,
                 Command::Renew => post(addr, "renew", &named).await,
@@ -314,7 +327,9 @@
 
 fn report(plan: &Plan, conductor: &Controller) -> Report {
     let verdict = match conductor.verdict() {
-        Verdict::NoHarmFound(judged) => format!("no regression found in {judged} requests to changed members"),
+        Verdict::NoHarmFound(judged) => {
+            format!("no regression found in {judged} requests to changed members")
+        }
         Verdict::Worse(measure, by) => {
             format!("changed members perform worse: {measure}, by {:.1} %", by * 100.0)
         }
--- a/crates/flintwell-supervise/src/supervisor.rs
+++ b/crates/flintwell-supervise/src/supervisor.rs
@@ -3,7 +3,7 @@
 use crate::Settings;
 use crate::http::{Call, get, serve};
 use flintwell_rollout::member::{Member, Refusal, Transition, Version};
-use flintwell_rollout::wire::{MemberCounters, EpochRequest, StageRequest, Status};
+use flintwell_rollout::wire::{EpochRequest, MemberCounters, StageRequest, Status};
 use flintwell_state::RecordStore;
 use hyper::{Method, StatusCode};
 use rustix::process::{Pid, Signal, kill_process};
