--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -60,7 +60,7 @@
 const BASE_EJECTION_TIME: Micros = 300_000;
 /// Ejections last at most 16 times the first one, so that a node's recovery is noticed within seconds.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Nodes of a zone that fall silent in a row before the zone is ejected; unlikely while it is reachable.
+/// Consecutive nodes of a zone that stop responding before the zone is ejected; unlikely while it is reachable.
 const ZONE_EJECTION_THRESHOLD: u32 = 3;
 /// Fraction of a node's attempts that fail from which each failure ejects the node.
 const FAULT_RATE_THRESHOLD: f64 = 0.3;
@@ -75,7 +75,7 @@
 /// Multiple of the fetch limit up to which writes are sent without queueing.
 const WRITE_LIMIT_FACTOR: f64 = 2.0;
 /// Fraction of recent requests that the origin refused above which refused fetches are not retried. The
-/// origin then gets half again as many requests as it can serve.
+/// origin then receives about 50 % more requests than it can serve.
 const MAX_RETRY_REFUSAL_RATE: f64 = 0.3;
 /// Refusals that one answer of the origin pays for; without credit, only probes are sent.
 const REFUSAL_CREDIT_PER_ANSWER: f64 = 0.7;
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Learns from an attempt that has ended, and decides how its request goes on.
+    /// Learns from an attempt that has ended, and decides the next step of its request.
     pub fn on_attempt_outcome(
         &mut self,
         now: Micros,
@@ -598,13 +598,13 @@
         } else {
             1
         };
-        // With sparse traffic, refusals are due to chance, from nodes that are free a moment later. More
+        // With sparse traffic, refusals are due to chance, from nodes that are free shortly afterwards. More
         // caches are tried, unless all caches are overloaded.
         let try_more = origin_has_room && is_sparse && self.caches.admitted_reads.value >= 1.0;
         let max_ranks = if try_more { MAX_CACHES_PER_KEY } else { 1 + usize::from(origin_has_room) };
         // A hot key brings as much load as all other keys of a cold node, and would overload it, as would
         // requests that other nodes refused. A cold node gets neither. It gets a fraction of its keys; with
-        // sparse traffic, where a proxy cannot tell which keys are hot, a random fraction of its reads.
+        // sparse traffic, where a proxy cannot determine the hot keys, a random fraction of its reads.
         let sample = if is_sparse { request.random } else { request.key_hash };
         let accepts =
             |&(rank, n): &(usize, usize)| self.accepts(now, n, (rank == 0 && !is_hot).then_some(sample));
@@ -646,8 +646,7 @@
                 && !is_bypassed
                 && (added_latency < max_added_latency || probes())
         });
-        // A request that finds both its nodes busy for a moment must not be refused while the origin has
-        // room.
+        // A request whose two nodes are both briefly busy must not be refused while the origin has room.
         let home = usable.next().ok_or(!candidates.is_empty() && !origin_has_room)?;
         let load = self.nodes[home].in_flight;
         let mean_in_flight = f64::from(self.caches.in_flight) / self.caches.ready_count.max(1) as f64;
@@ -799,7 +798,7 @@
     }
 
     /// Retries a fetch that the origin refused. Without retries, each request refused by an origin that is
-    /// full for a moment would be lost. An origin that refuses many gets no retries. The delay is random, so
+    /// briefly full would be lost. An origin that refuses many gets no retries. The delay is random, so
     /// that fetches refused together are not retried together.
     fn retry_refused_fetch(&mut self, now: Micros, id: &RequestId, first_on_connection: bool) {
         let in_flight = self.origin.node.map_or(0, |o| self.nodes[o].in_flight);
--- a/crates/flintwell-core/tests/policy/scenarios.rs
+++ b/crates/flintwell-core/tests/policy/scenarios.rs
@@ -116,7 +116,7 @@
     assert!(to_cold > 0 && to_cold <= served / 3, "{to_cold} sent to the cold node, {served} served");
 }
 
-/// Guards against refusing reads when their home and spare are full for a moment while the origin is idle. In
+/// Guards against refusing reads when their home and spare are briefly full while the origin is idle. In
 /// a burst, however, not every refusal of a cache may become a fetch.
 #[test]
 fn a_read_refused_by_home_and_spare_is_fetched_if_the_origin_has_capacity_and_refused_otherwise() {
@@ -135,7 +135,7 @@
     assert!(harness.current_node(&later).is_some());
 }
 
-/// Guards against single refusals by an origin that is full for a moment: each failed a request, and together
+/// Guards against single refusals by an origin that is briefly full: each failed a request, and together
 /// they cut the fetch limit to nothing.
 #[test]
 fn a_fetch_refused_by_the_origin_is_retried_unless_it_refuses_many() {
--- a/crates/flintwell-emulator/tests/overload.rs
+++ b/crates/flintwell-emulator/tests/overload.rs
@@ -44,8 +44,8 @@
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
 }
 
-/// Without peer messaging each proxy learns the reduced capacity from refusals of its own, so a large fleet burdens the
-/// overloaded origin with many refused fetches.
+/// Without peer messaging each proxy learns the reduced capacity only from its own refusals, so a large fleet burdens
+/// the overloaded origin with many refused fetches.
 #[test]
 fn peer_messaging_reduces_refusals_at_an_overloaded_origin() {
     let fleet = |peer_messaging| SimulationConfig {
@@ -75,7 +75,7 @@
     assert!(bytes < 3_000.0, "{bytes} bytes per proxy and second");
 }
 
-/// Without peer messaging every proxy probes a zone that has stopped responding with requests of its own.
+/// Without peer messaging every proxy probes a zone that has stopped responding with its own requests.
 /// With peer messaging a few proxies probe it, and all use it again once it has recovered.
 #[test]
 fn few_proxies_probe_a_silent_zone_and_all_return_to_it() {
--- a/crates/flintwell-list-watch/src/lease.rs
+++ b/crates/flintwell-list-watch/src/lease.rs
@@ -27,7 +27,7 @@
 }
 
 /// The lease on the current list. Changes at discovery after `renewed_at` may be unknown to this proxy and
-/// take effect from the lease's end on; the grace of a drain comes on top and is left to requests in flight.
+/// take effect from the lease's end on; the drain grace is added to that and is reserved for requests in flight.
 ///
 /// A refusal after a while is ambiguous: it may come from a load balancer whose discovery is down, or from an
 /// overloaded discovery. Such refusals extend the lease by at most [`MAX_PROPAGATION_US`] in total, so that a
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -59,7 +59,7 @@
     pub timeout: Micros,
 }
 
-/// The list watch of one proxy. Its methods report events; those that return a time tell when to act next.
+/// The list watch of one proxy. Its methods report events; a returned time is when to act next.
 pub struct Watch {
     config: WatchConfig,
     rng: ChaCha8Rng,
--- a/crates/flintwell-list-watch/tests/fleet.rs
+++ b/crates/flintwell-list-watch/tests/fleet.rs
@@ -9,7 +9,7 @@
 const S: Micros = 1_000_000; // microseconds in a second
 const GRACE: Micros = 300_000; // of a drain
 const LOSS_AT: Micros = 8 * S; // all watches that are open then stay unanswered
-/// The change that they miss; the earlier it comes, the sooner it takes effect.
+/// Time of the change that they miss; an earlier change takes effect sooner.
 const CHANGE_AT: Micros = LOSS_AT + 1;
 /// Calls that continue a watch cost discovery as much as one new call; at least as many on the benchmark.
 const CONTINUED_CALLS_PER_NEW_CALL: Micros = 20;
--- a/crates/flintwell-list-watch/tests/overload.rs
+++ b/crates/flintwell-list-watch/tests/overload.rs
@@ -10,7 +10,7 @@
 const S: Micros = 1_000_000; // microseconds in a second
 const MS: Micros = 1_000; // microseconds in a millisecond
 const REFUSED_AT_ONCE: Micros = 10 * MS; // until an immediate refusal is received
-/// Simulated time limit; a proxy without an answer by then is taken never to get one.
+/// Simulated time limit; a proxy without an answer by then counts as never answered.
 const TIME_LIMIT: Micros = 3_600 * S;
 
 /// What discovery does with calls that arrive faster than it processes them.
--- a/crates/flintwell-list-watch/tests/starts.rs
+++ b/crates/flintwell-list-watch/tests/starts.rs
@@ -1,4 +1,4 @@
-//! A node's start is dated by this process's clock, whatever the wall clock of the list gives.
+//! Start times of nodes are taken by this process's clock, regardless of the wall clock in the list.
 
 use flintwell_list_watch::{Micros, NodeStarts};
 
--- a/crates/flintwell-rig/src/datagrams.rs
+++ b/crates/flintwell-rig/src/datagrams.rs
@@ -40,7 +40,7 @@
 }
 
 impl DatagramRelay {
-    /// Forwards from an address of its own to `to` until the runtime shuts down. `seed` determines the random faults.
+    /// Forwards from a new address to `to` until the runtime shuts down. `seed` determines the random faults.
     pub async fn start(to: SocketAddr, seed: u64) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let addr = socket.local_addr()?;
--- a/crates/flintwell-rig/src/plan.rs
+++ b/crates/flintwell-rig/src/plan.rs
@@ -53,7 +53,7 @@
         #[serde(rename = "way")]
         mode: DatagramMode,
     },
-    /// Silences the open watches of these proxies for good; new connections to discovery work.
+    /// Silences the open watches of these proxies permanently; new connections to discovery work.
     #[serde(rename = "hush_watch")]
     SilenceWatches { who: String },
     /// Injects a fault into nodes.
@@ -116,7 +116,7 @@
     pub seed: u64,
     pub seconds: Vec<SecondCounts>,
     pub breaches: Vec<Breach>,
-    /// Written to a file of its own.
+    /// Written to a separate file.
     #[serde(skip)]
     pub timeline: Vec<TimelineEntry>,
 }
--- a/crates/flintwell-rig/src/relay.rs
+++ b/crates/flintwell-rig/src/relay.rs
@@ -41,12 +41,12 @@
     /// Address that the relay listens at.
     pub addr: SocketAddr,
     mode: Arc<watch::Sender<LinkMode>>,
-    /// Incremented to silence the open connections for good.
+    /// Incremented to silence the open connections permanently.
     silence_count: Arc<watch::Sender<u64>>,
 }
 
 impl Relay {
-    /// Forwards from an address of its own to `to` until the runtime shuts down.
+    /// Forwards from a new address to `to` until the runtime shuts down.
     pub async fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
--- a/crates/flintwell-rollout/src/controller.rs
+++ b/crates/flintwell-rollout/src/controller.rs
@@ -487,7 +487,7 @@
         self.origin_refusals.iter().fold((0, 0), |sum, entry| (sum.0 + entry.1, sum.1 + entry.2))
     }
 
-    /// Whether the old members lose more than during the baseline; none if there are too few requests to tell.
+    /// Whether the old members lose more than during the baseline; none if there are too few requests to decide.
     fn are_old_members_worse(&mut self, now: u64) -> Option<bool> {
         let (lost, all) = self.recent_old_losses(now);
         let baseline = self.baseline_losses.0 as f64 / self.baseline_losses.1.max(1) as f64;
@@ -549,7 +549,7 @@
         }
     }
 
-    /// Undoes the rollout on signs of harm; otherwise holds it or goes on to the next stage.
+    /// Undoes the rollout on signs of harm; otherwise holds it or proceeds to the next stage.
     fn advance(&mut self, now: u64) {
         if let Verdict::Worse(measure, by) = self.judge.verdict() {
             return self.undo(&format!("the new are worse: {measure}, by {:.1} %", by * 100.0));
--- a/crates/flintwell-rollout/src/member.rs
+++ b/crates/flintwell-rollout/src/member.rs
@@ -171,7 +171,7 @@
         if hash(&request.settings) != request.hash {
             return Err(Refusal::HashMismatch);
         }
-        // An epoch stands for one content only, whichever controller asks.
+        // An epoch identifies one content only, regardless of which controller stages it.
         let version =
             Version { epoch: request.epoch, hash: request.hash.clone(), settings: request.settings.clone() };
         let known = [Some(&self.record.active), self.staged.as_ref()];
--- a/crates/flintwell-shared-probes/src/lib.rs
+++ b/crates/flintwell-shared-probes/src/lib.rs
@@ -1,9 +1,9 @@
-//! Coordinates probes of cache nodes that do not answer: a few members of the fleet go on probing such a node
-//! and tell the others, so that the number of probes does not grow with the fleet.
+//! Coordinates probes of cache nodes that do not answer: a few members of the fleet continue to probe such a
+//! node and report to the others, so that the number of probes does not grow with the fleet.
 //!
 //! Reports from peers are hints, not facts. Members report only their own observations, a node counts as
 //! silent for the fleet only after several members found it silent independently, and a member acts on hints
-//! only about nodes that are silent to itself. So a member that lies or is partitioned takes no traffic from
+//! only about nodes that are silent to itself. So a faulty or partitioned member diverts no traffic from
 //! a healthy node, and a report that a node has recovered brings one request from each member rather than its
 //! full traffic.
 
--- a/crates/flintwell-supervise/src/supervisor.rs
+++ b/crates/flintwell-supervise/src/supervisor.rs
@@ -26,7 +26,7 @@
 const MAX_DELAY_DOUBLINGS: u32 = 6;
 /// A process that ran for longer resets the restart delay.
 const STABLE_RUN_TIME: Duration = Duration::from_secs(30);
-/// Before a process that was told to stop is killed. Covers the longest response to a slow reader.
+/// Time between SIGTERM and SIGKILL. Covers the longest response to a slow reader.
 const STOP_TIMEOUT: Duration = Duration::from_secs(75);
 /// Moves the listening socket from stdin to descriptor 3 and announces it by systemd's socket activation protocol. The
 /// shell's process id stays that of the program, as `LISTEN_PID` requires.
@@ -61,7 +61,7 @@
     began: Instant,
     current: Option<Process>,
     starting: Option<(Process, StartPurpose)>,
-    /// Processes that were told to stop, and when.
+    /// Processes that were asked to stop, and when.
     stopping: Vec<(Child, Instant)>,
     /// Unexpected exits and failed starts since the last stable run.
     exit_count: u32,
--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -151,7 +151,7 @@
         let mut permit = pin!(permits.clone().acquire_owned());
         loop {
             let permits_exhausted = permits.available_permits() == 0;
-            // Clients that keep each connection after one request may run out of descriptors of their own before
+            // Clients that keep each connection after one request may exhaust their own descriptors before
             // our limit is reached, and we would not notice. So eviction starts below the limit.
             if permits_exhausted || self.open_count.get() >= self.eviction_threshold {
                 let (now, mut idle) = (Instant::now(), self.idle.borrow_mut());
@@ -403,7 +403,7 @@
         Pin::new(&mut self.stream).poll_flush(cx)
     }
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        // Whoever takes over the response goes on writing to this socket.
+        // The task that takes over the response continues to write to this socket.
         if self.client.unwritten.borrow().is_some() {
             return Poll::Ready(Ok(()));
         }
--- a/crates/flintwell/src/clients/client_socket.rs
+++ b/crates/flintwell/src/clients/client_socket.rs
@@ -21,8 +21,8 @@
     /// Whether the client has closed its connection, or its sending side; checked directly before an attempt.
     ///
     /// The HTTP server notices a close only after a request has begun, and not at all while bytes of the next request
-    /// are unread, so requests would be sent on for nobody. Peeking at unread bytes does not show the end of the stream
-    /// after them either; the runtime's readiness does, so it is checked first.
+    /// are unread, so requests of disconnected clients would be forwarded. Peeking at unread bytes does not show the
+    /// end of the stream after them either; the runtime's readiness does, so it is checked first.
     pub fn has_disconnected(&self) -> bool {
         let Some(stream) = &self.0 else { return false };
         let ready = stream.ready(Interest::READABLE).now_or_never();
@@ -32,7 +32,7 @@
         loop {
             match SockRef::from(&**stream).peek(&mut [MaybeUninit::uninit()]) {
                 Ok(bytes) => return bytes == 0,
-                // Interrupted by a signal: tells nothing of the client, so peek again.
+                // Interrupted by a signal, which says nothing about the client: peek again.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
             }
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -1,6 +1,6 @@
-//! Calls to discovery, each a task of its own: establishing the connection, and the exchange on it. A call
-//! that has timed out stays open, because its response may still arrive: leaving discovery's queue would
-//! waste the work of that call for nothing.
+//! Calls to discovery, each in a separate task: establishing the connection, and the exchange on it. A call
+//! that has timed out stays open, because its response may still arrive: closing it would give up its place in
+//! discovery's queue and waste the work done for it.
 
 use crate::clients::body::UpstreamBody;
 use crate::nodes::connection::{BodyLimits, Connection, ExchangeError, FailureCause, Progress, ReceivedBody};
--- a/crates/flintwell/src/fleet/list_store.rs
+++ b/crates/flintwell/src/fleet/list_store.rs
@@ -64,8 +64,8 @@
         self.is_dirty.set(true);
     }
 
-    /// Writes what has changed. Danger: after a moment with a full disk, the stored list would lack its last
-    /// changes; so a failed write is repeated until it succeeds.
+    /// Writes what has changed. Danger: if a write failed because the disk was full and were not repeated, the
+    /// stored list would lack the last changes; so a failed write is repeated until it succeeds.
     pub fn write(&self, lines: impl FnOnce() -> Vec<ListedNode>, lease: &ListLease) {
         let written = self.write_list(lines).and_then(|()| self.write_confirmation(lease));
         let is_failing = written.is_err();
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -1,4 +1,4 @@
-//! Operators' overrides of single nodes: excluded, or included again. Each is a file of its own, so that it
+//! Operators' overrides of single nodes: excluded, or included again. Each is a separate file, so that it
 //! survives this process and is also applied by another process of this proxy that runs at the same time.
 
 use crate::log_line;
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -108,7 +108,7 @@
         self.confirmed_at.set(self.lease.confirmed_at());
     }
 
-    /// Publishes the list anew whenever its lease lapses or becomes valid.
+    /// Publishes the list again whenever its lease lapses or becomes valid.
     pub async fn follow_lease(&self) {
         loop {
             self.check_lease();
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -138,7 +138,7 @@
     }
 }
 
-/// A stream that counts the bytes written, which tells whether an exchange has begun, and tracks the framing
+/// A stream that counts the bytes written, which shows whether an exchange has begun, and tracks the framing
 /// of what is read.
 struct MeteredStream {
     stream: SharedStream,
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -84,7 +84,8 @@
         if age >= to_duration(pending.timeout) || age > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
             return Err(ExchangeError::before_write(FailureCause::Stale));
         }
-        // Danger: the request of a client that disconnected meanwhile would be executed for nobody.
+        // Danger: the client may have disconnected meanwhile; the node would execute a request whose response
+        // cannot be delivered.
         if pending.client.has_disconnected() {
             Err(ExchangeError::before_write(FailureCause::ClientDisconnected))
         } else {
--- a/crates/flintwell/src/process/reload.rs
+++ b/crates/flintwell/src/process/reload.rs
@@ -20,8 +20,8 @@
 }
 
 /// Retries until the file can be read. An invalid or partly written file must not stop a proxy that is serving, and a
-/// read that fails only for a moment (file being renamed, no free descriptor) must not leave the proxy with the old
-/// discovery address for good.
+/// transient read failure (file being renamed, no free descriptor) must not leave the proxy with the old discovery
+/// address permanently.
 async fn reload(hangup: &mut Signal, path: &Path, discovery: &watch::Sender<SocketAddr>) {
     let mut error_logged = false;
     loop {
--- a/crates/flintwell/src/process/succession.rs
+++ b/crates/flintwell/src/process/succession.rs
@@ -57,8 +57,8 @@
         self.siblings().next().is_some()
     }
 
-    /// Whether a younger process serves requests. Leaving the listener to a process that has been killed would leave
-    /// nobody to accept connections; a dead process is recognised because its lock is released.
+    /// Whether a younger process serves requests. If the listener were left to a process that has been killed, no
+    /// process would accept connections; a dead process is recognised because its lock is released.
     pub fn has_successor(&self) -> bool {
         self.successors().next().is_some()
     }
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -121,7 +121,7 @@
 
     /// Calls the policy, and then the shadow policy with `shadow_call`. False if the policy panicked.
     ///
-    /// A panic is caught: it would end the timer's or the list's task for good and lose every held request.
+    /// A panic is caught: otherwise it would end the timer's or the list's task and lose every held request.
     fn call_policy(
         &self,
         call: impl FnOnce(&mut Policy<PolicyHost>),
@@ -206,8 +206,8 @@
         })
     }
 
-    /// Calls the policy at the times it asked for, with a minimum interval between calls. Without it, a policy that
-    /// asks at each call for a time in the past would leave our single core no time for requests.
+    /// Calls the policy at the times it requested, with a minimum interval between calls. Without it, a policy that
+    /// requests a time in the past at each call would leave the proxy's single core no time for requests.
     pub async fn run_timers(&self) {
         let mut not_before = 0;
         loop {
@@ -314,7 +314,7 @@
     fn drop(&mut self) {
         let (now, id) = (self.dispatcher.clock.now(), self.id.clone());
         // If the policy has chosen an attempt and the step was not taken yet, the policy would count that attempt as in
-        // flight for good. So it is reported as cancelled below.
+        // flight permanently. So it is reported as cancelled below.
         if let Some(Step::Attempt { node, .. }) = self.mailbox.step.take() {
             self.in_flight_node.get_or_insert(node);
         }
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -62,7 +62,7 @@
                 handle.attempt_started(&node);
                 dispatcher.catch_up_after_stall().await;
                 // The client may have closed its connection right after the request, or while the request was held.
-                // The HTTP server reports that only later, and the attempt would be made for nobody.
+                // The HTTP server reports that only later, and the response to the attempt could not be delivered.
                 if request.client.has_disconnected() {
                     return ClientResponse::ClientDisconnected;
                 }
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -77,7 +77,7 @@
             // A panic is contained: its request fails, the others go on.
             let result = AssertUnwindSafe(service.respond(request, framing)).catch_unwind().await;
             let response = result.unwrap_or(ClientResponse::Failed);
-            // Messages after a chunked body cannot be told apart in the raw bytes, so their framing could not be
+            // Messages after a chunked body cannot be distinguished in the raw bytes, so their framing could not be
             // checked. The connection is closed instead.
             Ok(response.encode(service.shutdown.has_begun() || framing == Framing::TransferEncoded))
         })
--- a/crates/flintwell/tests/process/handover.rs
+++ b/crates/flintwell/tests/process/handover.rs
@@ -259,12 +259,12 @@
     (proxy, lines)
 }
 
-/// Runs a future in a runtime of its own.
+/// Runs a future in a new runtime.
 fn block_on<T>(work: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build runtime").block_on(work)
 }
 
-/// Files that make the old process believe in a successor: a locked state file, which must stay open, and the path of
+/// Files that make the old process detect a successor: a locked state file, which must stay open, and the path of
 /// the successor's handover socket.
 fn fake_successor(directory: &Path) -> (std::fs::File, PathBuf) {
     let name = "process-09999999999999999999-1";
--- a/crates/flintwell/tests/process/stale_list.rs
+++ b/crates/flintwell/tests/process/stale_list.rs
@@ -65,7 +65,7 @@
 }
 
 /// The configured list may be older than any lease, because the process was down meanwhile. Nodes that drained or left in
-/// that time must get no request from the first moment on.
+/// that time must not receive any request, from process start on.
 #[test]
 fn new_process_sends_nothing_by_its_configured_list_before_discovery_has_answered() {
     for pushed in [false, true] {
@@ -77,8 +77,8 @@
     }
 }
 
-/// 32 processes whose settings say a fleet of 300. A quarter is killed, a node drains, and the killed processes restart
-/// with the same configuration.
+/// 32 processes whose settings give a fleet size of 300. A quarter is killed, a node drains, and the killed processes
+/// restart with the same configuration.
 #[test]
 fn restarted_processes_send_nothing_to_a_node_that_drained_while_they_were_down() {
     let (processes, fleet_size) = (32, 300);
