--- a/crates/flintwell/src/requests/dispatcher/tests.rs
+++ b/crates/flintwell/src/requests/dispatcher/tests.rs
@@ -97,11 +97,11 @@
     assert!(none.is_none() && alone == shadowed, "the same attempts with and without a shadow policy");
     let counts = counts.expect("counts");
     let far = shadowed.iter().filter(|node| node.starts_with("far")).count() as u64;
-    assert!(far > 10 && counts.different_cache == far, "{far}: {counts:?}");
+    assert!(far > 10 && counts.another_cache == far, "{far}: {counts:?}");
     assert_eq!((counts.differing(), counts.requests), (far, 60));
     let (_, counts) = run_reads(Some(serde_json::json!({"limits": {"max_hand_offs": 1}})));
     let counts = counts.expect("counts");
-    assert_eq!((counts.origin_vs_cache, counts.differing()), (60, 60), "{counts:?}");
+    assert_eq!((counts.origin_or_cache, counts.differing()), (60, 60), "{counts:?}");
 }
 
 #[test]
--- a/crates/flintwell/src/requests/shadow.rs
+++ b/crates/flintwell/src/requests/shadow.rs
@@ -26,29 +26,30 @@
     Fail,
 }
 
-/// Requests on which the other settings would have decided differently, by kind.
+/// Requests on which the other settings would have decided differently, by kind. The log line of the counts prints
+/// the field names, and operators read them there, so they must not change.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub struct ShadowCounts {
     pub requests: u64,
-    pub different_cache: u64,
+    pub another_cache: u64,
     /// The origin instead of a cache, or a cache instead of the origin.
-    pub origin_vs_cache: u64,
+    pub origin_or_cache: u64,
     /// Refused or failed instead of attempted.
-    pub not_attempted: u64,
+    pub given_up: u64,
     /// Attempted instead of refused or failed.
-    pub attempted_instead: u64,
+    pub handed_off: u64,
     /// Refused instead of failed or the reverse, held longer, or held for less time.
-    pub refusal_or_timing: u64,
+    pub held_or_told: u64,
 }
 
 impl ShadowCounts {
     /// Number of requests with any difference.
     pub fn differing(&self) -> u64 {
-        self.different_cache
-            + self.origin_vs_cache
-            + self.not_attempted
-            + self.attempted_instead
-            + self.refusal_or_timing
+        self.another_cache
+            + self.origin_or_cache
+            + self.given_up
+            + self.handed_off
+            + self.held_or_told
     }
 }
 
@@ -178,7 +179,7 @@
         let mut counts = self.counts.get();
         counts.requests += 1;
         if !pair.differs && pair.actual.len() != pair.shadow.len() {
-            counts.refusal_or_timing += 1;
+            counts.held_or_told += 1;
             self.withdraw(now, id, &pair.shadow);
         }
         self.counts.set(counts);
@@ -197,12 +198,12 @@
         let is_origin = |node: &NodeId| self.origins.borrow().contains(node);
         *match (actual, shadow) {
             (Decision::Attempt(a), Decision::Attempt(b)) if is_origin(a) == is_origin(b) => {
-                &mut counts.different_cache
+                &mut counts.another_cache
             }
-            (Decision::Attempt(_), Decision::Attempt(_)) => &mut counts.origin_vs_cache,
-            (Decision::Attempt(_), _) => &mut counts.not_attempted,
-            (_, Decision::Attempt(_)) => &mut counts.attempted_instead,
-            _ => &mut counts.refusal_or_timing,
+            (Decision::Attempt(_), Decision::Attempt(_)) => &mut counts.origin_or_cache,
+            (Decision::Attempt(_), _) => &mut counts.given_up,
+            (_, Decision::Attempt(_)) => &mut counts.handed_off,
+            _ => &mut counts.held_or_told,
         } += 1;
         self.counts.set(counts);
         pair.differs = true;
