--- a/crates/flintwell-conduct/src/key_homes.rs
+++ b/crates/flintwell-conduct/src/key_homes.rs
@@ -25,8 +25,8 @@
     fn start_attempt(&mut self, _: &RequestId, node: &NodeId, _: Micros) {
         self.0.borrow_mut().get_or_insert_with(|| node.clone());
     }
-    fn refuse(&mut self, _: &RequestId, _: Micros) {}
-    fn fail(&mut self, _: &RequestId) {}
+    fn refuse_request(&mut self, _: &RequestId, _: Micros) {}
+    fn fail_request(&mut self, _: &RequestId) {}
     fn close_idle(&mut self, _: &NodeId) {}
     fn set_timer(&mut self, _: u64, _: Micros) {}
     fn subscribe_to_list(&mut self) {}
--- a/crates/flintwell-core/src/interface.rs
+++ b/crates/flintwell-core/src/interface.rs
@@ -14,9 +14,9 @@
     fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros);
     /// Final answer: the request was refused and may be retried safely. `retry_after` is a hint for the
     /// client, 0 for none.
-    fn refuse(&mut self, request: &RequestId, retry_after: Micros);
+    fn refuse_request(&mut self, request: &RequestId, retry_after: Micros);
     /// Final answer: the request may or may not have taken effect.
-    fn fail(&mut self, request: &RequestId);
+    fn fail_request(&mut self, request: &RequestId);
     /// Closes the idle connections of this proxy to a node.
     fn close_idle(&mut self, node: &NodeId);
     /// Requests a call of the module's timer event with this label at or after `at`.
@@ -79,7 +79,7 @@
 pub struct Settings {
     pub classes: Vec<Class>,
     /// Quota of each tenant over all proxies, in requests per second.
-    pub quotas: Vec<f64>,
+    pub tenant_quotas_rps: Vec<f64>,
     /// Cache-aside mode: a cache node reports a miss and the proxy fetches from the origin. Otherwise
     /// read-through: the cache node fetches.
     pub cache_aside: bool,
--- a/crates/flintwell-core/src/policy.rs
+++ b/crates/flintwell-core/src/policy.rs
@@ -203,7 +203,11 @@
         Policy {
             host,
             rng,
-            tenants: settings.quotas.iter().map(|_| TokenBucket { tokens: 1.0, refilled_at: now }).collect(),
+            tenants: settings
+                .tenant_quotas_rps
+                .iter()
+                .map(|_| TokenBucket { tokens: 1.0, refilled_at: now })
+                .collect(),
             list_request_due: if settings.list_on_request { now + spread } else { Micros::MAX },
             settings,
             requests: Requests::default(),
@@ -240,7 +244,7 @@
         self.requests.values_mut().for_each(|request| request.class = moved_to[&request.class]);
         let known_tenants = self.tenants.len();
         let new_bucket = |_| TokenBucket { tokens: 1.0, refilled_at: now };
-        self.tenants.extend((known_tenants..settings.quotas.len()).map(new_bucket));
+        self.tenants.extend((known_tenants..settings.tenant_quotas_rps.len()).map(new_bucket));
         self.filters = NodeFilters::new(&settings.classes);
         self.settings = settings;
         self.nodes.iter_mut().for_each(|node| node.filter_bits = self.filters.matching_bits(&node.entry));
@@ -251,7 +255,7 @@
     /// Decides on a request that has arrived.
     pub fn on_request(&mut self, now: Micros, incoming: IncomingRequest) {
         let Some(class) = self.settings.classes.get(incoming.class) else {
-            return self.host.fail(&incoming.id);
+            return self.host.fail_request(&incoming.id);
         };
         let target = now
             + class.latency_target
@@ -926,8 +930,8 @@
     fn give_up(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         match self.may_refuse(now, request) {
-            true => self.host.refuse(id, RETRY_AFTER.min(self.settings.max_retry_after)),
-            false => self.host.fail(id),
+            true => self.host.refuse_request(id, RETRY_AFTER.min(self.settings.max_retry_after)),
+            false => self.host.fail_request(id),
         }
         self.finish(now, id, false, 0);
     }
@@ -1164,7 +1168,7 @@
     /// alone do not admit it: in a fleet of hundreds, each proxy has nothing in flight at its nodes while all
     /// together overload them with requests beyond the quotas.
     fn exceeds_quota(&mut self, now: Micros, tenant: usize, id: &RequestId) -> bool {
-        let Some(quota) = self.settings.quotas.get(tenant) else { return false };
+        let Some(quota) = self.settings.tenant_quotas_rps.get(tenant) else { return false };
         let own_quota = quota / f64::from(self.settings.fleet_size.max(1));
         let is_within = self.tenants[tenant].try_take(now, own_quota * QUOTA_TOLERANCE, MIN_QUOTA_BURST);
         let shed = self.rng.random::<f64>() >= self.caches.admitted_over_quota.value;
--- a/crates/flintwell-core/tests/policy/harness.rs
+++ b/crates/flintwell-core/tests/policy/harness.rs
@@ -100,7 +100,7 @@
         let attempt = AttemptRecord { node: node.clone(), started_at: now, times_out_at, status: None };
         state.requests.get_mut(id).expect("known request").attempts.push(attempt);
     }
-    fn refuse(&mut self, id: &RequestId, _: Micros) {
+    fn refuse_request(&mut self, id: &RequestId, _: Micros) {
         let mut state = self.0.borrow_mut();
         let request = &state.requests[id];
         if let Some(first) = HostState::first_possible_run(request) {
@@ -115,7 +115,7 @@
         }
         state.record_final_answer(id, "refused");
     }
-    fn fail(&mut self, id: &RequestId) {
+    fn fail_request(&mut self, id: &RequestId) {
         self.0.borrow_mut().record_final_answer(id, "failed");
     }
     fn close_idle(&mut self, _: &NodeId) {
@@ -162,7 +162,7 @@
                 ..class(Idempotency::Keyed, DedupScope::Zone)
             },
         ],
-        quotas: Vec::new(),
+        tenant_quotas_rps: Vec::new(),
         cache_aside: true,
         origin_kind: Some(ORIGIN_KIND),
         proxy_index: 0,
@@ -216,7 +216,7 @@
             (state.now, state.classes, state.max_attempts) =
                 (now, settings.classes.clone(), settings.max_attempts);
         }
-        let (cache_aside, quotas) = (settings.cache_aside, settings.quotas.clone());
+        let (cache_aside, quotas) = (settings.cache_aside, settings.tenant_quotas_rps.clone());
         let policy = Policy::new(now, settings, 7, host.clone());
         let mut harness = Harness { host, policy, cache_aside, quotas, request_count: 0 };
         harness.update_list(
--- a/crates/flintwell-core/tests/policy/properties.rs
+++ b/crates/flintwell-core/tests/policy/properties.rs
@@ -62,7 +62,7 @@
             let mut changed = settings();
             changed.classes.rotate_left(a % 7);
             (changed.max_attempts, changed.fleet_size) = (1 + b % 4, 1 + c);
-            (changed.cache_aside, changed.quotas) = (harness.cache_aside, harness.quotas.clone());
+            (changed.cache_aside, changed.tenant_quotas_rps) = (harness.cache_aside, harness.quotas.clone());
             harness.apply_settings(changed);
         }
     }
@@ -75,7 +75,8 @@
     let outcome = TestRunner::new_with_rng(config, rng).run(&event_sequences, |events| {
         let fleet_size = [2, 400][events.len() % 2];
         let quotas = [vec![], vec![5.0]][events.len() / 2 % 2].clone();
-        let mut harness = Harness::new(Settings { cache_aside, fleet_size, quotas, ..settings() }, 6);
+        let mut harness =
+            Harness::new(Settings { cache_aside, fleet_size, tenant_quotas_rps: quotas, ..settings() }, 6);
         let mut ids = Vec::new();
         for event in events {
             run_event(&mut harness, &mut ids, event);
--- a/crates/flintwell-core/tests/policy/scenarios.rs
+++ b/crates/flintwell-core/tests/policy/scenarios.rs
@@ -296,7 +296,8 @@
 
 #[test]
 fn requests_above_a_tenants_quota_are_refused_and_those_within_it_are_not() {
-    let mut harness = Harness::new(Settings { quotas: vec![10.0], fleet_size: 2, ..settings() }, 2);
+    let mut harness =
+        Harness::new(Settings { tenant_quotas_rps: vec![10.0], fleet_size: 2, ..settings() }, 2);
     let ids: Vec<_> = (0..40).map(|n| harness.start_request(0, &format!("k{n}"), false)).collect();
     assert!(harness.final_answer(&ids[0]).is_none());
     assert!(ids.iter().filter(|id| harness.final_answer(id).is_some()).count() >= 20);
--- a/crates/flintwell-core/tests/ramp.rs
+++ b/crates/flintwell-core/tests/ramp.rs
@@ -46,8 +46,8 @@
     fn start_attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
         self.0.borrow_mut().push((request.clone(), node.clone()));
     }
-    fn refuse(&mut self, _: &RequestId, _: Micros) {}
-    fn fail(&mut self, _: &RequestId) {}
+    fn refuse_request(&mut self, _: &RequestId, _: Micros) {}
+    fn fail_request(&mut self, _: &RequestId) {}
     fn close_idle(&mut self, _: &NodeId) {}
     fn set_timer(&mut self, _: u64, _: Micros) {}
     fn subscribe_to_list(&mut self) {}
@@ -65,7 +65,7 @@
             kinds: None,
             zones: None,
         }],
-        quotas: Vec::new(),
+        tenant_quotas_rps: Vec::new(),
         cache_aside: true,
         origin_kind: Some(1),
         proxy_index: proxy_index as u32,
--- a/crates/flintwell-emulator/src/simulation.rs
+++ b/crates/flintwell-emulator/src/simulation.rs
@@ -43,10 +43,10 @@
     fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros) {
         self.0.borrow_mut().push(Action::StartAttempt(request.clone(), node.clone(), timeout));
     }
-    fn refuse(&mut self, request: &RequestId, retry_after: Micros) {
+    fn refuse_request(&mut self, request: &RequestId, retry_after: Micros) {
         self.0.borrow_mut().push(Action::Refuse(request.clone(), retry_after));
     }
-    fn fail(&mut self, request: &RequestId) {
+    fn fail_request(&mut self, request: &RequestId) {
         self.0.borrow_mut().push(Action::Fail(request.clone()));
     }
     fn close_idle(&mut self, _: &NodeId) {}
@@ -186,7 +186,7 @@
     };
     Settings {
         classes: vec![class],
-        quotas: Vec::new(),
+        tenant_quotas_rps: Vec::new(),
         cache_aside: true,
         origin_kind: Some(1),
         proxy_index: proxy_index as u32,
--- a/crates/flintwell-list-watch/src/watch.rs
+++ b/crates/flintwell-list-watch/src/watch.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WatchConfig {
     /// Whether discovery pushes lists: then changes take effect whether or not a watch is open.
-    pub pushed: bool,
+    pub lists_pushed: bool,
     /// Number of proxies that call the same discovery.
     pub fleet_size: u32,
     /// Index of this proxy among them, from 0.
@@ -110,7 +110,7 @@
     /// capacity, and the frames grow.
     pub fn first_call_at(&self, now: Micros) -> Micros {
         let frame = self.position().first_frame().min(MAX_FIRST_CALL_FRAME_US);
-        if self.config.pushed || frame == 0 { now } else { self.position().slot(now, frame) }
+        if self.config.lists_pushed || frame == 0 { now } else { self.position().slot(now, frame) }
     }
 
     /// When a call is due that all proxies may have to make now, after a change of address or an outage.
@@ -118,7 +118,11 @@
         // Danger: the proxies of a fleet that start together, or see discovery return, would all call at the
         // same time.
         let first = self.position().first_frame();
-        if self.config.pushed || first == 0 { now } else { self.slot_within_lease(now).min(now + first) }
+        if self.config.lists_pushed || first == 0 {
+            now
+        } else {
+            self.slot_within_lease(now).min(now + first)
+        }
     }
 
     /// An attempt to connect to discovery begins.
@@ -187,7 +191,7 @@
         }
         self.failures.add(now);
         self.last_failure = Some(failure);
-        if self.config.pushed {
+        if self.config.lists_pushed {
             return now + self.pushed_pause(now);
         }
         match (self.failures.count, failure) {
@@ -247,7 +251,8 @@
     }
 
     fn unreachable_pause(&mut self) -> Micros {
-        let max_pause = if self.config.pushed { self.max_initial_pushed_pause() } else { MAX_RETRY_PAUSE_US };
+        let max_pause =
+            if self.config.lists_pushed { self.max_initial_pushed_pause() } else { MAX_RETRY_PAUSE_US };
         self.rng.random_range(MIN_RETRY_PAUSE_US.min(max_pause / 2)..=max_pause)
     }
 
--- a/crates/flintwell-list-watch/tests/fleet.rs
+++ b/crates/flintwell-list-watch/tests/fleet.rs
@@ -38,7 +38,7 @@
         .map(|n| {
             Watch::new(
                 0,
-                WatchConfig { pushed, fleet_size: fleet, index: n, drain_grace: GRACE },
+                WatchConfig { lists_pushed: pushed, fleet_size: fleet, index: n, drain_grace: GRACE },
                 Lease::restored(0, 0),
                 seed << 16 | u64::from(n),
             )
@@ -138,7 +138,7 @@
     let watch = |pushed, fleet, grace, seed: u64| {
         Watch::new(
             0,
-            WatchConfig { pushed, fleet_size: fleet, index: seed as u32, drain_grace: grace },
+            WatchConfig { lists_pushed: pushed, fleet_size: fleet, index: seed as u32, drain_grace: grace },
             Lease::restored(0, 0),
             seed,
         )
@@ -174,7 +174,7 @@
 fn calls_do_not_wait_after_a_lost_one_until_one_is_answered() {
     let mut watch = Watch::new(
         0,
-        WatchConfig { pushed: false, fleet_size: 350, index: 0, drain_grace: 0 },
+        WatchConfig { lists_pushed: false, fleet_size: 350, index: 0, drain_grace: 0 },
         Lease::restored(0, 0),
         1,
     );
@@ -210,7 +210,12 @@
                 let mut rng = ChaCha8Rng::seed_from_u64(seed);
                 let mut watch = Watch::new(
                     0,
-                    WatchConfig { pushed, fleet_size: fleet, index: seed as u32, drain_grace: 0 },
+                    WatchConfig {
+                        lists_pushed: pushed,
+                        fleet_size: fleet,
+                        index: seed as u32,
+                        drain_grace: 0,
+                    },
                     Lease::restored(0, 0),
                     seed,
                 );
--- a/crates/flintwell-list-watch/tests/lease.rs
+++ b/crates/flintwell-list-watch/tests/lease.rs
@@ -7,7 +7,12 @@
 /// The watch of a process that starts with a list confirmed at its start.
 fn watch(pushed: bool) -> Watch {
     let lease = Lease::restored(100 * S, 100 * S);
-    Watch::new(100 * S, WatchConfig { pushed, fleet_size: 300, index: 7, drain_grace: S / 3 }, lease, 1)
+    Watch::new(
+        100 * S,
+        WatchConfig { lists_pushed: pushed, fleet_size: 300, index: 7, drain_grace: S / 3 },
+        lease,
+        1,
+    )
 }
 
 #[test]
@@ -77,7 +82,7 @@
 
 #[test]
 fn a_list_of_unknown_age_is_invalid_until_discovery_has_answered_or_is_unreachable() {
-    let config = WatchConfig { pushed: false, fleet_size: 300, index: 7, drain_grace: 0 };
+    let config = WatchConfig { lists_pushed: false, fleet_size: 300, index: 7, drain_grace: 0 };
     let new_watch = || Watch::new(100 * S, config, Lease::unconfirmed(), 1);
     for failure in [Failure::Local, Failure::Refused, Failure::Broken, Failure::Silent] {
         let mut watch = new_watch();
@@ -129,7 +134,7 @@
 #[test]
 fn the_first_call_is_due_within_a_second_for_any_fleet_size() {
     for fleet in [1, 2, 32, 300, 1_024] {
-        let config = |index| WatchConfig { pushed: false, fleet_size: fleet, index, drain_grace: 0 };
+        let config = |index| WatchConfig { lists_pushed: false, fleet_size: fleet, index, drain_grace: 0 };
         let first =
             |index| Watch::new(0, config(index), Lease::unconfirmed(), 1).first_call_at(123_456) - 123_456;
         assert!((0..fleet).map(first).all(|wait| (0..S).contains(&wait)), "{fleet} proxies");
@@ -181,7 +186,7 @@
     for index in 0..300 {
         let mut watch = Watch::new(
             0,
-            WatchConfig { pushed: false, fleet_size: 300, index, drain_grace: 0 },
+            WatchConfig { lists_pushed: false, fleet_size: 300, index, drain_grace: 0 },
             Lease::restored(0, 0),
             u64::from(index),
         );
--- a/crates/flintwell-list-watch/tests/overload.rs
+++ b/crates/flintwell-list-watch/tests/overload.rs
@@ -83,7 +83,8 @@
 fn simulate(pushed: bool, fleet: u32, round: Micros, overload: Overload, start: Start, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let started_at = 1_000 * S + rng.random_range(0..S);
-    let config = |index| WatchConfig { pushed, fleet_size: fleet, index, drain_grace: 300 * MS };
+    let config =
+        |index| WatchConfig { lists_pushed: pushed, fleet_size: fleet, index, drain_grace: 300 * MS };
     let calling = if start == Start::ThirdRestarted { fleet.div_ceil(3) } else { fleet };
     let reachable_from = match start {
         Start::Refusing(span) | Start::Unreachable(span) => started_at + span,
--- a/crates/flintwell-settings/src/lib.rs
+++ b/crates/flintwell-settings/src/lib.rs
@@ -226,7 +226,7 @@
     let duration = |path: &str| number(conf, path).map_or(0, seconds_to_micros);
     Ok(Settings {
         classes: list(conf, "/use_cases").iter().map(|entry| class(entry, conf)).collect::<Result<_, _>>()?,
-        quotas: list(conf, "/realms")
+        tenant_quotas_rps: list(conf, "/realms")
             .iter()
             .map(|tenant| number(tenant, "/quota_rps").unwrap_or(f64::MAX))
             .collect(),
--- a/crates/flintwell-simhost/src/wire.rs
+++ b/crates/flintwell-simhost/src/wire.rs
@@ -94,7 +94,7 @@
             write_text(reply, node);
         });
     }
-    fn refuse(&mut self, request: &RequestId, retry_after: Micros) {
+    fn refuse_request(&mut self, request: &RequestId, retry_after: Micros) {
         self.write_action("shed", |reply| {
             reply.push(b',');
             write_text(reply, request);
@@ -102,7 +102,7 @@
             write_seconds(reply, retry_after);
         });
     }
-    fn fail(&mut self, request: &RequestId) {
+    fn fail_request(&mut self, request: &RequestId) {
         self.write_action("fail", |reply| {
             reply.push(b',');
             write_text(reply, request);
--- a/crates/flintwell/src/clients/accept.rs
+++ b/crates/flintwell/src/clients/accept.rs
@@ -372,7 +372,7 @@
         if buf.filled().len() > filled_before {
             self.client.on_bytes_read();
         }
-        self.client.scanner.borrow_mut().read(&buf.filled()[filled_before..]);
+        self.client.scanner.borrow_mut().scan(&buf.filled()[filled_before..]);
         result
     }
 }
--- a/crates/flintwell/src/clients/framing.rs
+++ b/crates/flintwell/src/clients/framing.rs
@@ -48,7 +48,7 @@
     }
 
     /// Scans bytes that were read from the connection.
-    pub fn read(&mut self, mut bytes: &[u8]) {
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match &mut self.state {
                 ScanState::Unknown => return,
@@ -186,7 +186,7 @@
 
 impl ResponseScanner {
     /// Scans bytes that were read from the connection.
-    pub fn read(&mut self, mut bytes: &[u8]) {
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         if !bytes.is_empty() {
             self.first_byte_at.get_or_insert_with(Instant::now);
         }
--- a/crates/flintwell/src/clients/framing/tests.rs
+++ b/crates/flintwell/src/clients/framing/tests.rs
@@ -4,7 +4,7 @@
 fn framings(bytes: &[u8]) -> Vec<Framing> {
     let read = |parts: &[&[u8]]| {
         let mut scanner = RequestScanner::default();
-        parts.iter().for_each(|part| scanner.read(part));
+        parts.iter().for_each(|part| scanner.scan(part));
         Vec::from(scanner.framings)
     };
     let whole = read(&[bytes]);
@@ -52,7 +52,7 @@
         let response = [&interim[..], response].concat();
         for cut in 0..=response.len() {
             let mut scanner = ResponseScanner::default();
-            response[..cut].chunks(1 + cut % 3).for_each(|part| scanner.read(part));
+            response[..cut].chunks(1 + cut % 3).for_each(|part| scanner.scan(part));
             // Another decoder continues from there.
             let Some(mut decoder) = scanner.decoder else { continue };
             let mut rest = Vec::new();
@@ -63,7 +63,7 @@
             assert_eq!(rest, body[scanner.body_bytes as usize..], "cut at {cut}");
         }
         let mut scanner = ResponseScanner::default();
-        scanner.read(&response);
+        scanner.scan(&response);
         assert!(scanner.decoder.is_some_and(BodyDecoder::is_complete), "the end of the body is detected");
     }
     for wrong in ["x", "-3\r\n", "ffffffffffffffff0\r\n", "3\r\nnine"] {
@@ -74,7 +74,7 @@
 #[test]
 fn an_oversized_head_is_discarded() {
     let mut scanner = RequestScanner::default();
-    (0..100).for_each(|_| scanner.read(&[b'x'; 1_000]));
+    (0..100).for_each(|_| scanner.scan(&[b'x'; 1_000]));
     assert!(matches!(scanner.state, ScanState::Unknown));
     assert_eq!(scanner.next_framing(), Framing::Ambiguous);
 }
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -245,13 +245,13 @@
         // Logs only failures 1, 2, 4, 8, ... of an outage.
         if self.consecutive_failures.is_power_of_two() {
             let took = (now - self.called_at) as f64 / 1e6;
-            let CallError { failure, error } = error;
+            let CallError { kind, error } = error;
             log_line!(
-                "discovery: {error} ({failure:?}) after {took:.3} s; {} consecutive failed calls",
+                "discovery: {error} ({kind:?}) after {took:.3} s; {} consecutive failed calls",
                 self.consecutive_failures
             );
         }
-        let at = self.watch.on_failure(now, error.failure);
+        let at = self.watch.on_failure(now, error.kind);
         self.publish_lease();
         Phase::Pausing(at)
     }
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -30,29 +30,29 @@
 /// Why a call failed: its kind for the list watch, and its details for the log.
 #[derive(Debug)]
 pub struct CallError {
-    pub failure: Failure,
+    pub kind: Failure,
     pub error: ExchangeError,
 }
 
 impl CallError {
     fn from_exchange(error: ExchangeError) -> Self {
-        let failure = match &error.cause {
+        let kind = match &error.cause {
             FailureCause::LocalFault(_) | FailureCause::ConnectionLimit => Failure::Local,
             FailureCause::Unreachable(_) => Failure::Unreachable,
             _ => Failure::Broken,
         };
-        CallError { failure, error }
+        CallError { kind, error }
     }
 
     /// No response came in time.
     pub fn timed_out(error: ExchangeError) -> Self {
-        CallError { failure: Failure::Silent, error }
+        CallError { kind: Failure::Silent, error }
     }
 
     /// The response was not acceptable.
     pub fn invalid_response(why: String) -> Self {
         CallError {
-            failure: Failure::Broken,
+            kind: Failure::Broken,
             error: ExchangeError::before_write(FailureCause::InvalidResponse(why)),
         }
     }
@@ -181,10 +181,8 @@
     wait: Micros,
 ) -> Result<NodeList, CallError> {
     let progress = Progress::default();
-    let invalid = |why| CallError {
-        failure: Failure::Broken,
-        error: progress.error(FailureCause::InvalidResponse(why)),
-    };
+    let invalid =
+        |why| CallError { kind: Failure::Broken, error: progress.error(FailureCause::InvalidResponse(why)) };
     let query = since.map_or_else(String::new, |since| format!("?since={since}&timeout_ms={}", wait / 1_000));
     let path = format!("/registry/instances{query}");
     let mut request = Request::new(UpstreamBody::Empty);
@@ -196,7 +194,7 @@
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             let refused = invalid(format!("status {}", reply.status));
-            return Err(CallError { failure: Failure::Refused, ..refused });
+            return Err(CallError { kind: Failure::Refused, ..refused });
         }
         status => return Err(invalid(format!("status {status}"))),
     }
--- a/crates/flintwell/src/nodes/attempt.rs
+++ b/crates/flintwell/src/nodes/attempt.rs
@@ -47,7 +47,7 @@
 
 /// The response of a node.
 pub struct NodeResponse {
-    pub ending: AttemptStatus,
+    pub status: AttemptStatus,
     /// Whether it is the first response on its connection.
     pub first_on_connection: bool,
     pub body: ResponseBody,
@@ -128,9 +128,9 @@
         .upstream_body()
         .ok_or(ExchangeError::before_write(FailureCause::BodyConsumed))?;
     let reply = connection.exchange(message(attempt, body), RESPONSE_LIMITS, progress).await;
-    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.ending() == AttemptStatus::Reset));
+    pool.record_reuse(idle, reply.as_ref().is_err_and(|error| error.status() == AttemptStatus::Reset));
     let reply = reply?;
-    let ending = attempt_status(reply.status, &reply.headers);
+    let status = attempt_status(reply.status, &reply.headers);
     let body = match reply.body {
         ReceivedBody::Whole(body) => {
             pool.release(&attempt.node, connection);
@@ -149,7 +149,7 @@
             )))
         }
     };
-    Ok(NodeResponse { ending, first_on_connection, body })
+    Ok(NodeResponse { status, first_on_connection, body })
 }
 
 /// An idle connection that can take another exchange, or a new one.
--- a/crates/flintwell/src/nodes/connection.rs
+++ b/crates/flintwell/src/nodes/connection.rs
@@ -61,7 +61,7 @@
     /// The client has disconnected.
     ClientDisconnected,
     /// The attempt was chosen too long ago.
-    Stale,
+    Expired,
     /// The lease on the node list has lapsed.
     Lapsed,
     /// The remote host or the network path did not accept the connection.
@@ -84,7 +84,7 @@
     }
 
     /// The outcome that is reported for the attempt.
-    pub fn ending(&self) -> AttemptStatus {
+    pub fn status(&self) -> AttemptStatus {
         match (self.stage, &self.cause) {
             (
                 Stage::Unwritten,
@@ -92,7 +92,7 @@
                 | FailureCause::ConnectionLimit
                 | FailureCause::BodyConsumed
                 | FailureCause::ClientDisconnected
-                | FailureCause::Stale
+                | FailureCause::Expired
                 | FailureCause::Lapsed
                 // Danger: a local fault reported as a failed connection would count against a healthy node.
                 | FailureCause::LocalFault(_),
@@ -107,7 +107,7 @@
                 | FailureCause::ConnectionLimit
                 | FailureCause::BodyConsumed
                 | FailureCause::ClientDisconnected
-                | FailureCause::Stale
+                | FailureCause::Expired
                 | FailureCause::Lapsed
                 | FailureCause::Unreachable(_)
                 | FailureCause::LocalFault(_),
@@ -130,7 +130,7 @@
             FailureCause::ConnectionLimit => write!(f, "limit on open connections reached"),
             FailureCause::BodyConsumed => write!(f, "request body was consumed by an earlier attempt"),
             FailureCause::ClientDisconnected => write!(f, "client has disconnected"),
-            FailureCause::Stale => write!(f, "attempt was chosen too long ago"),
+            FailureCause::Expired => write!(f, "attempt was chosen too long ago"),
             FailureCause::Lapsed => write!(f, "lease on the node list has lapsed"),
             FailureCause::Unreachable(why) => write!(f, "cannot connect: {why}"),
             FailureCause::LocalFault(why) => write!(f, "cannot connect because of a local fault: {why}"),
@@ -196,7 +196,7 @@
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.scanner.borrow_mut().read(&buf.filled()[before..]);
+        self.scanner.borrow_mut().scan(&buf.filled()[before..]);
         read
     }
 }
--- a/crates/flintwell/src/nodes/send_guard.rs
+++ b/crates/flintwell/src/nodes/send_guard.rs
@@ -52,7 +52,7 @@
     fn record(&self, cause: &FailureCause) {
         match cause {
             FailureCause::Lapsed => increment(&self.lapsed),
-            FailureCause::Stale => increment(&self.stale),
+            FailureCause::Expired => increment(&self.stale),
             FailureCause::ClientDisconnected => increment(&self.client_disconnected),
             _ => increment(&self.unlisted),
         }
@@ -82,7 +82,7 @@
         // no more than the time of a dial for either.
         let age = pending.chosen_at.elapsed();
         if age >= to_duration(pending.timeout) || age > self.pool.dial_timeout + CHOICE_AGE_MARGIN {
-            return Err(ExchangeError::before_write(FailureCause::Stale));
+            return Err(ExchangeError::before_write(FailureCause::Expired));
         }
         // Danger: the client may have disconnected meanwhile; the node would execute a request whose response
         // cannot be delivered.
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -138,8 +138,8 @@
     let pool = Pool::new(connections, config.network.dial_timeout, config.network.idle_timeout);
     let network = Reloadable::new(config.network);
     let (index, fleet_size) = (config.settings.proxy_index, config.settings.fleet_size);
-    let (pushed, drain_grace) = (!config.settings.list_on_request, network.get().drain_grace);
-    let watch_config = WatchConfig { pushed, fleet_size, index, drain_grace };
+    let (lists_pushed, drain_grace) = (!config.settings.list_on_request, network.get().drain_grace);
+    let watch_config = WatchConfig { lists_pushed, fleet_size, index, drain_grace };
     let origin_kind = config.settings.origin_kind;
     let (clock, seed) = (Clock::start(), config.seed);
     let shadow =
@@ -285,14 +285,14 @@
         }
     }
     let send_guard = SendGuard { pool, lease: lease.clone(), violations: metrics.violations.clone() };
-    let attempts =
+    let attempt_service =
         AttemptService::new(send_guard, metrics.clone(), BufferBudget::new(config.read_ahead_bytes));
     let body_budget = BufferBudget::new(config.request_body_bytes);
     let current_network = network.clone();
     let service = ClientService {
         dispatcher,
-        attempts,
-        counts: metrics,
+        attempt_service,
+        metrics,
         network,
         budget: body_budget,
         lease,
--- a/crates/flintwell/src/requests/dispatcher.rs
+++ b/crates/flintwell/src/requests/dispatcher.rs
@@ -74,10 +74,10 @@
     fn start_attempt(&mut self, request: &RequestId, node: &NodeId, timeout: Micros) {
         self.0.post_step(request, Step::Attempt { node: node.clone(), timeout });
     }
-    fn refuse(&mut self, request: &RequestId, retry_after: Micros) {
+    fn refuse_request(&mut self, request: &RequestId, retry_after: Micros) {
         self.0.post_step(request, Step::Refuse { retry_after });
     }
-    fn fail(&mut self, request: &RequestId) {
+    fn fail_request(&mut self, request: &RequestId) {
         self.0.post_step(request, Step::Fail);
     }
     fn close_idle(&mut self, node: &NodeId) {
--- a/crates/flintwell/src/requests/request.rs
+++ b/crates/flintwell/src/requests/request.rs
@@ -73,17 +73,17 @@
                 let result = attempt_service.clone().oneshot(attempt).await;
                 let latency = dispatcher.clock.now() - sent_at;
                 // A request that the origin refused has cost it work, too.
-                let reached_node = result.as_ref().err().is_none_or(|error| !error.ending().never_ran());
+                let reached_node = result.as_ref().err().is_none_or(|error| !error.status().never_ran());
                 if is_fetch && reached_node {
                     increment(&metrics.origin_attempts);
                 }
                 match result {
                     Ok(response) => {
-                        if is_fetch && response.ending == AttemptStatus::Full {
+                        if is_fetch && response.status == AttemptStatus::Full {
                             increment(&metrics.origin_refusals);
                         }
-                        handle.attempt_ended(response.ending, latency, response.first_on_connection);
-                        if response.ending == AttemptStatus::Served {
+                        handle.attempt_ended(response.status, latency, response.first_on_connection);
+                        if response.status == AttemptStatus::Served {
                             return ClientResponse::Served(response.body);
                         }
                     }
@@ -97,7 +97,7 @@
                         if error.cause == FailureCause::ClientDisconnected {
                             return ClientResponse::ClientDisconnected;
                         }
-                        handle.attempt_ended(error.ending(), latency, false);
+                        handle.attempt_ended(error.status(), latency, false);
                     }
                 }
             }
--- a/crates/flintwell/src/requests/service.rs
+++ b/crates/flintwell/src/requests/service.rs
@@ -28,8 +28,8 @@
 #[derive(Clone)]
 pub struct ClientService {
     pub dispatcher: Rc<Dispatcher>,
-    pub attempts: AttemptService,
-    pub counts: Rc<Metrics>,
+    pub attempt_service: AttemptService,
+    pub metrics: Rc<Metrics>,
     pub network: Rc<Reloadable<NetworkSettings>>,
     pub budget: Rc<BufferBudget>,
     pub lease: Rc<ListLease>,
@@ -50,11 +50,12 @@
             // to answer a retry than this process has.
             Ok(request) if self.shutdown.has_successor() => {
                 let response = ClientResponse::Refused { retry_after: 0 };
-                response.outcome().inspect(|&outcome| self.counts.record_outcome(request.class, outcome));
+                response.outcome().inspect(|&outcome| self.metrics.record_outcome(request.class, outcome));
                 response
             }
             Ok(request) => {
-                request::serve(request, &self.dispatcher, &self.lease, &self.attempts, &self.counts).await
+                request::serve(request, &self.dispatcher, &self.lease, &self.attempt_service, &self.metrics)
+                    .await
             }
             Err(reason) => ClientResponse::Malformed(reason),
         }
--- a/crates/flintwell/src/requests/shadow.rs
+++ b/crates/flintwell/src/requests/shadow.rs
@@ -45,11 +45,7 @@
 impl ShadowCounts {
     /// Number of requests with any difference.
     pub fn differing(&self) -> u64 {
-        self.another_cache
-            + self.origin_or_cache
-            + self.given_up
-            + self.handed_off
-            + self.held_or_told
+        self.another_cache + self.origin_or_cache + self.given_up + self.handed_off + self.held_or_told
     }
 }
 
@@ -78,10 +74,10 @@
     fn start_attempt(&mut self, request: &RequestId, node: &NodeId, _: Micros) {
         self.record(request, Decision::Attempt(node.clone()));
     }
-    fn refuse(&mut self, request: &RequestId, _: Micros) {
+    fn refuse_request(&mut self, request: &RequestId, _: Micros) {
         self.record(request, Decision::Refuse);
     }
-    fn fail(&mut self, request: &RequestId) {
+    fn fail_request(&mut self, request: &RequestId) {
         self.record(request, Decision::Fail);
     }
     fn close_idle(&mut self, _: &NodeId) {}
