--- a/crates/flintwell-membership/tests/fleet.rs
+++ b/crates/flintwell-membership/tests/fleet.rs
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_partition_heals_and_a_paused_member_declares_nobody_down() {
+fn a_partition_heals_and_a_paused_member_declares_no_member_down() {
     let mut network = Network::new(2, 16, 0.02);
     network.run_until_converged(30_000);
     let downs = network.downs();
@@ -205,7 +205,7 @@
     assert_eq!(declared_down, Some(0), "it declared others down when it resumed");
     network.run_until_converged(40_000);
     assert!(network.is_converged(), "{:?}", network.known_peers());
-    assert!(network.downs() - downs <= 16, "nobody but the paused member was declared down");
+    assert!(network.downs() - downs <= 16, "no member but the paused one was declared down");
     network.is_cut = Box::new(|from, to| (from < 8) != (to < 8));
     network.run(40_000);
     assert_eq!(network.known_peers(), vec![7; 16], "each half knows its own members only");
--- a/crates/flintwell-rollout/tests/fleet.rs
+++ b/crates/flintwell-rollout/tests/fleet.rs
@@ -58,7 +58,7 @@
 
 struct SimulatedMember {
     member: Member,
-    disk: Option<Record>,
+    stored_record: Option<Record>,
     restarted_for: Option<(u64, usize)>,
     started_ms: u64,
     changed_since: Option<u64>,
@@ -117,7 +117,7 @@
         .iter()
         .map(|_| SimulatedMember {
             member: Member::new("f", None, &configured_settings()),
-            disk: None,
+            stored_record: None,
             restarted_for: None,
             started_ms: 1,
             changed_since: None,
@@ -139,8 +139,8 @@
             journal.clone(),
         )
     };
-    let mut disk = Journal::new(EPOCH);
-    let mut controller = Some(start_controller(0, &disk));
+    let mut stored_journal = Journal::new(EPOCH);
+    let mut controller = Some(start_controller(0, &stored_journal));
     let (mut stored_evidence, mut max_refused) = (None, 0);
     let (mut rounds_until_resume, mut delayed): (u64, Vec<(usize, Command)>) = (0, Vec::new());
     let (mut max_changed, mut expired_unconfirmed, mut finished_at) = (0, 0, 0);
@@ -154,7 +154,7 @@
         let (mut total_attempts, mut attempts_by_member) = (0, Vec::new());
         for one in &mut fleet {
             if let Some(record) = one.member.tick(now) {
-                one.disk = Some(record);
+                one.stored_record = Some(record);
             }
             let is_changed = one.member.active().epoch == EPOCH;
             one.changed_since = is_changed.then(|| one.changed_since.unwrap_or(now));
@@ -163,7 +163,7 @@
                 .zip(one.changed_since)
                 .is_some_and(|(after, since)| now >= since + after);
             if crashes || rng.random::<f64>() < scenario.member_kills / 24.0 {
-                one.member = Member::new("f", one.disk.clone(), &configured_settings());
+                one.member = Member::new("f", one.stored_record.clone(), &configured_settings());
                 one.changed_since = None;
                 one.start_process(now);
             }
@@ -205,8 +205,8 @@
             one.counters.origin_refusals += refused * origin_attempts / total_attempts.max(1);
         }
         // The controller.
-        if controller.is_none() && rounds_until_resume == 0 && !disk.is_finished() {
-            controller = Some(start_controller(now, &disk));
+        if controller.is_none() && rounds_until_resume == 0 && !stored_journal.is_finished() {
+            controller = Some(start_controller(now, &stored_journal));
             let restored = stored_evidence.clone().filter(|_| scenario.restores_evidence);
             restored.into_iter().for_each(|evidence| {
                 controller.iter_mut().for_each(|running| running.restore_evidence(Evidence::clone(&evidence)))
@@ -232,14 +232,14 @@
         // The controller is killed before or after it writes its journal.
         if round < LAST_KILL_ROUND && rng.random::<f64>() < scenario.controller_kills {
             if rng.random::<bool>() {
-                disk = running.journal().clone();
+                stored_journal = running.journal().clone();
             }
             (controller, rounds_until_resume) = (None, rng.random_range(1..40));
             continue;
         }
-        disk = running.journal().clone();
+        stored_journal = running.journal().clone();
         stored_evidence = Some(running.evidence());
-        if disk.is_finished() {
+        if stored_journal.is_finished() {
             finished_at = now;
             controller = None;
             continue;
@@ -286,12 +286,12 @@
                     None
                 }
                 Command::Revert => {
-                    one.disk = one.member.revert(&request).ok().or(one.disk.take());
+                    one.stored_record = one.member.revert(&request).ok().or(one.stored_record.take());
                     None
                 }
             };
             if let Some(transition) = transition {
-                one.disk = Some(transition.record.clone());
+                one.stored_record = Some(transition.record.clone());
                 one.member.commit(transition);
             }
         }
@@ -301,7 +301,7 @@
     fleet.iter().for_each(|one| *final_epochs.entry(one.member.active().epoch).or_default() += 1);
     let unconfirmed = fleet.iter().filter(|one| one.member.record().unconfirmed).count();
     Outcome {
-        journal: disk,
+        journal: stored_journal,
         max_changed,
         expired_unconfirmed,
         max_refused,
--- a/crates/flintwell-rollout/tests/member_model.rs
+++ b/crates/flintwell-rollout/tests/member_model.rs
@@ -14,7 +14,7 @@
 struct State {
     now: u64,
     member: Member,
-    disk: Option<Record>,
+    stored_record: Option<Record>,
     /// The active unconfirmed epoch, and the time of the last request for it.
     unconfirmed_since: Option<(u64, u64)>,
     /// Epochs confirmed here and not reverted since.
@@ -55,8 +55,15 @@
 
     fn init_states(&self) -> Vec<State> {
         let member = Member::new("f", None, &json!({}));
-        let (disk, unconfirmed_since, confirmed) = (None, None, Vec::new());
-        vec![State { now: 0, member, disk, unconfirmed_since, confirmed, accepted_below_fence: false }]
+        let (stored_record, unconfirmed_since, confirmed) = (None, None, Vec::new());
+        vec![State {
+            now: 0,
+            member,
+            stored_record,
+            unconfirmed_since,
+            confirmed,
+            accepted_below_fence: false,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Event>) {
@@ -108,7 +115,7 @@
                 transition
             }
             Event::Revert(epoch) => {
-                state.disk = Some(state.member.revert(&epoch_request(epoch)).ok()?);
+                state.stored_record = Some(state.member.revert(&epoch_request(epoch)).ok()?);
                 state.accepted_below_fence |= epoch < fence;
                 state.confirmed.retain(|&confirmed| confirmed != epoch);
                 if state.member.active().epoch != before {
@@ -117,19 +124,19 @@
                 return Some(state);
             }
             Event::Restart => {
-                state.member = Member::new("f", state.disk.clone(), &json!({}));
+                state.member = Member::new("f", state.stored_record.clone(), &json!({}));
                 state.unconfirmed_since = None;
                 return Some(state);
             }
             Event::TimeStep => {
                 state.now += 1;
                 if let Some(record) = state.member.tick(state.now) {
-                    (state.disk, state.unconfirmed_since) = (Some(record), None);
+                    (state.stored_record, state.unconfirmed_since) = (Some(record), None);
                 }
                 return Some(state);
             }
         };
-        state.disk = Some(transition.record.clone());
+        state.stored_record = Some(transition.record.clone());
         state.member.commit(transition);
         state.accepted_below_fence |= requested_epoch < fence;
         let (record, epoch) = (state.member.record(), state.member.active().epoch);
@@ -151,7 +158,7 @@
                 !state.accepted_below_fence
             }),
             Property::always("a restart restores no unconfirmed change", |_, state: &State| {
-                let restarted = Member::new("f", state.disk.clone(), &json!({}));
+                let restarted = Member::new("f", state.stored_record.clone(), &json!({}));
                 let epoch = restarted.active().epoch;
                 epoch == 0 || state.confirmed.contains(&epoch) || state.member.active().epoch == epoch
             }),
--- a/crates/flintwell-settings/src/lib.rs
+++ b/crates/flintwell-settings/src/lib.rs
@@ -146,9 +146,10 @@
             (value.as_f64().is_some_and(in_range), expected)
         }
         Constraint::Bool => (value.is_boolean(), "true or false".into()),
-        Constraint::OneOf(words) => {
-            (value.as_str().is_some_and(|word| words.contains(&word)), format!("one of {}", words.join(", ")))
-        }
+        Constraint::OneOf(allowed) => (
+            value.as_str().is_some_and(|word| allowed.contains(&word)),
+            format!("one of {}", allowed.join(", ")),
+        ),
         Constraint::List => (value.is_array(), "a list".into()),
     };
     let key = format!("{prefix}{}", path[1..].replace('/', "."));
--- a/crates/flintwell-shared-probes/src/tests.rs
+++ b/crates/flintwell-shared-probes/src/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn two_false_reports_keep_nobody_from_a_node() {
+fn two_false_reports_keep_no_member_from_probing_a_node() {
     // The node is silent to three members, each of which has two reports from the others: too few for the
     // quorum. All other members ignore the reports.
     let probers = simulate(|n, _| n < 3, 40);
--- a/crates/flintwell/src/fleet/discovery.rs
+++ b/crates/flintwell/src/fleet/discovery.rs
@@ -199,8 +199,8 @@
         answer: Answer,
     ) -> Phase {
         let is_current = matches!(phase, Phase::Calling(current, _) if current == number);
-        let Answer { listing, connection, first_byte_at } = answer;
-        if self.version.is_some_and(|version| listing.version < version) {
+        let Answer { list, connection, first_byte_at } = answer;
+        if self.version.is_some_and(|version| list.version < version) {
             // A call that was in flight for long may return an older list than one answered meanwhile.
             if !is_current {
                 return phase;
@@ -209,7 +209,7 @@
             // leaving. If discovery was reset to lower versions instead, it sends its whole list, which is
             // requested next.
             self.version = None;
-            let why = format!("list {} is older than the last one", listing.version);
+            let why = format!("list {} is older than the last one", list.version);
             return self.on_failure(dispatcher, &CallError::invalid_response(why));
         }
         if self.consecutive_failures > 1 {
@@ -228,14 +228,13 @@
             self.calls.abort_all();
             self.watch.on_late_answer(as_of);
         }
-        self.status.on_answer(now, listing.version);
+        self.status.on_answer(now, list.version);
         self.publish_lease();
         self.connection = Some(connection);
-        let kind = if listing.full { ListUpdateKind::Snapshot } else { ListUpdateKind::Delta };
-        self.publish(&listing, kind);
+        let kind = if list.full { ListUpdateKind::Snapshot } else { ListUpdateKind::Delta };
+        self.publish(&list, kind);
         // Danger: a discovery that answers long polls at once would be called in a busy loop.
-        let too_soon =
-            is_current && listing.is_empty() && now - self.called_at < MIN_EMPTY_RESPONSE_INTERVAL_US;
+        let too_soon = is_current && list.is_empty() && now - self.called_at < MIN_EMPTY_RESPONSE_INTERVAL_US;
         Phase::Pausing(if too_soon { now + MIN_EMPTY_RESPONSE_INTERVAL_US } else { now })
     }
 
@@ -262,8 +261,8 @@
         self.status.on_lease_change(lease);
     }
 
-    fn publish(&mut self, listing: &NodeList, kind: ListUpdateKind) {
-        self.version = Some(listing.version);
-        self.registry.update(listing, kind);
+    fn publish(&mut self, list: &NodeList, kind: ListUpdateKind) {
+        self.version = Some(list.version);
+        self.registry.update(list, kind);
     }
 }
--- a/crates/flintwell/src/fleet/discovery_calls.rs
+++ b/crates/flintwell/src/fleet/discovery_calls.rs
@@ -60,7 +60,7 @@
 
 /// A response with the connection on which it was received.
 pub struct Answer {
-    pub listing: NodeList,
+    pub list: NodeList,
     pub connection: Connection,
     /// When its first byte was read.
     pub first_byte_at: Micros,
@@ -115,10 +115,10 @@
         let (number, clock) = (self.next_number, self.clock);
         self.next_number += 1;
         let task = self.tasks.spawn_local(async move {
-            let listing = exchange(&mut connection, since, wait).await;
+            let list = exchange(&mut connection, since, wait).await;
             let first_byte_at =
                 connection.first_byte_at().map_or(clock.now(), |instant| clock.micros_at(instant));
-            Completion::Called(number, listing.map(|listing| Answer { listing, connection, first_byte_at }))
+            Completion::Called(number, list.map(|list| Answer { list, connection, first_byte_at }))
         });
         self.open.push_back((number, task));
         number
--- a/crates/flintwell/src/fleet/list_store.rs
+++ b/crates/flintwell/src/fleet/list_store.rs
@@ -14,7 +14,7 @@
 
 /// The list that an earlier process stored.
 pub struct StoredList {
-    pub listing: NodeList,
+    pub list: NodeList,
     /// How long ago discovery confirmed it; none if unknown.
     pub age: Option<Micros>,
 }
@@ -50,12 +50,12 @@
     pub fn load(&self) -> Option<StoredList> {
         let read = serde_json::from_slice::<NodeList>(&self.store.read(LIST_FILE)?);
         let read = read.map_err(|error| log_line!("cannot decode the stored node list: {error}"));
-        let listing = read.ok().filter(|listing| listing.full)?;
+        let list = read.ok().filter(|list| list.full)?;
         let confirmation = self.store.read(CONFIRMATION_FILE);
         let confirmation = confirmation.and_then(|text| serde_json::from_slice::<Confirmation>(&text).ok());
         let clock = self.boot_clock.as_ref();
-        let age = clock.zip(confirmation).and_then(|(clock, record)| clock.age(listing.version, &record));
-        Some(StoredList { listing, age })
+        let age = clock.zip(confirmation).and_then(|(clock, record)| clock.age(list.version, &record));
+        Some(StoredList { list, age })
     }
 
     /// Marks the list as changed, now with this version.
@@ -66,8 +66,8 @@
 
     /// Writes what has changed. Danger: if a write failed because the disk was full and were not repeated, the
     /// stored list would lack the last changes; so a failed write is repeated until it succeeds.
-    pub fn write(&self, lines: impl FnOnce() -> Vec<ListedNode>, lease: &ListLease) {
-        let written = self.write_list(lines).and_then(|()| self.write_confirmation(lease));
+    pub fn write(&self, nodes: impl FnOnce() -> Vec<ListedNode>, lease: &ListLease) {
+        let written = self.write_list(nodes).and_then(|()| self.write_confirmation(lease));
         let is_failing = written.is_err();
         if self.is_failing.replace(is_failing) == is_failing {
             return;
@@ -78,9 +78,9 @@
         }
     }
 
-    fn write_list(&self, lines: impl FnOnce() -> Vec<ListedNode>) -> io::Result<()> {
+    fn write_list(&self, nodes: impl FnOnce() -> Vec<ListedNode>) -> io::Result<()> {
         let Some(version) = self.version.get().filter(|_| self.is_dirty.get()) else { return Ok(()) };
-        let text = serde_json::to_vec(&NodeList { version, full: true, nodes: lines() })?;
+        let text = serde_json::to_vec(&NodeList { version, full: true, nodes: nodes() })?;
         self.store.write(LIST_FILE, &text)?;
         self.is_dirty.set(false);
         Ok(())
--- a/crates/flintwell/src/fleet/overrides.rs
+++ b/crates/flintwell/src/fleet/overrides.rs
@@ -62,18 +62,18 @@
     }
 
     /// Applies the override of a node to its list entry.
-    pub fn apply(&self, line: &mut ListedNode) {
-        match self.nodes.borrow().get(&line.id) {
+    pub fn apply(&self, listed: &mut ListedNode) {
+        match self.nodes.borrow().get(&listed.id) {
             // Danger: a node under maintenance that is listed as ready would receive requests.
-            Some(Override { included_ms: None, .. }) if line.state == "ready" => {
-                line.state = "draining".into()
+            Some(Override { included_ms: None, .. }) if listed.state == "ready" => {
+                listed.state = "draining".into()
             }
             // Danger: the node was restarted during maintenance and is cold; with the start time of a list
             // that does not show that yet, it would be treated as warm.
             Some(Override { included_ms: Some(included_ms), excluded_ms, .. })
-                if line.started_ms < *excluded_ms =>
+                if listed.started_ms < *excluded_ms =>
             {
-                line.started_ms = *included_ms;
+                listed.started_ms = *included_ms;
             }
             _ => {}
         }
--- a/crates/flintwell/src/fleet/registry.rs
+++ b/crates/flintwell/src/fleet/registry.rs
@@ -28,7 +28,7 @@
     pool: Rc<Pool>,
     dispatcher: Rc<Dispatcher>,
     store: Store,
-    lines: RefCell<BTreeMap<String, ListedNode>>,
+    nodes: RefCell<BTreeMap<String, ListedNode>>,
     starts: RefCell<NodeStarts>,
     /// When the previous list was last confirmed.
     confirmed_at: Cell<Option<Micros>>,
@@ -58,7 +58,7 @@
             pool,
             dispatcher,
             store,
-            lines: RefCell::default(),
+            nodes: RefCell::default(),
             starts: RefCell::default(),
             confirmed_at,
             overrides,
@@ -69,22 +69,22 @@
     }
 
     /// Applies a list, or changes to it, and publishes them.
-    pub fn update(&self, listing: &NodeList, kind: ListUpdateKind) {
+    pub fn update(&self, list: &NodeList, kind: ListUpdateKind) {
         {
-            let mut lines = self.lines.borrow_mut();
+            let mut nodes = self.nodes.borrow_mut();
             if kind != ListUpdateKind::Delta {
-                lines.clear();
+                nodes.clear();
             }
-            for line in &listing.nodes {
-                match &*line.state {
-                    "gone" => drop(lines.remove(&line.id)),
-                    _ => drop(lines.insert(line.id.clone(), line.clone())),
+            for node in &list.nodes {
+                match &*node.state {
+                    "gone" => drop(nodes.remove(&node.id)),
+                    _ => drop(nodes.insert(node.id.clone(), node.clone())),
                 }
             }
         }
-        self.record_starts(listing, kind);
+        self.record_starts(list, kind);
         if kind != ListUpdateKind::Restored {
-            self.list_store.mark_changed(listing.version);
+            self.list_store.mark_changed(list.version);
         }
         if self.is_lapsed.get() && self.lease.is_valid() {
             // Danger: if only changes were published, nodes that have not changed would stay closed; if the
@@ -94,17 +94,17 @@
             log_line!("node list is up to date again; sending requests");
             self.publish_all(&[]);
         }
-        self.publish(&listing.nodes, kind);
+        self.publish(&list.nodes, kind);
     }
 
-    fn record_starts(&self, listing: &NodeList, kind: ListUpdateKind) {
+    fn record_starts(&self, list: &NodeList, kind: ListUpdateKind) {
         // The list at process start has no earlier list: its confirmation precedes its publication.
         let since = if kind == ListUpdateKind::Restored { None } else { self.confirmed_at.get() };
         let (now, mut starts) = (self.dispatcher.clock.now(), self.starts.borrow_mut());
-        for line in &listing.nodes {
-            starts.record(&line.id, (line.started_ms * 1e3) as Micros, since, now);
+        for node in &list.nodes {
+            starts.record(&node.id, (node.started_ms * 1e3) as Micros, since, now);
         }
-        starts.prune(|node| self.lines.borrow().contains_key(node));
+        starts.prune(|node| self.nodes.borrow().contains_key(node));
         self.confirmed_at.set(self.lease.confirmed_at());
     }
 
@@ -135,23 +135,23 @@
         self.publish_all(&[]);
     }
 
-    fn publish(&self, lines: &[ListedNode], kind: ListUpdateKind) {
+    fn publish(&self, nodes: &[ListedNode], kind: ListUpdateKind) {
         if kind != ListUpdateKind::Delta {
-            self.pool.retain_listed(|node| lines.iter().any(|line| *line.id == **node));
+            self.pool.retain_listed(|node| nodes.iter().any(|listed| *listed.id == **node));
         }
-        let mut entries = Vec::with_capacity(lines.len());
-        for line in lines {
-            let line = self.effective_line(line);
-            let mut entry = line.to_node_entry(&self.network.get());
+        let mut entries = Vec::with_capacity(nodes.len());
+        for node in nodes {
+            let node = self.effective_node(node);
+            let mut entry = node.to_node_entry(&self.network.get());
             // Danger: one address that can't be parsed would block the publication of all other nodes.
-            match line.addr.parse() {
+            match node.addr.parse() {
                 Ok(addr) if entry.state != NodeState::Gone => {
                     let is_ready = entry.state == NodeState::Ready;
-                    self.pool.upsert(&entry.node, addr, line.started_ms, is_ready);
+                    self.pool.upsert(&entry.node, addr, node.started_ms, is_ready);
                 }
                 Ok(_) => self.pool.remove(&entry.node),
                 Err(error) => {
-                    log_line!("discovery: invalid address {:?} of node {}: {error}", line.addr, line.id);
+                    log_line!("discovery: invalid address {:?} of node {}: {error}", node.addr, node.id);
                     entry.state = NodeState::Gone;
                     self.pool.remove(&entry.node);
                 }
@@ -162,19 +162,19 @@
     }
 
     /// A list entry with its known start time, the state of the lease and the operators' override applied.
-    fn effective_line(&self, line: &ListedNode) -> ListedNode {
-        let mut line = line.clone();
-        if let Some(started_at) = self.starts.borrow().started_at(&line.id) {
-            line.started_ms = started_at as f64 / 1e3;
+    fn effective_node(&self, node: &ListedNode) -> ListedNode {
+        let mut node = node.clone();
+        if let Some(started_at) = self.starts.borrow().started_at(&node.id) {
+            node.started_ms = started_at as f64 / 1e3;
         }
         // Danger: any node of a lapsed list may have left, and that change already counts as known to this
         // proxy.
-        if self.is_lapsed.get() && line.state == "ready" {
-            line.state = "draining".into();
-            return line;
+        if self.is_lapsed.get() && node.state == "ready" {
+            node.state = "draining".into();
+            return node;
         }
-        self.overrides.apply(&mut line);
-        line
+        self.overrides.apply(&mut node);
+        node
     }
 
     /// Time from when a drain counts as known until no new request may be sent to the node.
@@ -184,7 +184,7 @@
 
     /// The list as published now.
     pub fn effective_list(&self) -> NodeList {
-        let servers = self.lines.borrow().values().map(|line| self.effective_line(line)).collect();
+        let servers = self.nodes.borrow().values().map(|node| self.effective_node(node)).collect();
         NodeList { version: 0, full: true, nodes: servers }
     }
 
@@ -196,9 +196,9 @@
 
     /// Publishes the whole current list again, and closes idle connections to the `changed` nodes.
     fn publish_all(&self, changed: &[NodeId]) {
-        let lines: Vec<ListedNode> = self.lines.borrow().values().cloned().collect();
+        let nodes: Vec<ListedNode> = self.nodes.borrow().values().cloned().collect();
         // As a restored list: nothing new came from discovery.
-        self.publish(&lines, ListUpdateKind::Restored);
+        self.publish(&nodes, ListUpdateKind::Restored);
         changed.iter().for_each(|node| self.pool.close_idle(node));
     }
 
@@ -237,7 +237,7 @@
             sleep(SYNC_INTERVAL).await;
             if self.store.is_persistent() {
                 self.sync_overrides();
-                self.list_store.write(|| self.lines.borrow().values().cloned().collect(), &self.lease);
+                self.list_store.write(|| self.nodes.borrow().values().cloned().collect(), &self.lease);
             }
         }
     }
@@ -252,16 +252,16 @@
 
     /// Whether the list contains a cache with this id, in any state.
     fn lists_cache(&self, node: &str) -> bool {
-        self.lines.borrow().get(node).is_some_and(|line| self.is_cache(line))
+        self.nodes.borrow().get(node).is_some_and(|listed| self.is_cache(listed))
     }
 
-    fn is_cache(&self, line: &ListedNode) -> bool {
-        let kind = self.network.get().kinds.iter().position(|kind| *kind == line.kind);
+    fn is_cache(&self, node: &ListedNode) -> bool {
+        let kind = self.network.get().kinds.iter().position(|kind| *kind == node.kind);
         kind.is_none_or(|kind| self.origin_kind != Some(kind as u32))
     }
 
     /// The number of caches in the list.
     pub fn cache_count(&self) -> usize {
-        self.lines.borrow().values().filter(|line| self.is_cache(line)).count()
+        self.nodes.borrow().values().filter(|node| self.is_cache(node)).count()
     }
 }
--- a/crates/flintwell/src/management/rollout.rs
+++ b/crates/flintwell/src/management/rollout.rs
@@ -26,7 +26,7 @@
     pub clock: Clock,
     pub started_ms: u64,
     pub member: RefCell<Member>,
-    pub disk: RecordStore,
+    pub record_store: RecordStore,
     pub metrics: Rc<Metrics>,
     /// Wakes `run` when the next deadline may have changed.
     pub changed: Notify,
@@ -114,7 +114,7 @@
         if let Some(step) = step {
             // Recorded before they are applied: unconfirmed settings without a record would stay in force beyond their
             // time after a restart.
-            if let Err(error) = self.disk.write(&step.record) {
+            if let Err(error) = self.record_store.write(&step.record) {
                 log_line!("rollout state not written to disk: {error}");
                 let why = format!("change could not be recorded; nothing has changed: {error}");
                 return Err((StatusCode::INSUFFICIENT_STORAGE, why));
@@ -136,7 +136,7 @@
         let member = self.member.borrow();
         (self.apply)(&member.active().settings);
         log_line!("settings of epoch {from} reverted to epoch {}", member.active().epoch);
-        if let Err(error) = self.disk.write(member.record()) {
+        if let Err(error) = self.record_store.write(member.record()) {
             log_line!("rollout state not written to disk: {error}");
         }
     }
--- a/crates/flintwell/src/process/config.rs
+++ b/crates/flintwell/src/process/config.rs
@@ -81,8 +81,8 @@
     #[serde(default)]
     rollout: Option<RolloutConfig>,
     /// The proxy exchanges no messages with other proxies without it.
-    #[serde(default)]
-    words: Option<PeerMessagingSection>,
+    #[serde(default, rename = "words")]
+    peer_messaging: Option<PeerMessagingSection>,
     /// Overrides on top of `settings` for a shadow policy, whose decisions are only compared with those taken.
     #[serde(default)]
     watch_with: Option<Value>,
@@ -137,7 +137,7 @@
         }
     }
     let peer_messaging =
-        file.words.map(|section| peer_messaging(section, &settings, &file.settings)).transpose()?;
+        file.peer_messaging.map(|section| peer_messaging(section, &settings, &file.settings)).transpose()?;
     let shadow_settings = file.watch_with.map(|other| {
         let both = merge_settings(file.settings.clone(), other);
         check(&both).and_then(|()| decode(&both)).map_err(|e| format!("watch_with: {e}"))
--- a/crates/flintwell/src/process/serve.rs
+++ b/crates/flintwell/src/process/serve.rs
@@ -120,8 +120,8 @@
     let store = store.map_err(|e| format!("directory for temporary files: {e}"))?;
     let rollout_state = match &config.rollout {
         Some(rollout) => {
-            let disk = RecordStore::open(&rollout.state)?;
-            let record = disk.read().unwrap_or_else(|why| {
+            let record_store = RecordStore::open(&rollout.state)?;
+            let record = record_store.read().unwrap_or_else(|why| {
                 log_line!("{why}");
                 None
             });
@@ -129,8 +129,8 @@
             // The settings confirmed last take precedence over the file.
             let in_force = &member.active().settings;
             (config.settings, config.network) = (decode(in_force)?, decode_network(in_force)?);
-            disk.write(member.record()).map_err(|e| format!("rollout.state: {e}"))?;
-            Some((disk, member))
+            record_store.write(member.record()).map_err(|e| format!("rollout.state: {e}"))?;
+            Some((record_store, member))
         }
         None => None,
     };
@@ -152,7 +152,7 @@
     let succession = Rc::new(succession.map_err(|e| format!("directory for temporary files: {e}"))?);
     let list_store = ListStore::new(store.clone());
     let (source, initial_list, age) = match list_store.load() {
-        Some(StoredList { listing, age }) => (ListSource::Folder, listing, age),
+        Some(StoredList { list, age }) => (ListSource::Folder, list, age),
         None => (ListSource::Configuration, config.initial_nodes, None),
     };
     let now = clock.now();
@@ -206,7 +206,7 @@
     spawn_local(restart_on_panic("connection limits", async move || {
         limit_succession.share_limits(&limits, &limit_shutdown).await
     }));
-    let rollout = rollout_state.map(|(disk, member)| {
+    let rollout = rollout_state.map(|(record_store, member)| {
         let (apply_dispatcher, apply_network) = (dispatcher.clone(), network.clone());
         let (apply_metrics, apply_registry) = (metrics.clone(), registry.clone());
         let apply = move |settings: &serde_json::Value| match (decode(settings), decode_network(settings)) {
@@ -225,7 +225,7 @@
             clock: dispatcher.clock,
             started_ms: (dispatcher.clock.now() / 1_000).max(0) as u64,
             member: RefCell::new(member),
-            disk,
+            record_store,
             metrics: metrics.clone(),
             changed: Notify::new(),
             apply: Box::new(apply),
--- a/crates/flintwell/tests/process/supervise.rs
+++ b/crates/flintwell/tests/process/supervise.rs
@@ -121,6 +121,6 @@
     fleet.assert_no_violations();
     assert!(
         fleet.rig().proxies[0].process.shut_down(),
-        "the supervisor stops when told to, together with its proxy"
+        "the supervisor stops on request, together with its proxy"
     );
 }
