--- a/crates/flintwell-emulator/tests/overload.rs
+++ b/crates/flintwell-emulator/tests/overload.rs
@@ -3,7 +3,7 @@
 use flintwell_emulator::scenario::{Fault, SimulationConfig, SimulationResult};
 use flintwell_emulator::simulation::simulate;
 
-const SECOND: i64 = 1_000_000;
+const SECOND_US: i64 = 1_000_000;
 
 /// A fleet whose origin serves 20 concurrent fetches; [`capacity_drop`] leaves 5.
 fn overload_config(peer_messaging: bool, seed: u64) -> SimulationConfig {
@@ -17,7 +17,7 @@
 }
 
 fn capacity_drop() -> (i64, Fault) {
-    (5 * SECOND, Fault::OriginCapacity(5))
+    (5 * SECOND_US, Fault::OriginCapacity(5))
 }
 
 /// Origin refusals per fetch and the share of requests served, once the fleet has adapted.
@@ -56,7 +56,7 @@
         peer_messaging,
         ..SimulationConfig::default()
     };
-    let capacity_drop = (5 * SECOND, Fault::OriginCapacity(6));
+    let capacity_drop = (5 * SECOND_US, Fault::OriginCapacity(6));
     let (isolated, messaging) =
         (simulate(&fleet(false), &[capacity_drop]), simulate(&fleet(true), &[capacity_drop]));
     assert_consistent(&isolated);
@@ -87,7 +87,7 @@
         ..SimulationConfig::default()
     };
     let silence = |silent| Fault::SilentZone { zone: 1, silent };
-    let faults = [(5 * SECOND, silence(true)), (13 * SECOND, silence(false))];
+    let faults = [(5 * SECOND_US, silence(true)), (13 * SECOND_US, silence(false))];
     let (isolated, messaging) = (simulate(&fleet(false), &faults), simulate(&fleet(true), &faults));
     assert_consistent(&isolated);
     assert_consistent(&messaging);
@@ -116,18 +116,18 @@
     let faults: [(&str, Vec<(i64, Fault)>); 5] = [
         (
             "partition",
-            vec![(6 * SECOND, Fault::Partition { split_at: 6 }), (10 * SECOND, Fault::HealPartition)],
+            vec![(6 * SECOND_US, Fault::Partition { split_at: 6 }), (10 * SECOND_US, Fault::HealPartition)],
         ),
         (
             "pauses",
-            (0..2).map(|n| (7 * SECOND, Fault::Pause { proxy: n, duration_us: 3 * SECOND })).collect(),
+            (0..2).map(|n| (7 * SECOND_US, Fault::Pause { proxy: n, duration_us: 3 * SECOND_US })).collect(),
         ),
-        ("restarts", (0..6).map(|n| (7 * SECOND, Fault::Restart { proxy: n })).collect()),
+        ("restarts", (0..6).map(|n| (7 * SECOND_US, Fault::Restart { proxy: n })).collect()),
         (
             "load shift",
-            vec![(7 * SECOND, Fault::RequestRate { requests_per_second: 150.0, loaded_proxies: 4 })],
+            vec![(7 * SECOND_US, Fault::RequestRate { requests_per_second: 150.0, loaded_proxies: 4 })],
         ),
-        ("false reports", vec![(6 * SECOND, Fault::FalseReports { proxy: 3 })]),
+        ("false reports", vec![(6 * SECOND_US, Fault::FalseReports { proxy: 3 })]),
     ];
     for (name, mut faults) in faults {
         faults.push(capacity_drop());
@@ -146,7 +146,7 @@
     for peer_messaging in [false, true] {
         let config =
             SimulationConfig { max_retries: 3, duration_s: 16, ..overload_config(peer_messaging, 3) };
-        let result = simulate(&config, &[capacity_drop(), (10 * SECOND, Fault::OriginCapacity(20))]);
+        let result = simulate(&config, &[capacity_drop(), (10 * SECOND_US, Fault::OriginCapacity(20))]);
         assert_consistent(&result);
         let (before, after) = (result.sum(2, 5), result.sum(13, 16));
         let served_share =
--- a/crates/flintwell-rollout/tests/member_model.rs
+++ b/crates/flintwell-rollout/tests/member_model.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 use stateright::{Checker, Model, Property};
 
-const CONFIRM_TIMEOUT: u64 = 2; // in time steps
-const MAX_TIME: u64 = 10; // time steps explored: enough for two changes, one after the other
+const CONFIRM_TIMEOUT_STEPS: u64 = 2; // time steps of the model
+const MAX_TIME_STEPS: u64 = 10; // explored: enough for two changes, one after the other
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
@@ -44,7 +44,7 @@
         fleet: "f".into(),
         epoch,
         hash: hash(&json!({ "v": epoch })),
-        confirm_timeout_ms: CONFIRM_TIMEOUT,
+        confirm_timeout_ms: CONFIRM_TIMEOUT_STEPS,
         stage: 0,
     }
 }
@@ -73,7 +73,7 @@
             actions.push(ApplyWithFailedWrite(epoch));
         }
         actions.push(Event::Restart);
-        if state.now < MAX_TIME {
+        if state.now < MAX_TIME_STEPS {
             actions.push(Event::TimeStep);
         }
     }
@@ -151,7 +151,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("an unconfirmed change is reverted on timeout", |_, state: &State| {
-                state.unconfirmed_since.is_none_or(|(_, since)| state.now < since + CONFIRM_TIMEOUT)
+                state.unconfirmed_since.is_none_or(|(_, since)| state.now < since + CONFIRM_TIMEOUT_STEPS)
                     && (state.member.record().unconfirmed == state.unconfirmed_since.is_some())
             }),
             Property::always("no request below the fence is accepted", |_, state: &State| {
